--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// EventKind names an event; it is the message of the event's log line.
+// EventKind is the kind of an event and the message of its log line.
 type EventKind string
 
 // Events of a client.
@@ -11,10 +11,11 @@
 	EventLost    EventKind = "lease lost"
 )
 
-// Reason says why a lease was lost, released or moved. It is stored and shown: the texts stay.
+// Reason says why a lease was lost, released or moved. Reasons are stored in the replicated log and shown to operators,
+// so their texts must not change.
 type Reason string
 
-// Reasons of EventLost.
+// Reasons why a client loses a lease (EventLost).
 const (
 	reasonRevoked     Reason = "granted to another holder"
 	reasonExpired     Reason = "expired"
@@ -26,40 +27,40 @@
 type Event struct {
 	GrantID
 	Kind      EventKind
-	Holder    string // the client, with its incarnation
-	Reason    Reason // of EventLost
-	ExpiresAt Millis // of EventGranted
+	Holder    string // this client's name and incarnation
+	Reason    Reason // set for EventLost
+	ExpiresAt Millis // set for EventGranted
 }
 
-// heldLease is a grant as its holder counts it.
+// heldLease is the holder's own state of a granted lease.
 type heldLease struct {
 	fence            Fence
 	expiresAt        Millis
-	reclaimed        bool // the leader has asked for it: no new operation begins
+	reclaimed        bool // the leader has asked for its release: no new operation begins
 	activeOperations int
 }
 
-// Client holds the leases of one coordinator and observes who holds the others. It is not safe for concurrent use. All
-// times are by the coordinator's monotonic clock.
+// Client holds the leases of one coordinator and tracks who holds the other jobs. It is not safe for concurrent use.
+// All times are readings of the coordinator's monotonic clock.
 type Client struct {
-	self             Holder
-	jobs             []string
-	driftBound       float64
-	capacity         float64
-	draining         bool
-	held             map[string]*heldLease
-	assignments      map[string]Assignment // the newest seen, by job
-	released         []GrantID             // given back, until a response shows that the leader knows
-	higherFences     map[string]Fence      // highest fence that a target has reported, by job
-	newestResponseTo Millis                // send time of the request that the newest response answers; below 0: none
-	events           []Event
+	self                 Holder
+	jobs                 []string
+	driftBound           float64
+	capacity             float64
+	draining             bool
+	held                 map[string]*heldLease
+	assignments          map[string]Assignment // newest assignment seen, by job
+	released             []GrantID             // released leases, kept until a response no longer grants them
+	higherFences         map[string]Fence      // highest fence that a target has reported, by job
+	newestResponseSentAt Millis                // send time of the request that the newest response answers, or noTime
+	events               []Event
 }
 
 // NewClient returns a client for the named jobs. The capacity is relative, usually 1; driftBound is the upper bound on
 // how far the rate of a clock differs from 1.
 func NewClient(self Holder, jobs []string, capacity, driftBound float64) *Client {
 	return &Client{
-		self: self, jobs: jobs, capacity: capacity, driftBound: driftBound, newestResponseTo: unset,
+		self: self, jobs: jobs, capacity: capacity, driftBound: driftBound, newestResponseSentAt: noTime,
 		held: map[string]*heldLease{}, assignments: map[string]Assignment{}, higherFences: map[string]Fence{},
 	}
 }
@@ -79,14 +80,14 @@
 	return request
 }
 
-// HandleResponse renews, takes and drops leases as a response says. Redirects, errors, responses to another incarnation
-// and responses older than the newest one are ignored.
+// HandleResponse renews, adds and drops leases according to a response. It ignores redirects, errors, responses to
+// another incarnation and responses older than the newest one.
 func (c *Client) HandleResponse(now Millis, response KeepAliveResponse) {
-	if response.Holder != c.self || response.SentAt < c.newestResponseTo || response.SentAt > now ||
+	if response.Holder != c.self || response.SentAt < c.newestResponseSentAt || response.SentAt > now ||
 		response.RedirectTo != "" || response.Error != "" {
 		return
 	}
-	c.newestResponseTo = response.SentAt
+	c.newestResponseSentAt = response.SentAt
 	for _, a := range response.Assignments {
 		if a.Fence >= c.assignments[a.Job].Fence {
 			c.assignments[a.Job] = a
@@ -100,9 +101,9 @@
 	c.expire(now)
 }
 
-// renew extends a lease, or takes one that is new. The lease counts from when the request was sent, which is before the
-// leader received it. A response that was on its way when a target refused the fence brings nothing back: the target would
-// refuse all further operations too.
+// renew extends a lease or adds a new one. The lease counts from when the request was sent, which is before the leader
+// received it. A response that was in flight when a target refused the fence does not restore the lease: the target
+// would refuse all further operations too.
 func (c *Client) renew(now, sentAt Millis, grant Grant) {
 	if slices.Contains(c.released, grant.GrantID) {
 		return // the response was sent before the leader knew of the release
@@ -124,14 +125,14 @@
 	}
 }
 
-// localTTL is how long a lease lasts by this clock in the worst case: this clock slow and the leader's fast.
+// localTTL returns how long a lease lasts by this clock in the worst case: this clock is slow and the leader's is fast.
 func (c *Client) localTTL(ttl Millis) Millis { return ttl * (1 - c.driftBound) / (1 + c.driftBound) }
 
 func (c *Client) dropRevoked(grants []Grant) {
 	for _, job := range c.jobs {
 		held := c.held[job]
 		if held != nil && !slices.ContainsFunc(grants, func(g Grant) bool { return g.Job == job }) {
-			c.lose(job, held, reasonRevoked)
+			c.dropLease(job, held, reasonRevoked)
 		}
 	}
 }
@@ -140,8 +141,9 @@
 	return slices.ContainsFunc(grants, func(g Grant) bool { return g.GrantID == id })
 }
 
-// Begin reports whether an operation of the job may begin, and under which fence. It only saves operations that would be
-// refused: the check of the fence at the target is what excludes a late holder. Each Begin that succeeds needs an End.
+// Begin reports whether an operation of the job may begin, and under which fence. It only avoids operations that the
+// target would refuse; the fence check at the target is what excludes a late holder. Each Begin that succeeds needs an
+// End.
 func (c *Client) Begin(now Millis, job string) (Fence, bool) {
 	c.expire(now)
 	held := c.held[job]
@@ -152,7 +154,7 @@
 	return held.fence, true
 }
 
-// End ends an operation that Begin has begun.
+// End marks an operation that Begin has allowed as finished.
 func (c *Client) End(now Millis, job string, fence Fence) {
 	if held := c.held[job]; held != nil && held.fence == fence {
 		held.activeOperations--
@@ -160,8 +162,9 @@
 	c.expire(now)
 }
 
-// ObserveHigherFence drops a lease whose target has seen a later fence, or the same from another holder, and has the
-// leader pass that fence. A refused operation of an earlier grant says nothing where this client holds the later one.
+// ObserveHigherFence handles the refusal of an operation by its target, which has accepted a later fence, or the same
+// fence from another holder. It drops the lease and reports the fence to the leader, so that the next grant is above
+// it. A refused operation of an earlier grant is ignored if the accepted later fence is this client's own.
 func (c *Client) ObserveHigherFence(job string, refusal StaleFenceError) {
 	held := c.held[job]
 	if held != nil && held.fence == refusal.Highest && refusal.Fence < refusal.Highest {
@@ -169,11 +172,11 @@
 	}
 	c.higherFences[job] = max(c.higherFences[job], refusal.Highest)
 	if held != nil && held.fence <= refusal.Highest {
-		c.lose(job, held, reasonHigherFence)
+		c.dropLease(job, held, reasonHigherFence)
 	}
 }
 
-// Drain gives back every lease once its active operations have ended, and takes no more.
+// Drain releases every lease once its active operations have ended. No new operation begins afterwards.
 func (c *Client) Drain(now Millis) {
 	c.draining = true
 	c.expire(now)
@@ -182,7 +185,8 @@
 // Idle reports whether no lease is held and the leader knows of all releases.
 func (c *Client) Idle() bool { return len(c.held) == 0 && len(c.released) == 0 }
 
-// Held reports whether the job is held, and under which fence. It is for display: use Begin before an operation.
+// Held reports whether this client holds the job, and under which fence. It is for display: use Begin before an
+// operation.
 func (c *Client) Held(now Millis, job string) (Fence, bool) {
 	c.expire(now)
 	if held := c.held[job]; held != nil {
@@ -191,11 +195,12 @@
 	return 0, false
 }
 
-// LatestAssignment is the newest assignment of the job that this client has seen.
+// LatestAssignment returns the newest assignment of the job that this client has seen.
 func (c *Client) LatestAssignment(job string) Assignment { return c.assignments[job] }
 
-// ObserveAssignment decides whether to follow what the holder of a job publishes: not if a later grant was seen, nor the
-// same grant under another name. The caller must store an assignment durably before it acts on it.
+// ObserveAssignment decides whether to follow data that the holder of a job publishes. It returns false if a later
+// grant was seen, or the same grant with another holder name. The caller must store an assignment durably before it
+// acts on it.
 func (c *Client) ObserveAssignment(a Assignment) bool {
 	latest := c.assignments[a.Job]
 	if a.Fence < latest.Fence || a.Fence == latest.Fence && latest.HolderName != "" && a.HolderName != latest.HolderName {
@@ -212,22 +217,23 @@
 	return events
 }
 
-// expire drops leases that have run out, and gives back those that are reclaimed once no operation is active.
+// expire drops leases that have expired. It releases leases that the leader reclaims, and all leases while draining,
+// once they have no active operation.
 func (c *Client) expire(now Millis) {
 	for _, job := range c.jobs {
 		held := c.held[job]
 		switch {
 		case held == nil:
 		case now >= held.expiresAt:
-			c.lose(job, held, reasonExpired)
+			c.dropLease(job, held, reasonExpired)
 		case (held.reclaimed || c.draining) && held.activeOperations == 0:
 			c.released = append(c.released, GrantID{job, held.fence})
-			c.lose(job, held, reasonReleased)
+			c.dropLease(job, held, reasonReleased)
 		}
 	}
 }
 
-func (c *Client) lose(job string, held *heldLease, reason Reason) {
+func (c *Client) dropLease(job string, held *heldLease, reason Reason) {
 	delete(c.held, job)
 	c.emit(Event{Kind: EventLost, GrantID: GrantID{job, held.fence}, Reason: reason})
 }
--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -13,7 +13,8 @@
 
 var testHolder = Holder{Name: "n1", Incarnation: 7}
 
-// clientWithLease returns a client that was granted a job under fence 3 by a request sent at 0 and answered at 100.
+// clientWithLease returns a client that holds testJob under fence 3: it sent the request at 0 ms and received the grant
+// at 100 ms.
 func clientWithLease(t *testing.T, driftBound float64) *Client {
 	t.Helper()
 	c := NewClient(testHolder, []string{testJob}, 1, driftBound)
@@ -31,7 +32,7 @@
 
 func renewal() Grant { return Grant{GrantID: GrantID{testJob, 3}, TTL: testTTL} }
 
-func TestLeaseCountsFromWhenTheRequestWasSent(t *testing.T) {
+func TestLeaseIsCountedFromTheSendTimeOfTheRequest(t *testing.T) {
 	c := clientWithLease(t, 0)
 	_, held := c.Held(testTTL-1, testJob)
 	require.True(t, held)
@@ -69,7 +70,7 @@
 	c := clientWithLease(t, 0)
 	c.HandleResponse(1100, response(c.KeepAlive(1000), renewal()))
 	_, held := c.Held(testTTL, testJob)
-	require.True(t, held, "a valid response renews")
+	require.True(t, held, "a valid response renews the lease")
 }
 
 func TestResponseWithoutAGrantRevokesTheLease(t *testing.T) {
@@ -82,19 +83,19 @@
 
 func TestReclaimedLeaseIsReleasedOnceItsOperationsHaveEnded(t *testing.T) {
 	c := clientWithLease(t, 0)
-	fence, may := c.Begin(150, testJob)
-	require.True(t, may)
+	fence, begun := c.Begin(150, testJob)
+	require.True(t, begun)
 	reclaimed := renewal()
 	reclaimed.Reclaim = true
 	c.HandleResponse(300, response(c.KeepAlive(200), reclaimed))
-	_, may = c.Begin(310, testJob)
-	require.False(t, may, "no new operation begins")
-	require.Empty(t, c.KeepAlive(320).Released, "an operation is active")
+	_, begun = c.Begin(310, testJob)
+	require.False(t, begun, "a reclaimed lease allows no new operation")
+	require.Empty(t, c.KeepAlive(320).Released, "the lease is not released while an operation is active")
 	c.End(330, testJob, fence)
 	request := c.KeepAlive(340)
 	require.Equal(t, []GrantID{{testJob, 3}}, request.Released)
 
-	c.HandleResponse(350, response(request, reclaimed)) // the leader has not applied the release yet
+	c.HandleResponse(350, response(request, reclaimed)) // the leader has not yet applied the release
 	_, held := c.Held(350, testJob)
 	require.False(t, held)
 	require.False(t, c.Idle())
@@ -102,14 +103,14 @@
 	require.True(t, c.Idle())
 }
 
-func TestDrainReleasesAllLeasesAndTakesNoMore(t *testing.T) {
+func TestDrainReleasesAllLeasesAndAllowsNoOperation(t *testing.T) {
 	c := clientWithLease(t, 0)
 	c.Drain(200)
 	request := c.KeepAlive(210)
 	require.True(t, request.Draining)
 	require.Equal(t, []GrantID{{testJob, 3}}, request.Released)
-	_, may := c.Begin(220, testJob)
-	require.False(t, may)
+	_, begun := c.Begin(220, testJob)
+	require.False(t, begun)
 }
 
 func TestHigherFenceAtTheTargetDropsTheLeaseAndIsReported(t *testing.T) {
@@ -120,26 +121,27 @@
 	require.Equal(t, []GrantID{{testJob, 9}}, c.KeepAlive(200).HigherFences)
 }
 
-// A response that was on its way when a target refused the fence must not bring the refused lease back.
-func TestRefusedLeaseIsNotTakenBack(t *testing.T) {
+// A response that was in flight when a target refused the fence must not restore the refused lease.
+func TestResponseInFlightDoesNotRestoreRefusedLease(t *testing.T) {
 	for name, highest := range map[string]Fence{"a higher fence at the target": 9, "the same fence of another holder": 3} {
 		t.Run(name, func(t *testing.T) {
 			c := clientWithLease(t, 0)
-			onItsWay := response(c.KeepAlive(150), renewal())
+			inFlight := response(c.KeepAlive(150), renewal())
 			c.ObserveHigherFence(testJob, StaleFenceError{Job: testJob, Fence: 3, Highest: highest})
-			c.HandleResponse(200, onItsWay)
-			_, may := c.Begin(210, testJob)
-			require.False(t, may)
+			c.HandleResponse(200, inFlight)
+			_, begun := c.Begin(210, testJob)
+			require.False(t, begun)
 			c.HandleResponse(300, response(c.KeepAlive(250), Grant{GrantID: GrantID{testJob, highest + 1}, TTL: testTTL}))
-			fence, may := c.Begin(310, testJob)
-			require.True(t, may, "the next grant is accepted")
+			fence, begun := c.Begin(310, testJob)
+			require.True(t, begun, "the next grant is accepted")
 			require.Equal(t, highest+1, fence)
 		})
 	}
 }
 
-// A late operation of an earlier grant is refused by the client's own later one, which must not be dropped for it.
-func TestOwnLaterGrantAtTheTargetIsKept(t *testing.T) {
+// A target that has accepted a client's later grant refuses a late operation of the same client's earlier grant. The
+// client must keep the later grant.
+func TestRefusalOfAnEarlierGrantKeepsTheLaterOne(t *testing.T) {
 	c := clientWithLease(t, 0)
 	c.ObserveHigherFence(testJob, StaleFenceError{Job: testJob, Fence: 2, Highest: 3})
 	_, held := c.Held(200, testJob)
--- a/internal/lease/jobs.go
+++ b/internal/lease/jobs.go
@@ -4,9 +4,9 @@
 type Job struct {
 	Name        string `json:"Name"`
 	Description string `json:"Tells"`
-	FenceCheck  string `json:"Fenced"` // where the fence is stored and checked
-	// SafeTwice says why two holders at a time do no harm; empty: they would. It is required for a job whose target
-	// cannot check the fence in one transaction with the operation.
+	FenceCheck  string `json:"Fenced"` // where the target stores and checks the fence
+	// SafeTwice says why two holders at the same time do no harm; empty: they would do harm. It is required for a job
+	// whose target cannot check the fence in one transaction with the operation.
 	SafeTwice string `json:"Harmless"`
 }
 
@@ -17,9 +17,9 @@
 	JobCollectSpool = "collect-spool"
 )
 
-// Jobs returns all jobs of this release. Their descriptions are output of `aniseloftctl fleet jobs`, text and JSON, and stay
-// word for word. What the one of JobCollectSpool says of two holders: each spool directory has a lock, only the process
-// that holds it collects the directory, and a second collection finds nothing left to delete.
+// Jobs returns all jobs of this release. `aniseloftctl fleet jobs` prints their texts, also as JSON, so they must not
+// change. The text on two holders of JobCollectSpool means: each spool directory has a lock, only the process that
+// holds the lock collects the directory, and a second collection finds nothing left to delete.
 func Jobs() []Job {
 	return []Job{
 		{
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,12 +1,12 @@
-// Package lease defines leases on jobs that one coordinator does for the whole fleet, and the client side of them.
+// Package lease defines leases on jobs that one coordinator does for the whole fleet, and the client that holds them.
 //
-// A job has one holder at a time. Each grant carries a fencing token, [Fence], that only grows; the target of the job's
-// operations refuses a token below the highest that it has seen ([FenceRecord]). A [Client] keeps its leases alive with
-// the leader that [LeaderResolver] names and reports which operations may begin.
+// A job has at most one holder at a time. Each grant carries a fencing token, [Fence], that only grows; the target of
+// the job's operations refuses a token below the highest that it has accepted ([FenceRecord]). A [Client] renews its
+// leases with the leader that [LeaderResolver] selects and decides which operations may begin.
 //
 // The package is deterministic and does no I/O: callers pass in messages and times. Grants come from the consensus
-// group (internal/consensus) or from rows of a shared record (internal/transport/leasetable). docs/leases.md has the
-// argument for safety.
+// group (internal/consensus) or from rows of a shared record (internal/transport/leasetable). docs/leases.md argues why
+// this is safe.
 package lease
 
 import "fmt"
@@ -15,7 +15,8 @@
 // compared.
 type Millis = float64
 
-// Fence is the fencing token of a grant. Of two grants of one job the later has the higher token; 0 is no grant.
+// Fence is the fencing token of a grant. Each grant of a job has a higher token than all earlier ones; 0 means no
+// grant.
 type Fence uint64
 
 // Holder identifies one incarnation of a client: a process that restarts is another holder.
@@ -24,7 +25,7 @@
 	Incarnation uint64 `json:"boot"` // drawn when the process starts
 }
 
-// String is the holder as logs and targets name it.
+// String returns the name and incarnation, as logs and targets identify the holder.
 func (h Holder) String() string { return fmt.Sprintf("%s/%x", h.Name, h.Incarnation) }
 
 // GrantID identifies one grant of a job.
@@ -33,30 +34,30 @@
 	Fence Fence  `json:"fence"`
 }
 
-// Grant is a lease as a keep-alive response renews it.
+// Grant is one lease that a keep-alive response grants or renews.
 type Grant struct {
 	GrantID
-	TTL     Millis `json:"length"`           // from when the request was sent, by the clock of who grants
-	Reclaim bool   `json:"return,omitempty"` // the holder is asked to give the job back
+	TTL     Millis `json:"length"`           // counted from when the request was sent; by the granting side's clock
+	Reclaim bool   `json:"return,omitempty"` // asks the holder to release the job
 }
 
-// Assignment names the holder of a job to everybody else.
+// Assignment tells all clients who holds a job.
 type Assignment struct {
 	GrantID
-	HolderName string `json:"name,omitempty"` // without its incarnation; empty: the job is free
+	HolderName string `json:"name,omitempty"` // client name without the incarnation; empty: the job is free
 }
 
 // Timing holds the intervals of leases and of the consensus group.
 type Timing struct {
-	Tick           Millis  // interval of the replicas' logical clock
-	HeartbeatTicks int     // interval of the leader's heartbeats
-	ElectionTicks  int     // minimum election timeout; the timeout is drawn from this to twice this
-	LeaseTTL       Millis  // length of a lease
+	Tick           Millis  // interval of the replicas' logical clock, in ms
+	HeartbeatTicks int     // interval of the leader's heartbeats, in ticks
+	ElectionTicks  int     // minimum election timeout; each timeout is drawn between this and twice this
+	LeaseTTL       Millis  // lease duration, in ms
 	DriftBound     float64 // upper bound on how far the rate of a clock differs from 1
 }
 
-// DefaultTiming fits replicas on one site. An election takes less than a lease, so that holders keep their leases when
-// the leader fails.
+// DefaultTiming returns the timing for replicas on one site. An election takes less time than a lease, so that holders
+// keep their leases when the leader fails.
 func DefaultTiming() Timing {
 	return Timing{Tick: 50, HeartbeatTicks: 2, ElectionTicks: 10, LeaseTTL: 2000, DriftBound: 0.01}
 }
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -1,34 +1,35 @@
 package lease
 
-// KeepAliveRequest is what a client sends to the leader. It asks to renew all leases of the client.
+// KeepAliveRequest asks the leader to renew all leases of the client that sends it.
 type KeepAliveRequest struct {
 	Holder       Holder    `json:"holder"`
-	SentAt       Millis    `json:"stamp"` // by the client's clock; the response returns it
+	SentAt       Millis    `json:"stamp"` // reading of the client's clock; the response returns it unchanged
 	Capacity     float64   `json:"room"`  // relative capacity for jobs, above 0; usually 1
 	Draining     bool      `json:"leaving,omitempty"`
-	Jobs         []string  `json:"jobs"`               // that the client can do: an older release may not know all
-	Released     []GrantID `json:"released,omitempty"` // given back; no operation of them is active
-	HigherFences []GrantID `json:"refused,omitempty"`  // fences that targets have reported as the highest seen
+	Jobs         []string  `json:"jobs"`               // jobs that the client can do; an older release may not know all
+	Released     []GrantID `json:"released,omitempty"` // leases that the client has released; none has an active operation
+	HigherFences []GrantID `json:"refused,omitempty"`  // highest accepted fences that targets have reported
 }
 
-// KeepAliveResponse is the leader's answer to a keep-alive request. A job of the client that Grants leaves out is lost.
+// KeepAliveResponse is the answer to a keep-alive request. In a leader's response, the client has lost every job that
+// Grants does not contain.
 type KeepAliveResponse struct {
 	Holder      Holder       `json:"holder"`
 	SentAt      Millis       `json:"stamp"`
-	RedirectTo  string       `json:"leader,omitempty"` // replica to ask instead; empty: this response is the leader's
+	RedirectTo  string       `json:"leader,omitempty"` // replica to ask instead; empty: the response comes from the leader
 	Grants      []Grant      `json:"grants,omitempty"`
 	Assignments []Assignment `json:"owners,omitempty"`
 	Error       string       `json:"error,omitempty"`
 }
 
-// Announcement is how a replica introduces itself to the others.
+// Announcement tells the other replicas the name, the ID and the group of the replica that sends it.
 type Announcement struct {
 	Name      string `json:"name"`
 	ReplicaID uint64 `json:"number"`  // drawn when the replica's disk was first used
 	GroupID   uint64 `json:"council"` // consensus group of the replica; 0: none
 }
 
-// Operation is what an AdminRequest asks for.
+// Operation is the operation that an AdminRequest asks for.
 type Operation string
 
 // Operations of an AdminRequest.
@@ -56,17 +57,17 @@
 	History    []HistoryEntry `json:"history,omitempty"`
 }
 
-// HistoryEntry is one change of a lease that the consensus group has agreed on.
+// HistoryEntry describes one committed change of a lease.
 type HistoryEntry struct {
-	Index  uint64 `json:"index"` // in the replicated log
+	Index  uint64 `json:"index"` // index of the command in the replicated log
 	Job    string `json:"job"`
 	Fence  Fence  `json:"fence"`
-	Holder string `json:"who,omitempty"` // with its incarnation; of a preference: the client's name
+	Holder string `json:"who,omitempty"` // name and incarnation; for a preference, the name of the preferred client
 	Event  string `json:"what"`          // kind of the replicated command
 	Reason Reason `json:"why,omitempty"`
 }
 
-// Status is the consensus group as one replica sees it.
+// Status describes the consensus group as one replica sees it.
 type Status struct {
 	Replica    string         `json:"seat"`
 	Leader     string         `json:"leader"` // empty: unknown
@@ -75,24 +76,24 @@
 	Generation uint64         `json:"generation"`
 	Replicas   []string       `json:"seats"`
 	Jobs       []JobStatus    `json:"jobs"`
-	Clients    []ClientStatus `json:"members,omitempty"` // from a leader only
+	Clients    []ClientStatus `json:"members,omitempty"` // only a leader sets it
 }
 
-// JobStatus is the lease on one job.
+// JobStatus describes the lease on one job.
 type JobStatus struct {
 	Job       string `json:"job"`
 	Fence     Fence  `json:"fence"`
-	Holder    string `json:"owner"` // with its incarnation; empty: the job is free
-	Preferred string `json:"wanted,omitempty"`
-	// AgeMS is the time in milliseconds since the lease was last renewed, from a leader only.
+	Holder    string `json:"owner"`            // name and incarnation; empty: the job is free
+	Preferred string `json:"wanted,omitempty"` // client that an operator prefers as holder; empty: none
+	// AgeMS is the time in milliseconds since the lease was last renewed; only a leader sets it.
 	AgeMS float64 `json:"age_ms"`
 }
 
-// ClientStatus is one lease client of the leader.
+// ClientStatus describes one lease client that the leader knows.
 type ClientStatus struct {
 	Name     string  `json:"name"`
-	AgeMS    float64 `json:"age_ms"` // milliseconds since its newest keep-alive request
+	AgeMS    float64 `json:"age_ms"` // milliseconds since the client's newest keep-alive request
 	Capacity float64 `json:"room"`
 	Draining bool    `json:"leaving,omitempty"`
-	HeldDown bool    `json:"held_down,omitempty"` // gets no new lease, as it let some expire
+	HeldDown bool    `json:"held_down,omitempty"` // gets no new lease for a while because it has let leases expire
 }
--- a/internal/lease/resolver.go
+++ b/internal/lease/resolver.go
@@ -2,53 +2,54 @@
 
 import "slices"
 
-// KeepAlivesPerLease is how many keep-alive requests a client sends per lease, so that a lease survives lost requests.
+// KeepAlivesPerLease is the number of keep-alive requests that a client sends per lease duration, so that a lease
+// survives lost requests.
 const KeepAlivesPerLease = 10
 
-// unset stands for no time: times of a monotonic clock are not below 0.
-const unset Millis = -1
+// noTime marks a time that is not set; readings of the monotonic clock are never below 0.
+const noTime Millis = -1
 
 // LeaderResolver decides which replica a client sends its next keep-alive request to, and when. It is not safe for
 // concurrent use.
 type LeaderResolver struct {
-	replicas  []string
-	current   int // index of the replica that is believed to lead
-	interval  Millis
-	nextAt    Millis
-	waitingAt Millis // when the oldest unanswered request was sent, or unset
-	redirects int    // consecutive responses that named another leader
+	replicas           []string
+	current            int    // index of the replica that is assumed to lead
+	interval           Millis // between two keep-alive requests
+	nextAt             Millis // when the next request is due
+	oldestUnansweredAt Millis // when the oldest unanswered request was sent, or noTime
+	redirects          int    // consecutive responses that named another leader
 }
 
-// NewLeaderResolver returns a resolver that begins with replicas[first%len(replicas)]. Clients should differ in first, so
-// that they do not all begin with one replica. There must be at least one replica.
+// NewLeaderResolver returns a resolver that begins with replicas[first%len(replicas)]. Clients should differ in first,
+// so that they do not all begin with the same replica. There must be at least one replica.
 func NewLeaderResolver(replicas []string, first int, leaseTTL Millis) *LeaderResolver {
-	return &LeaderResolver{replicas: replicas, current: first % len(replicas), interval: leaseTTL / KeepAlivesPerLease, waitingAt: unset}
+	return &LeaderResolver{replicas: replicas, current: first % len(replicas), interval: leaseTTL / KeepAlivesPerLease, oldestUnansweredAt: noTime}
 }
 
-// Due reports whether a keep-alive request is to be sent now, and to which replica. A replica that has not responded
-// for two intervals is given up for the next one.
+// Due reports whether a keep-alive request is to be sent now, and to which replica. After more than two intervals
+// without a response it moves on to the next replica.
 func (r *LeaderResolver) Due(now Millis) (replica string, due bool) {
 	if now < r.nextAt {
 		return "", false
 	}
-	if r.waitingAt >= 0 && now-r.waitingAt > 2*r.interval {
+	if r.oldestUnansweredAt >= 0 && now-r.oldestUnansweredAt > 2*r.interval {
 		r.tryNextReplica()
-		r.waitingAt = unset
+		r.oldestUnansweredAt = noTime
 	}
 	r.nextAt = now + r.interval
-	if r.waitingAt < 0 {
-		r.waitingAt = now
+	if r.oldestUnansweredAt < 0 {
+		r.oldestUnansweredAt = now
 	}
 	return r.replicas[r.current], true
 }
 
-// Current is the replica that the next request goes to.
+// Current returns the replica that the next request goes to.
 func (r *LeaderResolver) Current() string { return r.replicas[r.current] }
 
-// HandleResponse follows a redirect to another leader at once, unless the replicas keep redirecting to each other. A
-// redirect that cannot be followed moves on to the next replica.
+// HandleResponse follows a redirect to another leader at once, unless the replicas keep redirecting to each other. On a
+// redirect that it does not follow it moves on to the next replica.
 func (r *LeaderResolver) HandleResponse(now Millis, response KeepAliveResponse) {
-	r.waitingAt = unset
+	r.oldestUnansweredAt = noTime
 	if response.RedirectTo == "" {
 		r.redirects = 0
 		return
--- a/internal/lease/resolver_test.go
+++ b/internal/lease/resolver_test.go
@@ -28,7 +28,7 @@
 	requireDue(t, r, testInterval, "n1")
 }
 
-func TestResolverMovesOnFromASilentReplica(t *testing.T) {
+func TestResolverMovesOnFromAnUnresponsiveReplica(t *testing.T) {
 	r := newTestResolver()
 	requireDue(t, r, 0, "n1")
 	requireDue(t, r, testInterval, "n1")
@@ -49,13 +49,13 @@
 	r.HandleResponse(5, KeepAliveResponse{RedirectTo: "n9"})
 	require.Equal(t, "n2", r.Current())
 	_, due := r.Due(6)
-	require.False(t, due, "not before the interval is over")
+	require.False(t, due, "no request is due before the interval is over")
 }
 
 func TestResolverLeavesARedirectLoop(t *testing.T) {
 	r := newTestResolver()
 	now := 0.0
-	for n := range 3 { // as many redirects as there are replicas are followed at once
+	for n := range 3 { // the first len(replicas) redirects are followed at once
 		requireDue(t, r, now, []string{"n1", "n0", "n1"}[n])
 		r.HandleResponse(now, KeepAliveResponse{RedirectTo: []string{"n0", "n1", "n0"}[n]})
 	}
--- a/internal/lease/wire_test.go
+++ b/internal/lease/wire_test.go
@@ -10,27 +10,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The files under testdata were written by the release before the first rename of these types, with
+// The files under testdata hold the encoding of the release before these types were first renamed. They were
+// written with
 //
 //	go test ./internal/lease -run TestMessagesKeepTheirJSON -update
-var update = flag.Bool("update", false, "write the fixtures anew")
+var update = flag.Bool("update", false, "overwrite the fixtures with the current encoding")
 
-// Every field of every message is set, so that a tag that changes or is lost shows.
+// Every field of every message is set, so that the test detects a changed or lost tag.
 var (
-	wireHolder = Holder{Name: "n1", Incarnation: 0x7f3a}
-	wireBeat   = KeepAliveRequest{Holder: wireHolder, SentAt: 1234.5, Capacity: 2.5, Draining: true, Jobs: []string{JobPruneRecord, JobCollectSpool},
+	wireHolder           = Holder{Name: "n1", Incarnation: 0x7f3a}
+	wireKeepAliveRequest = KeepAliveRequest{Holder: wireHolder, SentAt: 1234.5, Capacity: 2.5, Draining: true, Jobs: []string{JobPruneRecord, JobCollectSpool},
 		Released: []GrantID{{Job: JobPruneRecord, Fence: 7}}, HigherFences: []GrantID{{Job: JobCollectSpool, Fence: 9}}}
-	wireReply = KeepAliveResponse{Holder: wireHolder, SentAt: 1234.5, RedirectTo: "n2",
+	wireKeepAliveResponse = KeepAliveResponse{Holder: wireHolder, SentAt: 1234.5, RedirectTo: "n2",
 		Grants:      []Grant{{GrantID: GrantID{Job: JobPruneRecord, Fence: 8}, TTL: 2000, Reclaim: true}},
 		Assignments: []Assignment{{GrantID: GrantID{Job: JobReadJournal, Fence: 4}, HolderName: "n3"}}, Error: "the name n1 is in use"}
-	wireHello  = Announcement{Name: "n1", ReplicaID: 11, GroupID: 12}
-	wireEntry  = HistoryEntry{Index: 21, Job: JobPruneRecord, Fence: 8, Holder: "n1/7f3a", Event: "assign", Reason: "by hand"}
-	wireCall   = AdminRequest{ID: 3, Operation: AdminMove, Job: JobPruneRecord, Target: "n2"}
-	wireStatus = Status{Replica: "n1", Leader: "n2", Term: 5, GroupID: "000000000000000c", Generation: 2, Replicas: []string{"n1", "n2", "n3"},
+	wireAnnouncement = Announcement{Name: "n1", ReplicaID: 11, GroupID: 12}
+	wireHistoryEntry = HistoryEntry{Index: 21, Job: JobPruneRecord, Fence: 8, Holder: "n1/7f3a", Event: "assign", Reason: "by hand"}
+	wireAdminRequest = AdminRequest{ID: 3, Operation: AdminMove, Job: JobPruneRecord, Target: "n2"}
+	wireStatus       = Status{Replica: "n1", Leader: "n2", Term: 5, GroupID: "000000000000000c", Generation: 2, Replicas: []string{"n1", "n2", "n3"},
 		Jobs:    []JobStatus{{Job: JobPruneRecord, Fence: 8, Holder: "n1/7f3a", Preferred: "n2", AgeMS: 12.5}},
 		Clients: []ClientStatus{{Name: "n1", AgeMS: 12.5, Capacity: 2.5, Draining: true, HeldDown: true}}}
-	wireAnswer = AdminResponse{ID: 3, RedirectTo: "n2", Error: "moved", Status: &wireStatus, History: []HistoryEntry{wireEntry}}
-	wireSeen   = FenceRecord{Fence: 8, Holder: "n1/7f3a"}
+	wireAdminResponse = AdminResponse{ID: 3, RedirectTo: "n2", Error: "moved", Status: &wireStatus, History: []HistoryEntry{wireHistoryEntry}}
+	wireFenceRecord   = FenceRecord{Fence: 8, Holder: "n1/7f3a"}
 )
 
 func TestMessagesKeepTheirJSON(t *testing.T) {
@@ -38,13 +39,13 @@
 		value any
 		read  func([]byte) (any, error)
 	}{
-		"keepalive-request":  {wireBeat, readAs[KeepAliveRequest]},
-		"keepalive-response": {wireReply, readAs[KeepAliveResponse]},
-		"announcement":       {wireHello, readAs[Announcement]},
-		"history-entry":      {wireEntry, readAs[HistoryEntry]},
-		"admin-request":      {wireCall, readAs[AdminRequest]},
-		"admin-response":     {wireAnswer, readAs[AdminResponse]},
-		"fence-record":       {wireSeen, readAs[FenceRecord]},
+		"keepalive-request":  {wireKeepAliveRequest, readAs[KeepAliveRequest]},
+		"keepalive-response": {wireKeepAliveResponse, readAs[KeepAliveResponse]},
+		"announcement":       {wireAnnouncement, readAs[Announcement]},
+		"history-entry":      {wireHistoryEntry, readAs[HistoryEntry]},
+		"admin-request":      {wireAdminRequest, readAs[AdminRequest]},
+		"admin-response":     {wireAdminResponse, readAs[AdminResponse]},
+		"fence-record":       {wireFenceRecord, readAs[FenceRecord]},
 		"job-registry":       {Jobs(), readAs[[]Job]},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,10 +55,10 @@
 			if *update {
 				require.NoError(t, os.WriteFile(path, append(written, '\n'), 0o644))
 			}
-			kept, err := os.ReadFile(path)
+			recorded, err := os.ReadFile(path)
 			require.NoError(t, err)
-			require.Equal(t, string(kept), string(written)+"\n")
-			read, err := c.read(kept)
+			require.Equal(t, string(recorded), string(written)+"\n")
+			read, err := c.read(recorded)
 			require.NoError(t, err)
 			require.Equal(t, c.value, read)
 		})
