--- a/internal/consensus/admin.go
+++ b/internal/consensus/admin.go
@@ -13,12 +13,13 @@
 
 // AdminResult is the outcome of an operator's request.
 type AdminResult struct {
-	// Response is without its Error: whoever sends the response puts Err in the operators' words.
+	// Response does not have Error set. The sender of the response fills it in from Err, worded for operators.
 	Response lease.AdminResponse
-	Err      error // nil: the request was carried out, or Response redirects it
+	Err      error // nil: the request was carried out or Response redirects it
 }
 
-// HandleAdmin handles an operator's request. The response is in Ready, at once or, for a move, once it is committed.
+// HandleAdmin handles an operator's request. Ready returns the response: that of a successful move after the move is
+// committed, any other at once.
 func (r *Replica) HandleAdmin(now lease.Millis, request lease.AdminRequest) {
 	r.now = now
 	switch request.Operation {
@@ -31,10 +32,10 @@
 	default:
 		r.rejectAdmin(request, UnknownOperationError{Operation: request.Operation})
 	}
-	r.settle()
+	r.advance()
 }
 
-// handleAdminChange handles the requests that only a leader can carry out.
+// handleAdminChange handles requests that only a leader can carry out.
 func (r *Replica) handleAdminChange(request lease.AdminRequest) {
 	leader := r.leaderName()
 	switch {
@@ -45,12 +46,12 @@
 	case request.Operation == lease.AdminStepDown:
 		r.handleStepDown(request)
 	default:
-		r.move(request)
+		r.handleMove(request)
 	}
 }
 
-// move proposes a preferred holder for a job. completeMoves responds once the command is applied.
-func (r *Replica) move(request lease.AdminRequest) {
+// handleMove proposes a preferred holder for a job. completeMoves responds once the command is applied.
+func (r *Replica) handleMove(request lease.AdminRequest) {
 	switch {
 	case !slices.Contains(r.config.Jobs, request.Job):
 		r.rejectAdmin(request, UnknownJobError{Job: request.Job, Known: slices.Clone(r.config.Jobs)})
@@ -64,7 +65,7 @@
 	}
 }
 
-// completeMoves responds to the moves that an applied command has carried out.
+// completeMoves responds to the move requests that an applied command completes.
 func (r *Replica) completeMoves(c command) {
 	for _, id := range slices.Sorted(maps.Keys(r.leader.adminRequests)) {
 		request := r.leader.adminRequests[id]
@@ -83,7 +84,8 @@
 	r.respondAdmin(lease.AdminResponse{ID: request.ID})
 }
 
-// stepDown transfers leadership to the active voter whose log is most complete; of several, to the one with the lowest ID.
+// stepDown transfers leadership to the active voter whose log is most complete, and among equals to the one with the
+// lowest ID.
 func (r *Replica) stepDown() error {
 	var successor, highestMatch uint64
 	progress := r.node.Status().Progress
@@ -109,7 +111,8 @@
 	r.ready.AdminResults = append(r.ready.AdminResults, AdminResult{Response: lease.AdminResponse{ID: request.ID}, Err: err})
 }
 
-// Status is the group as this replica sees it. Only a leader knows the clients and the ages of leases.
+// Status returns the state of the group as this replica sees it. Only a leader knows the clients and the ages of
+// leases.
 func (r *Replica) Status() *lease.Status {
 	status := &lease.Status{
 		Replica:    r.config.Name,
--- a/internal/consensus/admin_test.go
+++ b/internal/consensus/admin_test.go
@@ -10,18 +10,18 @@
 
 func TestAdminRequestsAreRejectedWithTypedErrors(t *testing.T) {
 	g := newTestGroup(t, 1)
-	reject := func(request lease.AdminRequest) error {
-		g.admin = nil
+	requestError := func(request lease.AdminRequest) error {
+		g.adminResults = nil
 		g.call(g.names[0], func(r *Replica) { r.HandleAdmin(g.now, request) })
-		require.Len(t, g.admin, 1)
-		require.Equal(t, lease.AdminResponse{ID: request.ID}, g.admin[0].Response)
-		return g.admin[0].Err
+		require.Len(t, g.adminResults, 1)
+		require.Equal(t, lease.AdminResponse{ID: request.ID}, g.adminResults[0].Response)
+		return g.adminResults[0].Err
 	}
-	require.ErrorIs(t, reject(lease.AdminRequest{ID: 1, Operation: lease.AdminStepDown}), ErrNoLeader)
+	require.ErrorIs(t, requestError(lease.AdminRequest{ID: 1, Operation: lease.AdminStepDown}), ErrNoLeader)
 	g.runUntilLeader()
-	require.ErrorIs(t, reject(lease.AdminRequest{ID: 2, Operation: lease.AdminStepDown}), ErrNoSuccessor)
-	require.Equal(t, UnknownOperationError{Operation: "dance"}, reject(lease.AdminRequest{ID: 3, Operation: "dance"}))
+	require.ErrorIs(t, requestError(lease.AdminRequest{ID: 2, Operation: lease.AdminStepDown}), ErrNoSuccessor)
+	require.Equal(t, UnknownOperationError{Operation: "dance"}, requestError(lease.AdminRequest{ID: 3, Operation: "dance"}))
 	require.Equal(t, UnknownJobError{Job: "no-such-job", Known: []string{testJob}},
-		reject(lease.AdminRequest{ID: 4, Operation: lease.AdminMove, Job: "no-such-job"}))
-	require.Equal(t, UnknownClientError{Client: "n9"}, reject(lease.AdminRequest{ID: 5, Operation: lease.AdminMove, Job: testJob, Target: "n9"}))
+		requestError(lease.AdminRequest{ID: 4, Operation: lease.AdminMove, Job: "no-such-job"}))
+	require.Equal(t, UnknownClientError{Client: "n9"}, requestError(lease.AdminRequest{ID: 5, Operation: lease.AdminMove, Job: testJob, Target: "n9"}))
 }
--- a/internal/consensus/adminerrors.go
+++ b/internal/consensus/adminerrors.go
@@ -7,13 +7,13 @@
 	"aniseloft/internal/lease"
 )
 
-// Errors of an AdminResult, beside UnknownOperationError, UnknownJobError and UnknownClientError.
+// Errors of an AdminResult, besides UnknownOperationError, UnknownJobError and UnknownClientError.
 var (
-	// ErrLeadershipLost says that another replica has become leader, so that nothing was proposed.
+	// ErrLeadershipLost means that this replica lost leadership before it could confirm that the request was carried out.
 	ErrLeadershipLost = errors.New("consensus: leadership was lost")
-	// ErrNoLeader says that no leader is known: no quorum is connected.
+	// ErrNoLeader means that this replica knows no leader, for example because no quorum is connected.
 	ErrNoLeader = errors.New("consensus: no leader")
-	// ErrNoSuccessor says that no other voter is active, so that leadership cannot be transferred.
+	// ErrNoSuccessor means that leadership cannot be transferred because no other voter is active.
 	ErrNoSuccessor = errors.New("consensus: no other active voter")
 )
 
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -15,19 +15,19 @@
 	receivedAt lease.Millis
 }
 
-// unknownGroupID is announced by a replica whose log is not empty but which has not learnt its group's ID yet.
+// unknownGroupID is announced by a replica that has a log but does not yet know the ID of its group.
 const unknownGroupID = 1
 
-// Announcement is how this replica introduces itself to the others.
+// Announcement returns the announcement that this replica sends to the others.
 func (r *Replica) Announcement() lease.Announcement {
 	a := lease.Announcement{Name: r.config.Name, ReplicaID: r.config.ReplicaID, GroupID: r.groupID()}
-	if a.GroupID == 0 && !r.isBlank() {
+	if a.GroupID == 0 && !r.hasEmptyLog() {
 		a.GroupID = unknownGroupID
 	}
 	return a
 }
 
-// HandleAnnouncement handles the announcement of another replica. Names outside the configuration are ignored.
+// HandleAnnouncement handles the announcement of another replica. It ignores replicas that are not configured.
 func (r *Replica) HandleAnnouncement(now lease.Millis, a lease.Announcement) {
 	r.now = now
 	if a.Name == r.config.Name || !slices.Contains(r.config.Replicas, a.Name) {
@@ -37,7 +37,7 @@
 	r.bootstrap()
 }
 
-// scheduleAnnouncement has the replica announce itself once per election timeout.
+// scheduleAnnouncement makes an announcement due once per minimum election timeout.
 func (r *Replica) scheduleAnnouncement() {
 	if r.now < r.nextAnnouncement {
 		return
@@ -46,27 +46,27 @@
 	r.ready.Announce = true
 }
 
-// freshAnnouncement returns a replica's announcement if it is no older than a lease.
+// freshAnnouncement returns a replica's newest announcement, and whether it is younger than a lease duration.
 func (r *Replica) freshAnnouncement(name string) (receivedAnnouncement, bool) {
 	a, known := r.announcements[name]
 	return a, known && r.now-a.receivedAt < r.config.Timing.LeaseTTL
 }
 
-// groupID is the group that this replica belongs to: from its state machine, or from the group that has invited it; 0:
-// none.
-func (r *Replica) groupID() uint64 { return cmp.Or(r.state.GroupID, r.invitedBy) }
+// groupID returns the ID of the group that this replica belongs to, or 0. It comes from the state machine or else from
+// the raft messages that this replica has accepted.
+func (r *Replica) groupID() uint64 { return cmp.Or(r.state.GroupID, r.acceptedGroupID) }
 
-// isBlank reports whether the disk has never been part of a group.
-func (r *Replica) isBlank() bool {
+// hasEmptyLog reports whether the log has no entry and no snapshot, so that this replica was never part of a group.
+func (r *Replica) hasEmptyLog() bool {
 	last, _ := r.storage.LastIndex()
 	return last == 0
 }
 
-// bootstrap creates a group of one, which then grows by one replica at a time. Only the first replica of the
-// configuration may do so, and only while every other replica announces that it is in no group: a first replica that
-// lost its disk joins the existing group and creates no second one.
+// bootstrap creates a group with one member, to which the other replicas are then added one at a time. Only the first
+// replica of the configuration does so, and only while every other replica announces that it is in no group. If the
+// first replica has lost its disk, it therefore joins the existing group and does not create a second one.
 func (r *Replica) bootstrap() {
-	if !r.isBlank() || r.config.Replicas[0] != r.config.Name || !r.allOthersUngrouped() {
+	if !r.hasEmptyLog() || r.config.Replicas[0] != r.config.Name || !r.allOthersUngrouped() {
 		return
 	}
 	m := newStateMachine()
@@ -81,7 +81,7 @@
 	r.ready.Persist = &PersistentState{HardState: hardState, Snapshot: snapshot}
 	r.emit(Event{Kind: EventBootstrapped, Replica: r.config.Name})
 	_ = r.node.Campaign()
-	r.settle()
+	r.advance()
 }
 
 func (r *Replica) allOthersUngrouped() bool {
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -2,7 +2,7 @@
 
 import "aniseloft/internal/lease"
 
-// EventKind names an event; it is the message of the event's log line.
+// EventKind is the kind of an event and the message of its log line.
 type EventKind string
 
 // Events of a replica.
@@ -18,7 +18,7 @@
 	EventPreferenceSet  EventKind = "consensus preferred holder set"
 )
 
-// commandEvents are the events that the leader reports when a command has been applied.
+// commandEvents maps the kind of an applied command to the event that the leader reports.
 var commandEvents = map[commandKind]EventKind{
 	commandGrant:      EventLeaseGranted,
 	commandRelease:    EventLeaseReleased,
@@ -26,15 +26,15 @@
 	commandPrefer:     EventPreferenceSet,
 }
 
-// Event is something worth a log line.
+// Event is a change of the group that the caller logs.
 type Event struct {
 	Kind    EventKind
-	Job     string      // of a lease event
-	Fence   lease.Fence // of a lease event
-	Holder  string      // of a lease event, with its incarnation; empty: the job is free
-	Replica string      // of a replica event
-	Term    uint64      // of EventLeaderElected
-	Reason  string      // of a command or of a disk that regressed; empty: none
+	Job     string      // set for lease events
+	Fence   lease.Fence // set for lease events
+	Holder  string      // set for lease events, name and incarnation; empty: the job is free
+	Replica string      // set for events that concern a replica
+	Term    uint64      // set for EventLeaderElected
+	Reason  string      // reason of the command, or details of a regressed disk; empty: none
 }
 
 func (r *Replica) emit(e Event) { r.ready.Events = append(r.ready.Events, e) }
--- a/internal/consensus/expiry.go
+++ b/internal/consensus/expiry.go
@@ -2,8 +2,8 @@
 
 import "aniseloft/internal/lease"
 
-// forgetAfterLeases is how many leases without a lapse clear a client's lapses, and how many without a keep-alive
-// request have the leader forget the client.
+// forgetAfterLeases is a time in lease durations: after that long without a lapse the leader resets a client's lapse
+// count, and after that long without a keep-alive request it forgets the client.
 const forgetAfterLeases = 64
 
 // manageLeases expires leases that were not renewed in time and grants free jobs.
@@ -11,7 +11,7 @@
 	r.forgetClients()
 	for _, job := range r.config.Jobs {
 		if proposedAt, inFlight := r.leader.proposedAt[job]; inFlight && r.now-proposedAt < r.config.Timing.LeaseTTL {
-			continue // a command that was lost is proposed again after a lease
+			continue // a lost command is proposed again after the duration of a lease
 		}
 		if l := r.state.jobLease(job); l.Holder != nil {
 			r.expireLease(job, l)
@@ -21,6 +21,8 @@
 	}
 }
 
+// forgetClients forgets clients that have been silent for long and resets the lapse counts of those that kept their
+// leases.
 func (r *Replica) forgetClients() {
 	limit := r.config.Timing.LeaseTTL * forgetAfterLeases
 	for name, c := range r.leader.clients {
@@ -33,10 +35,11 @@
 	}
 }
 
-// expireLease proposes to free a job whose holder has not renewed for a whole lease by this replica's clock.
+// expireLease proposes to free a job whose holder has not renewed its lease for the duration of a lease by this
+// replica's clock.
 func (r *Replica) expireLease(job string, l JobLease) {
 	renewedAt, known := r.leader.renewedAt[job]
-	if !known { // a new leader cannot know when the holder last renewed with the old one
+	if !known { // a new leader does not know when the old leader last renewed the lease
 		r.leader.renewedAt[job] = r.now
 		return
 	}
@@ -49,7 +52,7 @@
 	r.propose(command{Kind: commandRelease, Job: job, Fence: l.Fence, Reason: reasonExpired})
 }
 
-// grantLease proposes a holder for a free job. A new leader waits until all clients have had time to send it a
+// grantLease proposes a holder for a free job. A new leader first waits until all clients have had time to send it a
 // keep-alive request.
 func (r *Replica) grantLease(job string, l JobLease) {
 	if r.now-r.leader.servingSince < 2*r.config.Timing.LeaseTTL/lease.KeepAlivesPerLease {
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -10,18 +10,19 @@
 	"aniseloft/internal/lease"
 )
 
-// testGroup runs replicas that share one clock. Messages arrive at once, except to and from partitioned replicas.
+// testGroup runs replicas that share one clock. Messages arrive at once; those to and from partitioned replicas are
+// lost.
 type testGroup struct {
-	t           *testing.T
-	now         lease.Millis
-	names       []string
-	replicas    map[string]*Replica
-	disks       map[string]PersistentState
-	partitioned map[string]bool
-	responses   []lease.KeepAliveResponse
-	admin       []AdminResult
-	events      []Event
-	stopped     map[string]Ready // by replica, the Ready that said that it has stopped
+	t            *testing.T
+	now          lease.Millis
+	names        []string
+	replicas     map[string]*Replica
+	disks        map[string]PersistentState
+	partitioned  map[string]bool
+	responses    []lease.KeepAliveResponse
+	adminResults []AdminResult
+	events       []Event
+	stopped      map[string]Ready // by name, the Ready in which a replica reported that it has stopped
 }
 
 func newTestGroup(t *testing.T, size int) *testGroup {
@@ -35,7 +36,7 @@
 	return g
 }
 
-// start starts a replica from its disk. Its ID is fixed by its name.
+// start starts a replica from its disk. The replica's ID follows from its name.
 func (g *testGroup) start(name string) {
 	id := uint64(name[1]-'0') + 1
 	r, err := NewReplica(Config{Name: name, ReplicaID: id, Replicas: g.names, Generation: 1, Jobs: []string{testJob},
@@ -44,20 +45,20 @@
 	g.replicas[name] = r
 }
 
-// run advances the clock, tick by tick, and calls each on every tick.
-func (g *testGroup) run(duration lease.Millis, each func()) {
+// run advances the clock tick by tick, and calls onTick, unless it is nil, after each tick.
+func (g *testGroup) run(duration lease.Millis, onTick func()) {
 	for end := g.now + duration; g.now < end; {
 		g.now += lease.DefaultTiming().Tick
 		for _, name := range g.names {
 			g.call(name, func(r *Replica) { r.Tick(g.now) })
 		}
-		if each != nil {
-			each()
+		if onTick != nil {
+			onTick()
 		}
 	}
 }
 
-// call runs f on a replica and carries out what comes of it, as a driver does.
+// call runs f on a replica that has not stopped, and then carries out the work that Ready returns.
 func (g *testGroup) call(name string, f func(*Replica)) {
 	r := g.replicas[name]
 	if _, stopped := g.stopped[name]; stopped {
@@ -74,7 +75,7 @@
 		g.disks[name] = g.disks[name].Merge(*ready.Persist, ready.CompactIndex)
 	}
 	g.responses = append(g.responses, ready.KeepAliveResponses...)
-	g.admin = append(g.admin, ready.AdminResults...)
+	g.adminResults = append(g.adminResults, ready.AdminResults...)
 	for _, m := range ready.Messages {
 		if raw := EncodeMessage(m.Raft); !g.partitioned[name] && !g.partitioned[m.Recipient] {
 			decoded, err := DecodeMessage(raw)
@@ -91,7 +92,7 @@
 	}
 }
 
-// leader is the replica that leads; empty: none does.
+// leader returns the name of the replica that leads and is not partitioned, or an empty string.
 func (g *testGroup) leader() string {
 	for _, name := range g.names {
 		if g.replicas[name].IsLeader() && !g.partitioned[name] {
@@ -101,14 +102,14 @@
 	return ""
 }
 
-// runUntilLeader runs until a replica leads and all are members of the group.
+// runUntilLeader runs the group for ten leases and requires that a replica leads and all replicas are members.
 func (g *testGroup) runUntilLeader() {
 	g.run(10*lease.DefaultTiming().LeaseTTL, nil)
 	require.NotEmpty(g.t, g.leader())
 	require.Len(g.t, g.replicas[g.leader()].Status().Replicas, len(g.names))
 }
 
-// keepAlive has clients send a keep-alive request to the leader.
+// keepAlive returns a function that sends the leader a keep-alive request from each of the holders.
 func (g *testGroup) keepAlive(holders ...lease.Holder) func() {
 	return func() {
 		for _, h := range holders {
@@ -138,21 +139,21 @@
 	require.Equal(t, g.names, g.replicas[g.leader()].Status().Replicas)
 }
 
-func TestReplicaDoesNotBootstrapWhileAnotherIsUnheard(t *testing.T) {
+func TestReplicaDoesNotBootstrapWhileAnotherIsUnreachable(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.partitioned["r2"] = true
 	g.run(10*lease.DefaultTiming().LeaseTTL, nil)
 	require.Zero(t, g.count(EventBootstrapped))
 }
 
-func TestFreeJobIsGrantedAndReleasedOnceNotRenewed(t *testing.T) {
+func TestLeaseThatIsNotRenewedIsReleased(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
 	g := newTestGroup(t, 3)
 	g.runUntilLeader()
 	g.run(3*ttl, g.keepAlive(holder1))
 	require.Equal(t, lease.JobStatus{Job: testJob, Fence: 1, Holder: "n1/7"}, g.job())
 	g.run(ttl-2*lease.DefaultTiming().Tick, nil)
-	require.Equal(t, "n1/7", g.job().Holder, "not before a whole lease is over")
+	require.Equal(t, "n1/7", g.job().Holder, "the lease is not released before its TTL has passed")
 	g.run(3*lease.DefaultTiming().Tick, nil)
 	require.Empty(t, g.job().Holder)
 	g.run(ttl, g.keepAlive(holder2))
@@ -170,7 +171,7 @@
 	g.call(old, func(r *Replica) {
 		r.HandleKeepAlive(g.now, lease.KeepAliveRequest{Holder: holder1, SentAt: g.now, Capacity: 1, Jobs: []string{testJob}})
 	})
-	require.Empty(t, g.responses, "no quorum has confirmed that it leads")
+	require.Empty(t, g.responses, "a leader without a quorum does not respond")
 	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder2))
 	require.NotEqual(t, old, g.leader())
 	require.Equal(t, "n2/8", g.job().Holder)
@@ -179,7 +180,7 @@
 	}
 }
 
-func TestSecondIncarnationIsRejectedUntilALeaseHasPassed(t *testing.T) {
+func TestSecondIncarnationIsRejectedForALeaseDuration(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
 	g := newTestGroup(t, 1)
 	g.runUntilLeader()
@@ -204,7 +205,7 @@
 	g.call(g.leader(), func(r *Replica) {
 		r.HandleAdmin(g.now, lease.AdminRequest{ID: 5, Operation: lease.AdminMove, Job: testJob, Target: "n2"})
 	})
-	require.Equal(t, "n2", g.admin[0].Response.Status.Jobs[0].Preferred)
+	require.Equal(t, "n2", g.adminResults[0].Response.Status.Jobs[0].Preferred)
 	g.responses = nil
 	g.keepAlive(holder1)()
 	require.True(t, g.responses[0].Grants[0].Reclaim)
@@ -250,8 +251,10 @@
 	require.NoError(t, err)
 }
 
-// The target has accepted the holder's own fence from another holder: the leader must pass it, not go on renewing.
-func TestFenceThatItsHolderReportsAsRefusedIsPassed(t *testing.T) {
+// If a holder reports that its own fence is refused, because the target has accepted that fence from another holder,
+// the leader must grant the job under a higher fence and not go on renewing the lease. It ignores the same report from
+// another client.
+func TestJobIsGrantedAboveAFenceThatItsHolderReportsAsRefused(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.runUntilLeader()
 	holder := lease.Holder{Name: "c0", Incarnation: 1}
@@ -264,7 +267,7 @@
 	other.Holder = lease.Holder{Name: "c1", Incarnation: 1}
 	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, other) })
 	g.run(lease.DefaultTiming().Tick, nil)
-	require.Equal(t, before.Holder, g.job().Holder, "it is the present holder's, as far as another knows")
+	require.Equal(t, before.Holder, g.job().Holder, "a report of the current fence by another client changes nothing")
 	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, refused) })
 	g.run(lease.DefaultTiming().LeaseTTL/4, nil)
 	require.Greater(t, g.job().Fence, before.Fence)
--- a/internal/consensus/keepalive.go
+++ b/internal/consensus/keepalive.go
@@ -8,14 +8,14 @@
 	"aniseloft/internal/lease"
 )
 
-// pendingKeepAlive is a keep-alive request that waits for this replica to confirm that it still leads.
+// pendingKeepAlive is a keep-alive request that waits until a quorum confirms that this replica still leads.
 type pendingKeepAlive struct {
 	request    lease.KeepAliveRequest
 	receivedAt lease.Millis
 }
 
 // HandleKeepAlive handles a client's keep-alive request. A leader responds once a quorum has confirmed that it still
-// leads; any other replica names the leader if it knows one.
+// leads; any other replica redirects the client to the leader if it knows one.
 func (r *Replica) HandleKeepAlive(now lease.Millis, request lease.KeepAliveRequest) {
 	if r.now = now; !r.leader.serving || r.stopped {
 		r.redirect(request)
@@ -23,21 +23,21 @@
 	}
 	if r.nameInUse(request.Holder) {
 		r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses, lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt,
-			Error: fmt.Sprintf("the name %s is in use; it is free once nothing was heard of it for %.0f ms", request.Holder.Name, r.config.Timing.LeaseTTL)})
+			Error: fmt.Sprintf("the name %s is in use by another incarnation; it becomes free once that has sent no keep-alive request for %.0f ms", request.Holder.Name, r.config.Timing.LeaseTTL)})
 		return
 	}
 	r.leader.waiting = append(r.leader.waiting, pendingKeepAlive{request, now})
 	r.confirmLeadership()
-	r.settle()
+	r.advance()
 }
 
-// nameInUse reports whether another incarnation of the client was heard from within a lease.
+// nameInUse reports whether another incarnation of the client has sent a keep-alive request within a lease duration.
 func (r *Replica) nameInUse(h lease.Holder) bool {
 	c := r.leader.clients[h.Name]
 	return c != nil && c.request.Holder != h && r.now-c.receivedAt < r.config.Timing.LeaseTTL
 }
 
-// redirect names the leader to the client; without a known leader it sends nothing.
+// redirect sends the client the name of the leader, or nothing if no leader is known.
 func (r *Replica) redirect(request lease.KeepAliveRequest) {
 	if leader := r.leaderName(); leader != "" {
 		r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses,
@@ -45,8 +45,8 @@
 	}
 }
 
-// confirmLeadership asks a quorum by a read index whether this replica still leads. Without that, a leader that was
-// partitioned away would renew leases that its successor has granted to others.
+// confirmLeadership sends a read index request, by which a quorum confirms that this replica still leads. Without it, a
+// leader that was partitioned away would renew leases that the next leader has granted to others.
 func (r *Replica) confirmLeadership() {
 	inFlight := len(r.leader.confirming) > 0 && r.now-r.confirmationStartedAt < r.config.Timing.LeaseTTL/4
 	if len(r.leader.waiting) == 0 || inFlight {
@@ -58,8 +58,8 @@
 	r.node.ReadIndex([]byte(strconv.FormatUint(r.readIndexID, 10)))
 }
 
-// leadershipConfirmed renews the leases of the clients that have waited, and responds to them.
-func (r *Replica) leadershipConfirmed() {
+// handleLeadershipConfirmed processes the keep-alive requests that waited for the confirmation, and responds to them.
+func (r *Replica) handleLeadershipConfirmed() {
 	confirmed := r.leader.confirming
 	r.leader.confirming = nil
 	for _, p := range confirmed {
@@ -91,9 +91,9 @@
 	}
 }
 
-// raiseFences proposes to pass the fences that targets have reported, so that the next grant is accepted by them. A
-// reported fence that is the client's own was accepted from another holder, by the grant of a former group: freeing the
-// job passes it, as the next grant is one above.
+// raiseFences proposes to raise jobs' fences to those that targets have reported, so that the targets accept the next
+// grant. If the reported fence is the client's own, the target has accepted it from another holder, which a former
+// group granted it to. Freeing the job is then enough, as the next grant is one above.
 func (r *Replica) raiseFences(request lease.KeepAliveRequest) {
 	for _, id := range request.HigherFences {
 		if !slices.Contains(r.config.Jobs, id.Job) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// respond answers a client's newest request with its leases and with the holder of each job.
+// respond answers a client's newest request with the client's leases and the holder of each job.
 func (r *Replica) respond(c *clientState) {
 	response := lease.KeepAliveResponse{Holder: c.request.Holder, SentAt: c.request.SentAt}
 	for _, job := range r.config.Jobs {
@@ -130,7 +130,7 @@
 		if l.Holder != nil {
 			assignment.HolderName = l.Holder.Name
 		}
-		// A job with a command in flight may be about to change hands: its lease is not renewed.
+		// A command in flight may change the holder of the job, so the lease is not renewed.
 		if _, changing := r.leader.proposedAt[job]; l.isHolder(c.request.Holder) && !changing {
 			response.Grants = append(response.Grants, lease.Grant{GrantID: id, TTL: r.config.Timing.LeaseTTL, Reclaim: r.isReclaimed(job, l)})
 		}
@@ -139,13 +139,14 @@
 	r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses, response)
 }
 
-// isReclaimed reports whether the holder is asked to give the job back: an operator prefers another client, and that
-// client is eligible.
+// isReclaimed reports whether the holder is asked to release the job, because an operator prefers another client and
+// that client is eligible.
 func (r *Replica) isReclaimed(job string, l JobLease) bool {
 	return l.Preferred != "" && l.Preferred != l.Holder.Name && r.isEligible(job, r.leader.clients[l.Preferred])
 }
 
-// notifyGranted tells the new holder at once. Its lease counts from the request that made it eligible, by both clocks.
+// notifyGranted responds to the new holder at once. On both sides the lease counts from the holder's newest request:
+// for the holder from when it sent the request, for the leader from when it received the request.
 func (r *Replica) notifyGranted(c command) {
 	client := r.leader.clients[c.Holder.Name]
 	if client == nil || client.request.Holder != *c.Holder {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -6,14 +6,14 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Reconfigure sets the replicas that the group is to have. Of the configurations that replicas know, the one with the
-// highest generation is followed.
+// Reconfigure sets the configured replicas of the group. A leader changes the membership only if no configuration of a
+// higher generation has been committed.
 func (r *Replica) Reconfigure(replicas []string, generation uint64) {
 	r.config.Replicas, r.config.Generation = replicas, generation
 }
 
-// reconcileMembership takes one step from the group's members towards the configured ones. One change is in flight at a
-// time; one that was lost is proposed again after a lease.
+// reconcileMembership takes one step from the group's current members towards the configured ones. Only one change is
+// in flight at a time; a change that has not been applied is proposed again after the duration of a lease.
 func (r *Replica) reconcileMembership() {
 	changeAt := r.leader.membershipChangeAt
 	if changeAt > 0 && r.now-changeAt < r.config.Timing.LeaseTTL || r.config.Generation < r.state.Generation {
@@ -32,7 +32,8 @@
 	}
 }
 
-// removeReplica proposes to remove a voter that is no longer configured, or that has come back with another ID.
+// removeReplica proposes to remove a voter that is no longer configured, or whose replica has returned under another
+// ID.
 func (r *Replica) removeReplica() (proposed bool) {
 	for _, id := range r.confState.GetVoters() {
 		name := r.state.Replicas[id]
@@ -40,7 +41,7 @@
 			continue
 		}
 		if id == r.config.ReplicaID {
-			continue // a leader does not remove itself: it transfers leadership first
+			continue // the leader does not remove itself, it transfers leadership first
 		}
 		r.proposeMembershipChange(raftpb.ConfChangeRemoveNode, id, name)
 		return true
@@ -48,13 +49,14 @@
 	return false
 }
 
-// hasLostDisk reports whether the voter's name now announces another replica ID.
+// hasLostDisk reports whether the replica of that name now announces an ID other than the voter's, as it does after it
+// has lost its disk.
 func (r *Replica) hasLostDisk(id uint64, name string) bool {
 	a, fresh := r.freshAnnouncement(name)
 	return fresh && name != r.config.Name && a.ReplicaID != id
 }
 
-// addReplica proposes to add a configured replica that announces itself and has no vote yet.
+// addReplica proposes to add a configured replica that announces itself and is not a voter yet.
 func (r *Replica) addReplica() (proposed bool) {
 	for _, name := range r.config.Replicas {
 		a, fresh := r.freshAnnouncement(name)
@@ -98,7 +100,7 @@
 		r.state.Replicas[change.GetNodeId()] = name
 		r.emit(Event{Kind: EventReplicaAdded, Replica: name})
 	}
-	// A replica that joins accepts only a snapshot whose configuration names it.
+	// A joining replica accepts only a snapshot whose configuration contains it.
 	_, _ = r.storage.CreateSnapshot(r.applied, r.confState, r.state.encode())
 	return nil
 }
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -8,21 +8,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// PersistentState is what a replica must find again after a restart.
+// PersistentState is the state that a replica needs after a restart, or an update of it.
 type PersistentState struct {
 	HardState *raftpb.HardState // nil: none, or unchanged
 	Snapshot  *raftpb.Snapshot  // nil: none, or unchanged
 	Entries   []*raftpb.Entry
 }
 
-// Merge returns s with an update of Ready applied, as a disk holds it afterwards. Neither argument is changed.
+// Merge returns s with an update from Ready applied, which is the content of the disk after the update is written.
+// Neither argument is changed.
 func (s PersistentState) Merge(update PersistentState, compactIndex uint64) PersistentState {
 	if update.HardState != nil {
 		s.HardState = update.HardState
 	}
 	if update.Snapshot != nil {
 		s.Snapshot = update.Snapshot
-		if compactIndex == 0 { // the leader's snapshot replaces the log
+		if compactIndex == 0 { // a snapshot from the leader replaces the log
 			s.Entries = nil
 		}
 		compactIndex = update.Snapshot.GetMetadata().GetIndex()
@@ -36,7 +37,7 @@
 	return s
 }
 
-// entriesBefore cuts a log before an index: entries that are written again replace all from there on.
+// entriesBefore returns the entries below an index. New entries from that index on replace the rest of the log.
 func entriesBefore(entries []*raftpb.Entry, index uint64) []*raftpb.Entry {
 	end := slices.IndexFunc(entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= index })
 	if end < 0 {
@@ -45,13 +46,13 @@
 	return entries[:end]
 }
 
-// EncodeMessage returns the bytes of a raft message.
+// EncodeMessage encodes a raft message.
 func EncodeMessage(m *raftpb.Message) []byte {
 	raw, _ := proto.Marshal(m) // cannot fail: the message was made by the library
 	return raw
 }
 
-// DecodeMessage reads what EncodeMessage has written.
+// DecodeMessage decodes a raft message that EncodeMessage has encoded.
 func DecodeMessage(raw []byte) (*raftpb.Message, error) {
 	m := &raftpb.Message{}
 	return m, unmarshal(raw, m)
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -9,22 +9,23 @@
 	"aniseloft/internal/lease"
 )
 
-// clientState is what the leader knows of one lease client.
+// clientState is the leader's state of one lease client.
 type clientState struct {
-	request     lease.KeepAliveRequest // the newest
-	receivedAt  lease.Millis           // by the leader's clock, no earlier than the client sent it
-	lapses      int                    // leases that it let expire lately
+	request     lease.KeepAliveRequest // newest keep-alive request
+	receivedAt  lease.Millis           // when the leader received the request, which is no earlier than the client sent it
+	lapses      int                    // number of leases that the client recently let expire
 	lastLapseAt lease.Millis
 }
 
-// maxCountedLapses is the number of lapses from which on the hold-down no longer doubles.
+// maxCountedLapses is the number of lapses from which the hold-down no longer grows.
 const maxCountedLapses = 6
 
-// minCapacity keeps the weight of a client above 0.
+// minCapacity is the lowest capacity that a client is weighted with; it avoids a division by zero.
 const minCapacity = 1e-6
 
-// chooseHolder selects the holder of a free job: the client that operators prefer, or else the winner of rendezvous
-// hashing among eligible clients, weighted by capacity, so that jobs spread over the fleet. nil: no client is eligible.
+// chooseHolder selects the holder of a free job: the preferred client if it is eligible, or else the winner of
+// rendezvous hashing among the eligible clients, weighted by capacity, so that jobs spread over the fleet. It returns
+// nil if no client is eligible.
 func (r *Replica) chooseHolder(job string, l JobLease) *clientState {
 	if c := r.leader.clients[l.Preferred]; r.isEligible(job, c) {
 		return c
@@ -43,26 +44,27 @@
 	return best
 }
 
-// rendezvousScore is the weighted rendezvous hash log(u)/w, where u in (0, 1) is drawn by the hash of job and client.
+// rendezvousScore returns the weighted rendezvous score log(u)/w, where u in (0, 1) is derived from the hash of job and
+// client and w is the client's capacity.
 //
-// rendezvousOrder in decide/endpointset.go has the same rule for the endpoints of a group, with another hash: its keys
-// are numbers and are hashed for each endpoint of an order, these are names. Neither hash may change: balancers must agree
-// on a group's order, and successive leaders on a job's holder.
+// rendezvousOrder in decide/endpointset.go applies the same rule to the endpoints of a group with another hash, because
+// its keys are numbers and are hashed for each endpoint of an order, while the keys here are names. Neither hash may
+// change: balancers must agree on a group's order, and successive leaders on a job's holder.
 func rendezvousScore(job string, request lease.KeepAliveRequest) float64 {
 	hash := xxhash.Sum64String(job + "\x00" + request.Holder.Name)
 	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
 	return math.Log(uniform) / max(request.Capacity, minCapacity)
 }
 
-// isEligible reports whether a client may be granted the job: it knows the job, is not draining, was heard from within
-// half a lease and is not held down.
+// isEligible reports whether a client may be granted the job: it can do the job, is not draining, has sent a keep-alive
+// request within half a lease duration and is not held down.
 func (r *Replica) isEligible(job string, c *clientState) bool {
 	return c != nil && !c.request.Draining && r.now-c.receivedAt < r.config.Timing.LeaseTTL/2 &&
 		slices.Contains(c.request.Jobs, job) && !r.isHeldDown(c)
 }
 
-// isHeldDown reports whether a client is kept from new leases because it let some expire. The hold-down starts at one
-// lease and doubles with each lapse.
+// isHeldDown reports whether a client gets no new leases because it let leases expire. The hold-down lasts one lease
+// duration after the first lapse and doubles with each further lapse, up to maxCountedLapses.
 func (r *Replica) isHeldDown(c *clientState) bool {
 	doublings := float64(min(c.lapses, maxCountedLapses)) - 1
 	return c.lapses > 0 && r.now-c.lastLapseAt < r.config.Timing.LeaseTTL*math.Exp2(doublings)
--- a/internal/consensus/placement_test.go
+++ b/internal/consensus/placement_test.go
@@ -9,7 +9,8 @@
 	"aniseloft/internal/lease"
 )
 
-func testLeader(now lease.Millis) *Replica {
+// newTestLeader returns a replica that has only the state that the placement of leases uses.
+func newTestLeader(now lease.Millis) *Replica {
 	r := &Replica{config: Config{Timing: lease.DefaultTiming()}, now: now, leader: newLeaderState()}
 	return r
 }
@@ -31,7 +32,7 @@
 		"silent for half a TTL":  func(c *clientState) { c.receivedAt -= ttl / 2 },
 		"has just let one lapse": func(c *clientState) { c.lapses, c.lastLapseAt = 1, c.receivedAt },
 	} {
-		r := testLeader(100 * ttl)
+		r := newTestLeader(100 * ttl)
 		r.addTestClient("n1", change)
 		require.Nil(t, r.chooseHolder(testJob, JobLease{}), name)
 		require.Nil(t, r.chooseHolder(testJob, JobLease{Preferred: "n1"}), name)
@@ -39,7 +40,7 @@
 }
 
 func TestPreferredClientIsChosenWhileEligible(t *testing.T) {
-	r := testLeader(0)
+	r := newTestLeader(0)
 	for n := range 5 {
 		r.addTestClient(fmt.Sprint("n", n), nil)
 	}
@@ -47,12 +48,12 @@
 		name := fmt.Sprint("n", n)
 		require.Equal(t, name, r.chooseHolder(testJob, JobLease{Preferred: name}).request.Holder.Name)
 	}
-	require.NotNil(t, r.chooseHolder(testJob, JobLease{Preferred: "n9"}), "an absent preference leaves the choice to hashing")
+	require.NotNil(t, r.chooseHolder(testJob, JobLease{Preferred: "n9"}), "if the preferred client is absent, hashing chooses")
 }
 
 func TestJobsSpreadInProportionToCapacity(t *testing.T) {
 	const jobs = 4000
-	r := testLeader(0)
+	r := newTestLeader(0)
 	chosen := map[string]int{}
 	for n, capacity := range []float64{1, 1, 2} {
 		r.addTestClient(fmt.Sprint("n", n), func(c *clientState) { c.request.Capacity = capacity })
@@ -72,7 +73,7 @@
 func TestHoldDownDoublesWithEachLapseUpToABound(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
 	for lapses, leases := range map[int]float64{1: 1, 2: 2, 3: 4, 6: 32, 7: 32, 50: 32} {
-		r := testLeader(0)
+		r := newTestLeader(0)
 		c := r.addTestClient("n1", func(c *clientState) { c.lapses = lapses })
 		r.now = leases*ttl - 1
 		require.True(t, r.isHeldDown(c), "%d lapses", lapses)
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -18,31 +18,32 @@
 	Raft      *raftpb.Message
 }
 
-// Ready is what the caller has to do after a call. Persist must be durable before anything else of it leaves the
-// process.
+// Ready is the work that the caller has to do after a call. Persist must be durable before the caller sends anything
+// else that Ready contains.
 type Ready struct {
-	Persist      *PersistentState // what is new; nil: nothing
+	Persist      *PersistentState // changes to persist; nil: none
 	CompactIndex uint64           // log entries up to here may be deleted; 0: none
 	Messages     []Message
 	Announce     bool // send Announcement to all other replicas
-	// DiskRegressed says that the disk holds less than this replica has acknowledged, as one restored from a copy
-	// does. The replica has stopped: empty the disk and start one with a new ID.
+	// DiskRegressed means that the disk lacks entries that this replica has acknowledged, for example because it was
+	// restored from a copy. The replica has stopped: empty the disk and start a replica with a new ID.
 	DiskRegressed bool
-	// Failure is why the replica has stopped; nil: it has not. It wraps ErrRaftPanic.
+	// Failure is the error that has stopped the replica and wraps ErrRaftPanic; nil: none.
 	Failure            error
 	KeepAliveResponses []lease.KeepAliveResponse
 	AdminResults       []AdminResult
 	Events             []Event
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns the work that has accumulated since the last call.
 func (r *Replica) Ready() Ready {
 	ready := r.ready
 	r.ready = Ready{}
 	return ready
 }
 
-// processReady is raft's Ready loop: it collects what is to be persisted and sent, and applies what is committed.
+// processReady runs raft's Ready loop: it collects the state to persist and the messages to send, and applies committed
+// entries.
 func (r *Replica) processReady() {
 	for r.node.HasReady() {
 		rd := r.node.Ready()
@@ -62,7 +63,7 @@
 	r.compact()
 }
 
-// pendingPersist is the state that the next Ready has the caller persist.
+// pendingPersist returns the changes that the next Ready asks the caller to persist.
 func (r *Replica) pendingPersist() *PersistentState {
 	if r.ready.Persist == nil {
 		r.ready.Persist = &PersistentState{}
@@ -90,18 +91,18 @@
 
 func (r *Replica) send(m *raftpb.Message) {
 	if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() {
-		r.resetElectionTimeout() // the candidate that was granted the vote may become leader
+		r.resetElectionTimeout() // the candidate that received the vote may become leader
 	}
 	if name, known := r.replicaName(m.GetTo()); known {
 		r.ready.Messages = append(r.ready.Messages, Message{GroupID: r.groupID(), Recipient: name, Raft: m})
 	}
-	if m.GetType() == raftpb.MsgSnap { // a snapshot is one message: no later report of its transfer comes
+	if m.GetType() == raftpb.MsgSnap { // it is sent as one message, so the end of its transfer is not reported later
 		r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// replicaName looks a replica up in the state machine, or else among announcements: one that is being added is not in
-// the state machine yet.
+// replicaName looks up a replica in the state machine and then among the announcements, because a replica that is being
+// added is not in the state machine yet.
 func (r *Replica) replicaName(id uint64) (name string, known bool) {
 	if name, known = r.state.Replicas[id]; known {
 		return name, true
@@ -122,7 +123,7 @@
 			return
 		}
 	case raftpb.EntryNormal:
-		if len(e.GetData()) > 0 { // a new leader's first entry is empty
+		if len(e.GetData()) > 0 { // the first entry of a new leader is empty
 			r.applyCommand(e)
 		}
 	}
@@ -153,7 +154,8 @@
 	}
 }
 
-// propose appends a command to the replicated log; false: raft refuses it, as this replica no longer leads.
+// propose proposes a command for the replicated log. It returns false if raft refuses, because this replica no longer
+// leads.
 func (r *Replica) propose(c command) bool {
 	raw, _ := json.Marshal(c) // cannot fail: the type has plain fields only
 	if r.node.Propose(raw) != nil {
@@ -168,14 +170,14 @@
 func (r *Replica) handleReadState(s raft.ReadState) {
 	id, _ := strconv.ParseUint(string(s.RequestCtx), 10, 64)
 	if id == r.readIndexID && r.leader.serving {
-		r.leadershipConfirmed()
+		r.handleLeadershipConfirmed()
 	}
 }
 
-// compactionThreshold is how many entries the log holds before a snapshot replaces them.
+// compactionThreshold is the number of applied log entries at which a snapshot replaces them.
 const compactionThreshold = 512
 
-// compact replaces the applied part of the log by a snapshot.
+// compact replaces the applied part of the log with a snapshot once it has compactionThreshold entries.
 func (r *Replica) compact() {
 	first, _ := r.storage.FirstIndex()
 	if r.applied < first+compactionThreshold {
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -16,65 +16,66 @@
 	"aniseloft/internal/lease"
 )
 
-// ErrInvalidConfig is returned by NewReplica for a configuration that no replica can run with.
+// ErrInvalidConfig is wrapped by the error that NewReplica returns for an invalid configuration.
 var ErrInvalidConfig = errors.New("consensus: invalid configuration")
 
-// ErrRaftPanic says that the raft library found its log inconsistent. The replica has stopped.
+// ErrRaftPanic means that the raft library panicked, for example on an inconsistent log, and that the replica has
+// stopped.
 var ErrRaftPanic = errors.New("consensus: raft panicked")
 
-// Config is what a replica is started with.
+// Config configures a replica and holds the state that it continues from.
 type Config struct {
 	Name       string
-	ReplicaID  uint64   // drawn when the disk was first used: a replica that lost its disk comes back with another ID
-	Replicas   []string // names of all replicas, in the order of the configuration file: the first may bootstrap
-	Generation uint64   // of the configuration file
+	ReplicaID  uint64   // drawn when the disk was first used, so a replica that lost its disk returns with another ID
+	Replicas   []string // names of all replicas, in the order of the configuration file; only the first may bootstrap
+	Generation uint64   // generation of the configuration file
 	Jobs       []string // jobs whose leases the group grants
 	Timing     lease.Timing
-	Rand       *rand.Rand // draws the election timeouts
+	Rand       *rand.Rand // source of the election timeouts
 	State      PersistentState
 }
 
 // Replica is one member of the consensus group.
 //
 // A Replica is owned by one goroutine and is not safe for concurrent use. Every method that takes a time expects the
-// caller's monotonic clock in milliseconds. After each call the caller carries out what Ready returns.
+// caller's monotonic clock in milliseconds. After each call the caller carries out the work that Ready returns.
 type Replica struct {
 	config    Config
 	now       lease.Millis
 	lastTick  lease.Millis
 	node      *raft.RawNode
-	storage   *raft.MemoryStorage // mirrors what Ready has had the caller persist
+	storage   *raft.MemoryStorage // in-memory copy of the state that the caller persists as Ready demands
 	state     *StateMachine
 	confState *raftpb.ConfState
 	applied   uint64 // index of the last applied entry
 	ready     Ready
-	stopped   bool // its disk regressed or raft panicked: it does nothing more
+	stopped   bool // the disk regressed or raft panicked, and the replica does nothing further
 
 	ticksWithoutLeader int
 	campaignAfter      int // ticks without a leader after which this replica campaigns
 
-	invitedBy        uint64 // ID of the group whose messages this replica has accepted
+	acceptedGroupID  uint64 // ID of the group that the last accepted raft message came from; 0: none yet
 	announcements    map[string]receivedAnnouncement
 	nextAnnouncement lease.Millis
 
-	term                  uint64 // the term that leader belongs to
+	term                  uint64 // term that the leader state belongs to
 	leader                leaderState
-	readIndexID           uint64 // of the newest confirmation of leadership
+	readIndexID           uint64 // ID of the newest read index request, which confirms leadership
 	confirmationStartedAt lease.Millis
 	lastAdminID           uint64
 }
 
-// leaderState is what only a leader knows. It is not replicated: it starts empty in each term.
+// leaderState is state that only the leader has. It is not replicated and starts empty in each term.
 type leaderState struct {
-	serving            bool // has applied an entry of its own term, so its state machine is up to date
+	serving            bool // an entry of the leader's own term has been applied, so its state machine is up to date
 	servingSince       lease.Millis
-	clients            map[string]*clientState // by name
-	renewedAt          map[string]lease.Millis // time of the holder's last keep-alive, by job
-	proposedAt         map[string]lease.Millis // time of the command in flight, by job
-	waiting            []pendingKeepAlive      // for the next confirmation of leadership
-	confirming         []pendingKeepAlive      // for the confirmation in flight
-	membershipChangeAt lease.Millis            // start of the change in flight; 0: none
-	adminRequests      map[uint64]lease.AdminRequest
+	clients            map[string]*clientState       // by name
+	renewedAt          map[string]lease.Millis       // receipt of the holder's newest keep-alive request, by job
+	proposedAt         map[string]lease.Millis       // when the command in flight was proposed, by job
+	waiting            []pendingKeepAlive            // requests for the next confirmation of leadership
+	confirming         []pendingKeepAlive            // requests for the confirmation in flight
+	membershipChangeAt lease.Millis                  // when the membership change in flight was proposed; 0: none
+	adminRequests      map[uint64]lease.AdminRequest // moves in flight, by a sequence number of this replica
 }
 
 func newLeaderState() leaderState {
@@ -92,17 +93,17 @@
 	maxInflightMessages = 64
 )
 
-// The raft library's own log is dropped: what matters is reported as events.
+// discardLogger drops the raft library's own log; the replica reports relevant changes as events.
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// NewReplica returns a replica that continues from c.State. It returns an error wrapping ErrInvalidConfig, or one that
-// says which part of the state cannot be read.
+// NewReplica returns a replica that continues from c.State. The error wraps ErrInvalidConfig or says which part of the
+// state cannot be read.
 func NewReplica(c Config) (*Replica, error) {
 	if c.ReplicaID == 0 || c.Name == "" || !slices.Contains(c.Replicas, c.Name) {
-		return nil, fmt.Errorf("%w: a replica needs an ID and a name among the group's", ErrInvalidConfig)
+		return nil, fmt.Errorf("%w: a replica needs an ID other than 0 and a name that is in the list of replicas", ErrInvalidConfig)
 	}
 	if len(c.Replicas)%2 == 0 || len(c.Replicas) > 5 {
-		return nil, fmt.Errorf("%w: %d replicas: 1, 3 or 5 are possible", ErrInvalidConfig, len(c.Replicas))
+		return nil, fmt.Errorf("%w: %d replicas are configured; a group has 1, 3 or 5", ErrInvalidConfig, len(c.Replicas))
 	}
 	r := &Replica{
 		config:        c,
@@ -118,7 +119,7 @@
 	return r, r.startNode()
 }
 
-// load fills the storage and the state machine from what an earlier run has persisted.
+// load fills the storage and the state machine from the state that an earlier run persisted.
 func (r *Replica) load(s PersistentState) error {
 	if s.Snapshot != nil {
 		if err := r.storage.ApplySnapshot(s.Snapshot); err != nil {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// restore replaces the state machine by a snapshot's.
+// restore replaces the state machine with that of a snapshot.
 func (r *Replica) restore(s *raftpb.Snapshot) error {
 	m, err := decodeStateMachine(s.GetData())
 	if err != nil {
@@ -173,15 +174,15 @@
 	return nil
 }
 
-// resetElectionTimeout draws the timeout here and not in the raft library, so that a seed determines a simulated run:
-// followers call TickQuiesced, which never starts an election by itself.
+// resetElectionTimeout restarts the election timer with a new random timeout. The timeout is drawn here and not in the
+// raft library, so that a seed determines a simulated run: followers call TickQuiesced, which never starts an election.
 func (r *Replica) resetElectionTimeout() {
 	r.ticksWithoutLeader = 0
 	r.campaignAfter = r.config.Timing.ElectionTicks + r.config.Rand.IntN(r.config.Timing.ElectionTicks)
 }
 
-// Tick advances the replica's timers. It is to be called at least once per Timing.Tick; calls that come earlier do
-// nothing.
+// Tick advances the replica's timers. The caller calls it at least once per Timing.Tick; calls that come earlier only
+// set the clock.
 func (r *Replica) Tick(now lease.Millis) {
 	if r.now = now; now-r.lastTick < r.config.Timing.Tick || r.stopped {
 		return
@@ -195,7 +196,7 @@
 	default:
 		r.tickFollower()
 	}
-	r.settle()
+	r.advance()
 }
 
 func (r *Replica) tickFollower() {
@@ -216,7 +217,7 @@
 	if m.GetTo() != r.config.ReplicaID || groupID == 0 || r.groupID() != 0 && groupID != r.groupID() {
 		return
 	}
-	r.invitedBy = groupID
+	r.acceptedGroupID = groupID
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		r.resetElectionTimeout()
@@ -224,12 +225,13 @@
 	if r.diskRegressed(m) {
 		return
 	}
-	r.guard(func() { _ = r.node.Step(m) }) // the library refuses messages of replicas that were removed
-	r.settle()
+	r.guard(func() { _ = r.node.Step(m) }) // the library rejects messages from removed replicas
+	r.advance()
 }
 
-// diskRegressed stops the replica if a heartbeat commits more than the log holds. A leader sends no commit index above
-// what this replica has acknowledged, so the disk must have lost entries, and may have lost votes.
+// diskRegressed stops the replica if a heartbeat's commit index is above the last index of the log, and reports whether
+// it did. A leader sends no commit index above the entries that this replica has acknowledged, so the disk must have
+// lost entries, and may have lost votes.
 func (r *Replica) diskRegressed(m *raftpb.Message) bool {
 	last, _ := r.storage.LastIndex()
 	if m.GetType() != raftpb.MsgHeartbeat || m.GetCommit() <= last {
@@ -237,12 +239,12 @@
 	}
 	r.ready.DiskRegressed, r.stopped = true, true
 	r.emit(Event{Kind: EventDiskRegressed, Replica: r.config.Name,
-		Reason: fmt.Sprintf("the log ends at %d, %d was acknowledged", last, m.GetCommit())})
+		Reason: fmt.Sprintf("the log ends at index %d, but entries up to index %d were acknowledged", last, m.GetCommit())})
 	return true
 }
 
-// guard runs f unless the replica has stopped. The raft library panics on a log that it finds inconsistent; that stops
-// the replica and not the process, which serves requests without it.
+// guard runs f unless the replica has stopped. The raft library panics on an inconsistent log; guard recovers the panic
+// and stops only the replica, because the process can serve requests without it.
 func (r *Replica) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -254,8 +256,9 @@
 	}
 }
 
-// settle processes all that raft has ready, and then acts as leader where this replica is one.
-func (r *Replica) settle() {
+// advance processes everything that raft has ready. On the leader it then manages leases and membership, confirms its
+// leadership and processes the results.
+func (r *Replica) advance() {
 	r.guard(func() {
 		r.processReady()
 		if !r.leader.serving {
@@ -268,10 +271,10 @@
 	})
 }
 
-// IsLeader reports whether this replica leads, as far as it knows.
+// IsLeader reports whether this replica believes that it leads and has an up-to-date state machine.
 func (r *Replica) IsLeader() bool { return r.leader.serving }
 
-// leaderName is the leader as far as this replica knows; empty: unknown.
+// leaderName returns the name of the leader that this replica knows of, or an empty string.
 func (r *Replica) leaderName() string {
 	if r.node == nil {
 		return ""
@@ -283,7 +286,7 @@
 
 func (r *Replica) isVoter(id uint64) bool { return slices.Contains(r.confState.GetVoters(), id) }
 
-// trackLeadership drops the leader state once the term it belongs to is over.
+// trackLeadership resets the leader state when its term has ended or this replica no longer leads.
 func (r *Replica) trackLeadership() {
 	term := r.node.BasicStatus().GetTerm()
 	if r.isRaftLeader() && term == r.term {
@@ -295,19 +298,19 @@
 	r.term = term
 }
 
-// resetLeaderState forgets what only a leader knows, and answers those who wait for it.
+// resetLeaderState clears the leader state, redirects waiting keep-alive requests and rejects waiting admin requests.
 func (r *Replica) resetLeaderState() {
 	old := r.leader
 	r.leader = newLeaderState()
-	for _, w := range append(old.confirming, old.waiting...) {
-		r.redirect(w.request)
+	for _, pending := range append(old.confirming, old.waiting...) {
+		r.redirect(pending.request)
 	}
 	for _, id := range slices.Sorted(maps.Keys(old.adminRequests)) {
 		r.rejectAdmin(old.adminRequests[id], ErrLeadershipLost)
 	}
 }
 
-// startServing marks the leader as up to date once an entry of its own term is applied.
+// startServing marks the leader as serving once an entry of its own term has been applied.
 func (r *Replica) startServing(e *raftpb.Entry) {
 	if r.leader.serving || !r.isRaftLeader() || e.GetTerm() != r.node.BasicStatus().GetTerm() {
 		return
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -11,9 +11,9 @@
 
 // JobLease is the replicated state of the lease on one job.
 type JobLease struct {
-	Fence     lease.Fence   `json:"fence"`            // of the newest grant; 0: never granted
+	Fence     lease.Fence   `json:"fence"`            // highest fence granted or reported by a target; 0: none
 	Holder    *lease.Holder `json:"holder,omitempty"` // nil: the job is free
-	Preferred string        `json:"wanted,omitempty"` // the client that an operator wants as holder; empty: no preference
+	Preferred string        `json:"wanted,omitempty"` // client that an operator prefers as holder; empty: no preference
 }
 
 // historyLimit is the number of history entries kept in the state machine and its snapshots.
@@ -46,44 +46,45 @@
 	return m, nil
 }
 
-// commandKind is the type of a replicated command, as it stands in the log.
+// commandKind is the type of a replicated command. Its values are stored in the replicated log and in the history.
 type commandKind string
 
 const (
 	commandGrant         commandKind = "assign" // grant a free job under the next fence
-	commandRelease       commandKind = "free"   // free a job whose lease expired or was given back
-	commandRaiseFence    commandKind = "raise"  // pass a higher fence that a target has reported
-	commandPrefer        commandKind = "want"   // set or clear the preferred holder
+	commandRelease       commandKind = "free"   // free a job whose lease expired, was released or is refused
+	commandRaiseFence    commandKind = "raise"  // raise the fence to one that a target has reported, and free the job
+	commandPrefer        commandKind = "want"   // set or clear the preferred holder of a job
 	commandSetGeneration commandKind = "file"   // record the generation of the fleet configuration
 )
 
-// Reasons of commands, as they stand in the log and in the history.
+// Reasons of commands. Their values are stored in the replicated log and in the history.
 const (
-	reasonOperator    lease.Reason = "by hand"              // an operator has asked for it
-	reasonReturned    lease.Reason = "given back"           // the holder has released it
-	reasonExpired     lease.Reason = "its lease ran out"    // the holder has not renewed it in time
-	reasonHigherFence lease.Reason = "a target has seen it" // a target has reported the fence that is passed
+	reasonOperator    lease.Reason = "by hand"              // an operator has requested the change
+	reasonReturned    lease.Reason = "given back"           // the holder has released the lease
+	reasonExpired     lease.Reason = "its lease ran out"    // the holder has not renewed the lease in time
+	reasonHigherFence lease.Reason = "a target has seen it" // a target has already accepted the reported fence
 )
 
 // command is one replicated change of the state machine: the payload of a log entry.
 type command struct {
 	Kind       commandKind   `json:"k"`
 	Job        string        `json:"j,omitempty"`
-	Fence      lease.Fence   `json:"f,omitempty"` // the fence that the job must have, or is raised to
+	Fence      lease.Fence   `json:"f,omitempty"` // fence that the job must have; for commandRaiseFence, its new fence
 	Holder     *lease.Holder `json:"h,omitempty"`
 	Preferred  string        `json:"n,omitempty"`
 	Reason     lease.Reason  `json:"w,omitempty"`
 	Generation uint64        `json:"g,omitempty"`
 }
 
-// Errors of apply. The state machine is unchanged after either, but for an empty lease of a job that was unknown.
+// Errors of apply. After either error the state machine is unchanged, except that it gets an empty lease for a job that
+// it did not know.
 var (
 	errOutdatedCommand = errors.New("consensus: the job has changed since the command was proposed")
 	errUnknownCommand  = errors.New("consensus: unknown command")
 )
 
-// apply executes the command of the log entry at index. Every replica reaches the same verdict, so a command that is
-// outdated, or of a later release, is skipped by all of them alike.
+// apply executes the command of the log entry at index. The result depends only on the log, so all replicas skip the
+// same commands: those that are outdated and those that only a later release knows.
 func (m *StateMachine) apply(index uint64, c command) error {
 	if c.Kind == commandSetGeneration {
 		m.Generation = max(m.Generation, c.Generation)
@@ -94,24 +95,24 @@
 		l = &JobLease{}
 		m.Jobs[c.Job] = l
 	}
-	var subject string
+	var historyHolder string
 	var err error
 	switch c.Kind {
 	case commandGrant:
-		subject, err = l.grant(c)
+		historyHolder, err = l.grant(c)
 	case commandRelease:
-		subject, err = l.release(c)
+		historyHolder, err = l.release(c)
 	case commandRaiseFence:
 		err = l.raiseFence(c)
 	case commandPrefer:
-		l.Preferred, subject = c.Preferred, c.Preferred
+		l.Preferred, historyHolder = c.Preferred, c.Preferred
 	default:
 		err = fmt.Errorf("%w %q", errUnknownCommand, c.Kind)
 	}
 	if err != nil {
 		return err
 	}
-	m.record(lease.HistoryEntry{Index: index, Job: c.Job, Fence: l.Fence, Holder: subject, Event: string(c.Kind), Reason: c.Reason})
+	m.appendHistory(lease.HistoryEntry{Index: index, Job: c.Job, Fence: l.Fence, Holder: historyHolder, Event: string(c.Kind), Reason: c.Reason})
 	return nil
 }
 
@@ -133,7 +134,7 @@
 	return holder, nil
 }
 
-// raiseFence frees the job too: the target refuses every fence up to the one raised to.
+// raiseFence also frees the job, because the target refuses every fence up to the new one.
 func (l *JobLease) raiseFence(c command) error {
 	if l.Fence >= c.Fence {
 		return errOutdatedCommand
@@ -142,14 +143,14 @@
 	return nil
 }
 
-func (m *StateMachine) record(e lease.HistoryEntry) {
+func (m *StateMachine) appendHistory(e lease.HistoryEntry) {
 	m.History = append(m.History, e)
 	if excess := len(m.History) - historyLimit; excess > 0 {
 		m.History = slices.Delete(m.History, 0, excess)
 	}
 }
 
-// jobLease returns a copy of the lease on a job; a job that was never granted has the zero value.
+// jobLease returns a copy of the lease on a job, or the zero value for an unknown job.
 func (m *StateMachine) jobLease(job string) JobLease {
 	if l := m.Jobs[job]; l != nil {
 		return *l
@@ -157,10 +158,10 @@
 	return JobLease{}
 }
 
-// isHolder reports whether the job is held by this incarnation of the client.
+// isHolder reports whether h, including its incarnation, holds the job.
 func (l JobLease) isHolder(h lease.Holder) bool { return l.Holder != nil && *l.Holder == h }
 
-// holderName is the holder with its incarnation; empty: the job is free.
+// holderName returns the holder's name and incarnation, or an empty string if the job is free.
 func (l JobLease) holderName() string {
 	if l.Holder == nil {
 		return ""
--- a/internal/consensus/statemachine_test.go
+++ b/internal/consensus/statemachine_test.go
@@ -15,7 +15,7 @@
 	holder2 = lease.Holder{Name: "n2", Incarnation: 8}
 )
 
-func TestApplyChecksTheFenceThatACommandNames(t *testing.T) {
+func TestApplyRejectsOutdatedAndUnknownCommands(t *testing.T) {
 	free, held := JobLease{Fence: 3}, JobLease{Fence: 3, Holder: &holder1}
 	for name, c := range map[string]struct {
 		before  JobLease
@@ -26,12 +26,12 @@
 		"grant":                        {free, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, JobLease{Fence: 4, Holder: &holder2}, nil},
 		"grant of a held job":          {held, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, held, errOutdatedCommand},
 		"grant under an old fence":     {free, command{Kind: commandGrant, Fence: 2, Holder: &holder2}, free, errOutdatedCommand},
-		"grant to nobody":              {free, command{Kind: commandGrant, Fence: 3}, free, errOutdatedCommand},
+		"grant without a holder":       {free, command{Kind: commandGrant, Fence: 3}, free, errOutdatedCommand},
 		"release":                      {held, command{Kind: commandRelease, Fence: 3}, free, nil},
 		"release of a free job":        {free, command{Kind: commandRelease, Fence: 3}, free, errOutdatedCommand},
 		"release of an earlier grant":  {held, command{Kind: commandRelease, Fence: 2}, held, errOutdatedCommand},
 		"raise frees the job":          {held, command{Kind: commandRaiseFence, Fence: 9}, JobLease{Fence: 9}, nil},
-		"raise to the present fence":   {held, command{Kind: commandRaiseFence, Fence: 3}, held, errOutdatedCommand},
+		"raise to the current fence":   {held, command{Kind: commandRaiseFence, Fence: 3}, held, errOutdatedCommand},
 		"preference leaves the holder": {held, command{Kind: commandPrefer, Preferred: "n2"}, JobLease{Fence: 3, Holder: &holder1, Preferred: "n2"}, nil},
 		"a command of a later release": {held, command{Kind: "split"}, held, errUnknownCommand},
 		"a command without a kind":     {free, command{Kind: ""}, free, errUnknownCommand},
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -11,12 +11,14 @@
 	"aniseloft/internal/lease"
 )
 
-// The files under testdata were written by the release before the first rename of these types, with
+// The files under testdata hold the encoding of the release before these types were first renamed. They were
+// written with
 //
 //	go test ./internal/consensus -run TestLogAndSnapshot -update
-var update = flag.Bool("update", false, "write the fixtures anew")
+var update = flag.Bool("update", false, "overwrite the fixtures with the current encoding")
 
-func golden(t *testing.T, path string, v any) []byte {
+// requireRecordedJSON requires that v is encoded as the file at path records, and returns the file's content.
+func requireRecordedJSON(t *testing.T, path string, v any) []byte {
 	t.Helper()
 	got, err := json.Marshal(v)
 	require.NoError(t, err)
@@ -24,13 +26,13 @@
 	if *update {
 		require.NoError(t, os.WriteFile(path, got, 0o644))
 	}
-	kept, err := os.ReadFile(path)
+	recorded, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(kept), string(got))
-	return kept
+	require.Equal(t, string(recorded), string(got))
+	return recorded
 }
 
-// A log entry and a snapshot of an earlier release are read whole, and written alike.
+// Log entries and snapshots of an earlier release are decoded without loss and encoded to the same bytes.
 func TestLogAndSnapshotKeepTheirJSON(t *testing.T) {
 	holder := &lease.Holder{Name: "n1", Incarnation: 0x7f3a}
 	var commands []command
@@ -38,11 +40,11 @@
 		commands = append(commands, command{Kind: kind, Job: "prune-record", Fence: 7, Holder: holder, Preferred: "n2", Reason: "by hand", Generation: 3})
 	}
 	var read []command
-	require.NoError(t, json.Unmarshal(golden(t, "testdata/commands.json", commands), &read))
+	require.NoError(t, json.Unmarshal(requireRecordedJSON(t, "testdata/commands.json", commands), &read))
 	require.Equal(t, commands, read)
 
-	b := newStateMachine()
-	b.GroupID, b.Replicas = 12, map[uint64]string{12: "n0"}
+	machine := newStateMachine()
+	machine.GroupID, machine.Replicas = 12, map[uint64]string{12: "n0"}
 	for n, c := range []command{
 		{Kind: commandSetGeneration, Generation: 3},
 		{Kind: commandGrant, Job: "prune-record", Holder: holder},
@@ -51,10 +53,10 @@
 		{Kind: commandGrant, Job: "prune-record", Fence: 9, Holder: holder},
 		{Kind: commandPrefer, Job: "prune-record", Preferred: "n2", Reason: "by hand"},
 	} {
-		require.NoError(t, b.apply(uint64(n+2), c))
+		require.NoError(t, machine.apply(uint64(n+2), c))
 	}
-	again, err := decodeStateMachine(golden(t, "testdata/snapshot.json", b))
+	restored, err := decodeStateMachine(requireRecordedJSON(t, "testdata/snapshot.json", machine))
 	require.NoError(t, err)
-	require.Equal(t, b, again)
-	require.Equal(t, string(b.encode()), string(again.encode()))
+	require.Equal(t, machine, restored)
+	require.Equal(t, string(machine.encode()), string(restored.encode()))
 }
