--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -6,24 +6,25 @@
 	"slices"
 )
 
-// localReserveRatio is the part of a zone's capacity that work from other zones may not take, so that failover cannot
-// overload the zones that still work.
+// localReserveRatio is the part of a zone's capacity that is reserved for local work, so that failover cannot overload
+// the zones that still work.
 const localReserveRatio = 0.1
 
 // allocation assigns offered work to zones. All amounts are core-ms per second.
 type allocation struct {
 	settings    Settings
 	capacities  []float64                            // by zone
-	usableRatio func(entry, destination int) float64 // the part of a destination's capacity that a link may use
-	classes     []int                                // by descending weight per work
+	usableRatio func(entry, destination int) float64 // part of the destination's capacity that a link may use
+	classes     []int                                // class indexes by descending weight per work
 	routes      []route                              // by ascending latency
-	remaining   []float64                            // capacity that is not assigned, by zone
-	unplaced    [][]float64                          // offered work without a zone, by entry and class
-	assigned    [][][]float64                        // by entry, class and destination
+	remaining   []float64                            // unassigned capacity, by zone
+	unplaced    [][]float64                          // offered work that is not assigned to a zone, by entry and class
+	assigned    [][][]float64                        // assigned work, by entry, class and destination
 }
 
-// allocate splits offered work in three steps: locally while there is capacity; then, by descending weight per work, to the
-// nearest zone with capacity; at last in place of work with less weight. What remains is rejected.
+// allocate splits offered work in three steps. It assigns work locally as far as there is capacity; then, by descending
+// weight per work, to the nearest zone with capacity; and finally in place of work with less weight per work. Work that
+// remains is rejected.
 func (s Settings) allocate(offered [][]float64, capacities []float64, usableRatio func(entry, destination int) float64) Split {
 	a := &allocation{
 		settings: s, capacities: capacities, usableRatio: usableRatio,
@@ -39,6 +40,7 @@
 	return a.split(offered)
 }
 
+// assignLocally assigns work to its zone of entry, by descending weight per work.
 func (a *allocation) assignLocally() {
 	for zone := range a.settings.Zones {
 		for _, class := range a.classes {
@@ -47,6 +49,8 @@
 	}
 }
 
+// assignRemotely assigns the remaining work to other zones, by descending weight per work and ascending latency. It
+// leaves each zone's local reserve free.
 func (a *allocation) assignRemotely() {
 	for _, class := range a.classes {
 		for _, r := range a.routes {
@@ -55,17 +59,17 @@
 	}
 }
 
-// assign moves as much unplaced work over a route as the link's usable ratio and the destination's remaining capacity, less
-// a reserve, allow.
+// assign assigns unplaced work of a class to a route's destination, as much as the link's usable ratio and the
+// destination's remaining capacity above the reserve allow.
 func (a *allocation) assign(class int, r route, reserve float64) {
 	if !a.settings.permitted(a.settings.Classes[class], r.entry, r.destination) {
 		return
 	}
-	onLink := 0.0
+	linkWork := 0.0
 	for _, byZone := range a.assigned[r.entry] {
-		onLink += byZone[r.destination]
+		linkWork += byZone[r.destination]
 	}
-	linkLimit := a.usableRatio(r.entry, r.destination)*a.capacities[r.destination] - onLink
+	linkLimit := a.usableRatio(r.entry, r.destination)*a.capacities[r.destination] - linkWork
 	available := math.Max(math.Min(a.remaining[r.destination]-reserve, linkLimit), 0)
 	work := math.Min(a.unplaced[r.entry][class], available)
 	a.assigned[r.entry][class][r.destination] += work
@@ -73,7 +77,7 @@
 	a.remaining[r.destination] -= work
 }
 
-// displace places remaining work, by descending weight per work, in place of work with less weight per work.
+// displace assigns the remaining work, by descending weight per work, in place of local work with less weight per work.
 func (a *allocation) displace() {
 	for _, class := range a.classes {
 		for _, r := range a.routes {
@@ -82,8 +86,9 @@
 	}
 }
 
-// displaceLighter rejects local work of the destination that has less weight per work than the class, the lightest first,
-// within the destination's capacity for remote work. A link on its recovery ramp displaces nothing.
+// displaceLighter replaces local work of the destination that has less weight per work than the class, the lightest
+// first, as far as the destination's capacity for remote work allows. The replaced work is rejected. Work on a link
+// that has not fully recovered displaces nothing.
 func (a *allocation) displaceLighter(class int, r route) {
 	if a.unplaced[r.entry][class] <= 0 || a.usableRatio(r.entry, r.destination) < 1 {
 		return
@@ -109,7 +114,7 @@
 	}
 }
 
-// remoteWork is the work assigned to a zone from other zones.
+// remoteWork returns the work that is assigned to a zone from other zones.
 func (a *allocation) remoteWork(zone int) float64 {
 	total := 0.0
 	for entry, byClass := range a.assigned {
@@ -123,8 +128,8 @@
 	return total
 }
 
-// split returns the assigned work as ratios of the offered work. A class without offered work stays local, so that its first
-// queries are not rejected.
+// split returns the assigned work as ratios of the offered work. A class without offered work is assigned locally if
+// the zone can serve it, so that its first queries are not rejected.
 func (a *allocation) split(offered [][]float64) Split {
 	split := a.settings.newSplit()
 	for entry := range split {
@@ -143,6 +148,7 @@
 	return split
 }
 
+// servesLocally reports whether a zone can serve work of a class that enters there.
 func (a *allocation) servesLocally(zone, class int) bool {
 	return a.usableRatio(zone, zone) > 0 && a.capacities[zone] > 0 && a.settings.permitted(a.settings.Classes[class], zone, zone)
 }
@@ -159,7 +165,7 @@
 	return classes
 }
 
-// route leads from a zone of entry to a destination zone.
+// route is a pair of a zone of entry and a destination zone.
 type route struct {
 	entry, destination int
 }
--- a/internal/failover/allocation_test.go
+++ b/internal/failover/allocation_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Nothing leaves its zone while that has capacity.
+// Work is not sent to another zone while its zone of entry has capacity.
 func TestWorkStaysLocalWhileThereIsCapacity(t *testing.T) {
 	f := newFleet(t, 6, 0.9)
 	for range 20 {
@@ -17,8 +17,8 @@
 	}
 }
 
-// Whatever is offered, listed and reachable: ratios are valid, no zone gets more than its capacity, classes stay in their allowed
-// zones, and remote work leaves the local reserve.
+// For any offered work, capacities and link states: ratios are valid, no zone gets more than its capacity, classes stay
+// in their allowed zones, and remote work leaves the local reserve free.
 func TestAllocationsStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawAllocationProblem(t)
@@ -36,7 +36,7 @@
 	settings   Settings
 	capacities []float64   // by zone
 	offered    [][]float64 // by entry and class
-	usable     [][]float64 // by entry and zone
+	usable     [][]float64 // usable ratio of each link, by entry and zone
 }
 
 func drawAllocationProblem(t *rapid.T) allocationProblem {
@@ -46,8 +46,8 @@
 		offered: make([][]float64, zones), usable: make([][]float64, zones),
 	}
 	classes := p.settings.Classes
-	if rapid.Bool().Draw(t, "bound") {
-		classes[1].AllowedZones = []int{rapid.IntRange(0, zones-1).Draw(t, "to")}
+	if rapid.Bool().Draw(t, "class 1 is restricted") {
+		classes[1].AllowedZones = []int{rapid.IntRange(0, zones-1).Draw(t, "allowed zone")}
 	}
 	for entry := range zones {
 		p.capacities[entry] = rapid.Float64Range(0, 100).Draw(t, "capacity")
@@ -62,36 +62,36 @@
 	return p
 }
 
-// checkZone checks what a zone gets from each zone of entry and in all.
+// checkZone checks the work that a zone gets over each link, from other zones and in total.
 func (p allocationProblem) checkZone(t *rapid.T, split Split, zone int) {
 	capacity := p.capacities[zone]
 	load, remote := 0.0, 0.0
 	for entry := range p.settings.Zones {
-		onLink := p.checkLink(t, split, entry, zone)
-		load += onLink
+		linkWork := p.checkLink(t, split, entry, zone)
+		load += linkWork
 		if entry != zone {
-			remote += onLink
+			remote += linkWork
 		}
 	}
 	if load > capacity+1e-6 {
-		t.Fatalf("zone %d gets %f of a capacity of %f", zone, load, capacity)
+		t.Fatalf("zone %d gets work of %f, capacity %f", zone, load, capacity)
 	}
 	if remote > (1-localReserveRatio)*capacity+1e-6 {
-		t.Fatalf("zone %d gets %f from others of a capacity of %f", zone, remote, capacity)
+		t.Fatalf("zone %d gets work of %f from other zones, capacity %f", zone, remote, capacity)
 	}
 }
 
-// checkLink checks what one zone sends to another, and returns it.
-func (p allocationProblem) checkLink(t *rapid.T, split Split, entry, zone int) (onLink float64) {
+// checkLink checks the work that one zone sends to another, and returns it.
+func (p allocationProblem) checkLink(t *rapid.T, split Split, entry, zone int) (linkWork float64) {
 	for class := range p.settings.Classes {
 		work := p.offered[entry][class] * split[entry][class][zone]
-		onLink += work
+		linkWork += work
 		if work > 0 && !p.settings.permitted(p.settings.Classes[class], entry, zone) {
-			t.Fatalf("class %d of zone %d is sent to zone %d", class, entry, zone)
+			t.Fatalf("work of class %d from zone %d is sent to zone %d, which is not permitted", class, entry, zone)
 		}
 	}
-	if limit := p.usable[entry][zone] * p.capacities[zone]; onLink > limit+1e-6 {
-		t.Fatalf("%f from zone %d to zone %d, limit %f", onLink, entry, zone, limit)
+	if limit := p.usable[entry][zone] * p.capacities[zone]; linkWork > limit+1e-6 {
+		t.Fatalf("work of %f is sent from zone %d to zone %d, limit %f", linkWork, entry, zone, limit)
 	}
-	return onLink
+	return linkWork
 }
--- a/internal/failover/decider.go
+++ b/internal/failover/decider.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// minPeriodRatio is the part of a period after which Decide counts votes again: below 1, so that a timer that fires a
-// little early skips no period.
+// minPeriodRatio is the part of a period after which Decide counts votes again. It is below 1 so that no period is
+// skipped if a timer fires slightly early.
 const minPeriodRatio = 0.9
 
-// Decider makes the placements of one lease. It is used by the lease holder and discarded with the lease.
+// Decider makes placements. The lease holder creates one for each lease and discards it when the lease ends.
 type Decider struct {
 	settings      Settings
 	fence         uint64
 	epoch         uint64
-	reports       map[string]receivedReport // the newest of each coordinator
+	reports       map[string]receivedReport // newest report of each coordinator, by name
 	listed        []ListedCapacity          // by zone
-	links         [][]link                  // by entry and destination
+	links         [][]link                  // by zone of entry and destination zone
 	overrides     overrideSet
 	lastPlacement Placement
-	countedAt     Millis // when votes were counted last; negative: never
+	countedAt     Millis // when votes were last counted; below 0: never
 }
 
-// NewDecider returns a decider that places under a lease's fencing token. It starts without evidence, with all links in
-// use. The error is of kind ErrInvalidSettings.
+// NewDecider returns a decider whose placements carry the fencing token of a lease. It starts without evidence and with
+// all links fully usable. The error is of kind ErrInvalidSettings.
 func NewDecider(settings Settings, fence uint64) (*Decider, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -44,16 +44,17 @@
 	return d, nil
 }
 
-// AdoptPlacement continues from the placement of an earlier lease, so that a frozen split outlives a change of the lease
-// holder. It ignores one that is invalid or not from an earlier lease.
+// AdoptPlacement continues from the placement of an earlier lease, so that a frozen split stays in effect when the
+// lease holder changes. It ignores a placement that is invalid or not from an earlier lease.
 func (d *Decider) AdoptPlacement(p Placement) {
 	if p.Fence < d.fence && d.settings.ValidatePlacement(p) == nil {
 		d.lastPlacement = p
 	}
 }
 
-// ReceiveReport stores a coordinator's report. An invalid one is an error of kind ErrInvalidReport and changes nothing. One
-// that is not newer than the last is ignored, unless the last has expired: a coordinator that restarts counts anew.
+// ReceiveReport stores a coordinator's report. For an invalid report it returns an error of kind ErrInvalidReport and
+// keeps the last one. A report that is not newer than the last is ignored unless the last has expired, because a
+// restarted coordinator starts its sequence numbers again.
 func (d *Decider) ReceiveReport(now Millis, r Report) error {
 	if err := d.settings.validateReport(r); err != nil {
 		return err
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// UpdateEndpoints sets what the endpoint list says of each zone.
+// UpdateEndpoints sets the capacity of each zone according to the endpoint list.
 func (d *Decider) UpdateEndpoints(listed []ListedCapacity) { d.listed = slices.Clone(listed) }
 
 // SetOverride applies an operator's override. The error is of kind ErrInvalidOverride.
@@ -89,7 +90,8 @@
 	return d.assess(reports, d.settings.countVotes(reports)).health
 }
 
-// Decide returns the placement of this period. Calls within a period decide anew, but count the votes only once.
+// Decide returns the placement of this period. Repeated calls within a period make a new decision each, but count the
+// votes only once.
 func (d *Decider) Decide(now Millis) Placement {
 	d.overrides.expire(now)
 	reports := d.freshReports(now)
@@ -110,7 +112,8 @@
 }
 
 // PlanWithoutZone returns the split that would be decided now if a zone had no capacity, and the ratio of the offered
-// priority weight that it would reject. Operators look at it before an evacuation. A zone that does not exist leaves all.
+// priority weight that it would reject. Operators check it before an evacuation. If the zone does not exist, the plan
+// uses all zones.
 func (d *Decider) PlanWithoutZone(now Millis, zone int) (split Split, rejectedRatio float64) {
 	reports := d.freshReports(now)
 	capacities := d.usableCapacities(now, reports)
@@ -123,7 +126,7 @@
 	return split, d.settings.rejectedWeightRatio(split, offered)
 }
 
-// split decides the traffic split and whether it is a panic split.
+// split returns the traffic split and whether it is a panic split.
 func (d *Decider) split(now Millis, a assessment) (split Split, panics bool) {
 	capacities := d.usableCapacities(now, a.reports)
 	if d.inPanic(a.health) {
@@ -136,7 +139,7 @@
 	return split, false
 }
 
-// allocateToReachable allocates offered work after it has set the capacities of unreachable zones to 0.
+// allocateToReachable sets the capacities of unreachable zones to 0 and then allocates the offered work.
 func (d *Decider) allocateToReachable(offered [][]float64, capacities []float64, health []HealthState) Split {
 	for zone, state := range health {
 		if state == Unreachable {
@@ -156,8 +159,8 @@
 	}
 }
 
-// freshReports drops the reports that have expired and returns the others, in the order of the coordinators' names so that
-// sums do not depend on the map's order.
+// freshReports deletes expired reports and returns the others, ordered by the coordinators' names so that
+// floating-point sums do not depend on the iteration order of the map.
 func (d *Decider) freshReports(now Millis) []receivedReport {
 	var fresh []receivedReport
 	for coordinator, report := range d.reports {
@@ -171,7 +174,7 @@
 	return fresh
 }
 
-// rejectedWeightRatio is the part of the offered priority weight that a split rejects.
+// rejectedWeightRatio returns the part of the offered priority weight that a split rejects.
 func (s Settings) rejectedWeightRatio(split Split, offered [][]float64) float64 {
 	total, served := 0.0, 0.0
 	for entry, byClass := range split {
--- a/internal/failover/decider_test.go
+++ b/internal/failover/decider_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All zones fail over from a lost zone within failoverPeriods, no other zone gets more than its capacity, work with more weight
-// goes first, and the zone returns by the recovery ramp.
+// All zones fail over from a lost zone within failoverPeriods, no other zone gets more than its capacity, work with
+// more weight per work is served first, and the zone returns along the recovery ramp.
 func TestLostZoneFailsOverWithoutOverloadingOthersAndReturnsByRamp(t *testing.T) {
 	f := newFleet(t, 3, 0.75)
 	for range 5 {
@@ -30,32 +30,32 @@
 	}
 	require.Equal(t, Unreachable, f.decider.Health(f.now)[1])
 	_, _, rejected := f.assignedWork(placement)
-	require.Greater(t, rejected, 0.05, "two zones can't do all of three")
-	require.Less(t, rejected, 0.25, "capacities was left unused")
+	require.Greater(t, rejected, 0.05, "two zones cannot serve the work of three")
+	require.Less(t, rejected, 0.25, "usable capacity was left unused")
 	for entry := range placement.Split {
 		lookup, bulk := 0.0, 0.0
 		for zone := range placement.Split[entry][0] {
 			lookup, bulk = lookup+placement.Split[entry][0][zone], bulk+placement.Split[entry][2][zone]
 		}
-		require.GreaterOrEqual(t, lookup, bulk, "work with more weight goes first")
+		require.GreaterOrEqual(t, lookup, bulk, "work with more weight is served first")
 	}
-	f.reachable = nil // it returns
-	was := 0.0
+	f.reachable = nil // the zone returns
+	previousWork := 0.0
 	for i := range initialReturnPeriods + rampPeriods + 4 {
 		work, _, _ := f.assignedWork(f.step())
 		if i > 0 {
-			require.LessOrEqual(t, work[1]-was, 0.2*f.settings.capacity(f.listed[1]), "a step of the recovery ramp")
+			require.LessOrEqual(t, work[1]-previousWork, 0.2*f.settings.capacity(f.listed[1]), "the recovery ramp limits the increase per period")
 		}
-		was = work[1]
+		previousWork = work[1]
 	}
 	_, remote, rejected := f.assignedWork(f.step())
 	require.Zero(t, remote)
 	require.InDelta(t, 0, rejected, 1e-9)
 }
 
-// Where one direction is cut, only the zone that cannot reach the other fails over.
-func TestCutLinkFailsOverAloneAndZoneStaysHealthy(t *testing.T) {
-	f := newFleet(t, 3, 1.2) // each zone needs the others
+// If a link fails in one direction, only the zone that cannot reach the other fails over.
+func TestOneWayLinkFailureFailsOverOnlyThatLink(t *testing.T) {
+	f := newFleet(t, 3, 1.2) // each zone of entry needs capacity of the others
 	f.listed[2].WarmCores = 200
 	f.reachable = func(entry, zone int) bool { return entry != 0 || zone != 2 }
 	var placement Placement
@@ -70,7 +70,7 @@
 	for class := range placement.Split[1] {
 		remote += placement.Split[1][class][2]
 	}
-	require.Greater(t, remote, 0.05, "the others use its capacity")
+	require.Greater(t, remote, 0.05, "other zones use the capacity of zone 2")
 }
 
 func BenchmarkDecide40Zones300Coordinators(b *testing.B) {
--- a/internal/failover/decisions_test.go
+++ b/internal/failover/decisions_test.go
@@ -13,10 +13,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordDecisions writes testdata/decisions.txt anew: go test ./internal/failover -run TestSeededRuns -record-decisions.
-var recordDecisions = flag.Bool("record-decisions", false, "write testdata/decisions.txt from this build")
+// recordDecisions overwrites testdata/decisions.txt: go test ./internal/failover -run TestSeededRuns -record-decisions.
+var recordDecisions = flag.Bool("record-decisions", false, "overwrite testdata/decisions.txt with the decisions of this build")
 
-// Seeded runs over faults, overrides, changes of the endpoint list and wrong reports decide exactly what they did when they were recorded.
+// Seeded runs with faults, overrides, changes of the endpoint list and wrong reports make exactly the recorded
+// decisions.
 func TestSeededRunsDecideAsRecorded(t *testing.T) {
 	const recording = "testdata/decisions.txt"
 	var lines []string
@@ -32,7 +33,8 @@
 	require.Equal(t, string(want), got)
 }
 
-// seededDecisions plays a run of 250 periods and describes each: the zones' states and a checksum of every float that was decided.
+// seededDecisions simulates 250 periods and returns a line for each: the zones' health states and a checksum of
+// all numbers that were decided.
 func seededDecisions(t *testing.T, seed uint64) (lines []string) {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	zones := 1 + int(seed)%6
@@ -47,8 +49,8 @@
 	require.NoError(t, err)
 	faults := newZoneFaults(zones)
 	f.reachable = func(entry, zone int) bool {
-		flappedAway := faults.flapping == zone && f.sequence/9%2 == 1
-		return !faults.cut[entry][zone] && !flappedAway
+		flappedDown := faults.flapping == zone && f.sequence/9%2 == 1
+		return !faults.cut[entry][zone] && !flappedDown
 	}
 	f.distort = func(_ int, report Report) *Report {
 		if zone := faults.lossy; zone >= 0 {
@@ -69,7 +71,7 @@
 		return &report
 	}
 	for step := range 250 {
-		faults.change(f, rng)
+		faults.changeAtRandom(f, rng)
 		placement := f.step()
 		if rng.IntN(4) > 0 {
 			_ = follower.Apply(f.now, placement)
@@ -77,20 +79,20 @@
 		offered := []float64{1000 * rng.Float64(), 5000 * rng.Float64(), 0}
 		followed, decided := follower.Split(f.now+3000*rng.Float64(), f.listed, offered, 1+rng.IntN(20))
 		planned, rejected := f.decider.PlanWithoutZone(f.now, rng.IntN(zones+1)-1)
-		all, err := json.Marshal([]any{placement, followed, decided, planned, rejected})
+		decisions, err := json.Marshal([]any{placement, followed, decided, planned, rejected})
 		require.NoError(t, err)
-		checksum := sha256.Sum256(all)
+		checksum := sha256.Sum256(decisions)
 		lines = append(lines, fmt.Sprintf("seed %d step %d %v panic=%v %x", seed, step, f.decider.Health(f.now), placement.Panic, checksum[:8]))
 	}
 	return lines
 }
 
-// zoneFaults are the faults that are in force in a seeded run; a zone of -1 is none.
+// zoneFaults holds the faults that are active in a seeded run; a zone of -1 means no such fault.
 type zoneFaults struct {
-	cut              [][]bool // by the zone that can't reach and the zone it can't reach
+	cut              [][]bool // by zone of entry and the zone that it cannot reach
 	flapping         int
 	lossy            int
-	lossyObservation Observation // what all report of the lossy zone
+	lossyObservation Observation // observation that all reports contain for the lossy zone
 	slow             int
 	latencyLogRatio  float64
 }
@@ -103,8 +105,9 @@
 	return faults
 }
 
-// change draws now and then a change of the faults, the endpoint list, the offered work, the operators' overrides or the decider.
-func (faults *zoneFaults) change(f *fleet, rng *rand.Rand) {
+// changeAtRandom randomly changes the faults, the endpoint list, the offered work, the overrides or the decider, or
+// nothing.
+func (faults *zoneFaults) changeAtRandom(f *fleet, rng *rand.Rand) {
 	zones := len(faults.cut)
 	switch rng.IntN(45) {
 	case 0:
--- a/internal/failover/demand.go
+++ b/internal/failover/demand.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	// maxReportMultiple bounds what one report may claim, as a multiple of the median report: some coordinators do get
-	// several times the usual traffic, but a wrong report must not empty a zone.
+	// maxReportMultiple limits the offered work of one report, as a multiple of the median report: some coordinators do
+	// get several times the usual traffic, but a wrong report must not move a zone's work away.
 	maxReportMultiple = 8.0
-	// minReportsToBound is the number of reports from which a median says what is usual.
-	minReportsToBound = 3
-	// overloadLatencyRatio is the latency, as a multiple of its best, from which a coordinator confirms an overload.
+	// minReportsForLimit is the number of reports from which their median is representative and the limit applies.
+	minReportsForLimit = 3
+	// overloadLatencyRatio is the latency, as a multiple of the zone's best latency, above which a coordinator's
+	// observation confirms an overload.
 	overloadLatencyRatio = 1.5
 )
 
-// offeredWork sums the reports' work by zone of entry and class, in core-ms per second.
+// offeredWork returns the sum of the reports' offered work by zone of entry and class, in core-ms per second. It scales
+// down reports above maxReportMultiple times the median.
 func (d *Decider) offeredWork(reports []receivedReport) [][]float64 {
 	totals := make([]float64, len(reports))
 	for i, report := range reports {
@@ -28,7 +30,7 @@
 	}
 	for i, report := range reports {
 		ratio := 1.0
-		if len(reports) >= minReportsToBound && totals[i] > limit {
+		if len(reports) >= minReportsForLimit && totals[i] > limit {
 			ratio = limit / totals[i]
 		}
 		for class, work := range report.OfferedWork {
@@ -38,8 +40,9 @@
 	return offered
 }
 
-// limitUnconfirmedOverload reduces the work offered in a zone to the zone's capacity, unless most of the coordinators that
-// send there confirm the overload. Otherwise a few wrong reports could move a zone's work away.
+// limitUnconfirmedOverload reduces the work offered in a zone to the zone's capacity unless most of the coordinators
+// with answers from the zone confirm the overload. Otherwise a few wrong reports could move a zone's work to other
+// zones.
 func limitUnconfirmedOverload(offered [][]float64, capacities []float64, reports []receivedReport) {
 	for entry, byClass := range offered {
 		total := sum(byClass)
@@ -52,19 +55,19 @@
 	}
 }
 
-// overloadConfirmed reports whether a majority of the coordinators that got answers from a zone saw capacity rejections or
-// raised latency there.
+// overloadConfirmed reports whether a majority of the coordinators with answers from a zone observed capacity
+// rejections or increased latency there.
 func overloadConfirmed(zone int, reports []receivedReport) bool {
-	confirming, witnesses := 0, 0
+	confirming, withAnswers := 0, 0
 	for _, report := range reports {
 		observation := report.Observations[zone]
 		if observation.Answers == 0 {
 			continue
 		}
-		witnesses++
+		withAnswers++
 		if observation.CapacityRejections > 0 || observation.LatencyLogRatio > math.Log(overloadLatencyRatio) {
 			confirming++
 		}
 	}
-	return 2*confirming > witnesses
+	return 2*confirming > withAnswers
 }
--- a/internal/failover/errors.go
+++ b/internal/failover/errors.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Kinds of errors of this package, for errors.Is.
+// Kinds of errors of this package, to be checked with errors.Is.
 var (
 	ErrInvalidSettings  = errors.New("invalid settings")
 	ErrInvalidReport    = errors.New("invalid report")
 	ErrInvalidPlacement = errors.New("invalid placement")
 	ErrInvalidOverride  = errors.New("invalid override")
-	// ErrStalePlacement: the placement is not newer than the one that was applied last.
+	// ErrStalePlacement means that the placement is not newer than the one that was applied last.
 	ErrStalePlacement = errors.New("stale placement")
 )
 
-// FieldError names the field that made a value invalid. It wraps the kind of the error.
+// FieldError names the field that makes a value invalid. It wraps the kind of the error.
 type FieldError struct {
 	Kind   error  // one of this package's ErrInvalid errors
 	Field  string // path of the field, such as zones[2].way[0]
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// What makes a zone unreachable to one coordinator in one period.
+// Thresholds from which a zone counts as unreachable to one coordinator in one period.
 const (
-	minFailures          = 2   // a single failure may be chance
+	minFailures          = 2   // a single failure may be coincidence
 	minFailuresPerAnswer = 4.0 // a zone that still answers some attempts is overloaded rather than unreachable
 )
 
-// vote is what one report says of one zone.
+// vote is the verdict of one report on one zone.
 type vote int
 
 const (
-	abstain vote = iota // too few attempts to say anything
+	abstain vote = iota // too few attempts for a verdict
 	reachable
 	unreachable
 )
 
-// vote classifies an observation.
+// vote returns the vote that follows from an observation.
 func (o Observation) vote() vote {
 	if o.Failures >= minFailures && float64(o.Failures) >= minFailuresPerAnswer*float64(o.Answers) {
 		return unreachable
@@ -28,7 +28,8 @@
 	return abstain
 }
 
-// isolated reports whether a coordinator is cut off itself: it tries at least two zones and reaches none of them.
+// isolated reports whether the coordinator itself is probably disconnected: it has a verdict on at least two zones and
+// reaches none of them.
 func (r Report) isolated() bool {
 	tried, failed := 0, 0
 	for _, observation := range r.Observations {
@@ -61,8 +62,8 @@
 
 func (t tally) empty() bool { return t.reachable+t.unreachable == 0 }
 
-// countVotes returns the votes by the voters' zone and the zone voted on. Each coordinator has one vote, so that a
-// wrong report cannot decide alone. Isolated coordinators have none while others of their zone are not isolated.
+// countVotes returns the votes by zone of the voters and zone voted on. Each coordinator has one vote, so that a single
+// wrong report does not decide. Isolated coordinators have no vote while others of their zone are not isolated.
 func (s Settings) countVotes(reports []receivedReport) [][]tally {
 	connected := make([]bool, len(s.Zones))
 	isolated := make([]bool, len(reports))
@@ -87,8 +88,8 @@
 	return votes
 }
 
-// medianLatencyLogRatio is the median of the coordinators' log latency ratios of a zone, which one wrong report cannot
-// move far. It is 0 without reports.
+// medianLatencyLogRatio returns the median of the coordinators' log latency ratios for a zone, which one wrong report
+// cannot change much. It returns 0 without answers from the zone.
 func medianLatencyLogRatio(zone int, reports []receivedReport) float64 {
 	var ratios []float64
 	for _, report := range reports {
--- a/internal/failover/evidence_test.go
+++ b/internal/failover/evidence_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One coordinator that reports all zones unreachable, is isolated, claims any traffic, repeats old reports or sends invalid ones
-// changes nothing.
-func TestOneWrongReporterChangesNothing(t *testing.T) {
+// A single coordinator that reports all zones unreachable, is isolated, claims excessive work, repeats old reports or
+// sends invalid ones does not change the decisions.
+func TestOneFaultyCoordinatorDoesNotChangeDecisions(t *testing.T) {
 	for name, distort := range map[string]func(report Report) *Report{
 		"all others unreachable": func(report Report) *Report {
 			for zone := range report.Observations {
@@ -25,12 +25,12 @@
 			}
 			return &report
 		},
-		"stuck":   func(report Report) *Report { report.Sequence = 1; return &report },
-		"silent":  func(Report) *Report { return nil },
-		"greedy":  func(report Report) *Report { report.OfferedWork = []float64{1e9, 1e9, 1e9}; return &report },
-		"absurd":  func(report Report) *Report { report.OfferedWork = []float64{math.Inf(1), 0, 0}; return &report },
-		"foreign": func(report Report) *Report { report.Zone = 99; return &report },
-		"short":   func(report Report) *Report { report.Observations = report.Observations[:1]; return &report },
+		"repeated sequence number": func(report Report) *Report { report.Sequence = 1; return &report },
+		"no reports":               func(Report) *Report { return nil },
+		"excessive work":           func(report Report) *Report { report.OfferedWork = []float64{1e9, 1e9, 1e9}; return &report },
+		"infinite work":            func(report Report) *Report { report.OfferedWork = []float64{math.Inf(1), 0, 0}; return &report },
+		"unknown zone":             func(report Report) *Report { report.Zone = 99; return &report },
+		"missing observations":     func(report Report) *Report { report.Observations = report.Observations[:1]; return &report },
 	} {
 		f := newFleet(t, 3, 0.8)
 		f.distort = func(coordinator int, report Report) *Report {
--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -9,7 +9,8 @@
 
 const period = 500.0
 
-// testSettings returns settings for zones of 3 to a region, 2 ms apart, and regions 60 ms apart.
+// testSettings returns settings with three zones per region. Zones of a region are 2 ms apart, zones of different
+// regions 60 ms.
 func testSettings(zones int) Settings {
 	s := Settings{
 		Period: period, PlacementTTL: 3000, WarmupInitialRatio: 0.3, WarmupDuration: 10000,
@@ -34,7 +35,7 @@
 	return s
 }
 
-// fleet simulates coordinators, a few in each zone, that report what they can reach.
+// fleet simulates coordinators, several in each zone, that report which zones they can reach.
 type fleet struct {
 	t                   *testing.T
 	settings            Settings
@@ -42,10 +43,10 @@
 	now                 Millis
 	sequence            uint64
 	coordinatorsPerZone int
-	offered             []float64                                    // by class, of one coordinator, core-ms per second
+	offered             []float64                                    // by class, work offered to one coordinator, in core-ms per second
 	listed              []ListedCapacity                             // by zone
-	reachable           func(entry, zone int) bool                   // nil: everything
-	distort             func(coordinator int, report Report) *Report // nil: no report is wrong; a nil report is not sent
+	reachable           func(entry, zone int) bool                   // nil: all zones are reachable
+	distort             func(coordinator int, report Report) *Report // changes reports, if set; a nil result is not sent
 }
 
 func newFleet(t *testing.T, zones int, load float64) *fleet {
@@ -62,7 +63,7 @@
 	return f
 }
 
-// step lets a period pass and returns its placement.
+// step simulates one period and returns its placement.
 func (f *fleet) step() Placement {
 	f.now += period
 	f.sequence++
@@ -99,10 +100,10 @@
 		}
 		report = *distorted
 	}
-	_ = f.decider.ReceiveReport(f.now, report) // an invalid one is dropped, as some tests want
+	_ = f.decider.ReceiveReport(f.now, report) // some tests send invalid reports, which the decider drops
 }
 
-// offeredPerZone is the work that enters one zone, in core-ms per second.
+// offeredPerZone returns the work that enters one zone, in core-ms per second.
 func (f *fleet) offeredPerZone() (total float64) {
 	for _, work := range f.offered {
 		total += work * float64(f.coordinatorsPerZone)
@@ -110,8 +111,8 @@
 	return total
 }
 
-// assignedWork returns what a placement sends to each zone, in core-ms per second, and the ratios of the offered work that
-// leave their zone of entry and that are rejected.
+// assignedWork returns the work that a placement sends to each zone, in core-ms per second, and the ratios of the
+// offered work that leave their zone of entry and that are rejected.
 func (f *fleet) assignedWork(placement Placement) (work []float64, remote, rejected float64) {
 	work = make([]float64, len(f.settings.Zones))
 	offered := 0.0
@@ -131,7 +132,8 @@
 	return work, remote / offered, rejected / offered
 }
 
-// unreachableZone returns a reachable function by which no zone, itself included, reaches one zone.
+// unreachableZone returns a function for fleet.reachable with which no zone, not even the zone itself, reaches the
+// zone.
 func unreachableZone(zone int) func(int, int) bool {
 	return func(_, destination int) bool { return destination != zone }
 }
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Follower is the coordinator's side. It applies the newest placement until the placement's TTL ends, and a local rule
-// without one.
+// Follower runs in each coordinator. It applies the newest placement until the placement's TTL ends, and a local rule
+// while no placement is in effect.
 type Follower struct {
 	settings  Settings
 	entryZone int
@@ -14,9 +14,9 @@
 	expiresAt Millis
 }
 
-// NewFollower returns a follower for the zone where a coordinator's clients enter. Applied is the newest placement that an
-// earlier run of the coordinator has applied, of which only fence and epoch count: a restart must not go back behind it.
-// The error is of kind ErrInvalidSettings.
+// NewFollower returns a follower for the zone where a coordinator's clients enter. The parameter applied is the newest
+// placement that an earlier run of the coordinator applied; only its fence and epoch are used, so that a restarted
+// coordinator applies no older placement. The error is of kind ErrInvalidSettings.
 func NewFollower(settings Settings, entryZone int, applied Placement) (*Follower, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -30,9 +30,9 @@
 	}, nil
 }
 
-// Apply takes a placement into force. One that is invalid (ErrInvalidPlacement) or not newer than the last
-// (ErrStalePlacement) is an error, and the last one stays in force. The caller stores fence and epoch durably before it
-// acts on the placement.
+// Apply puts a placement into effect. It returns an error if the placement is invalid (ErrInvalidPlacement) or not
+// newer than the last one (ErrStalePlacement), and the last one stays in effect. The caller stores fence and epoch
+// durably before it acts on the placement.
 func (f *Follower) Apply(now Millis, p Placement) error {
 	if err := f.settings.ValidatePlacement(p); err != nil {
 		return err
@@ -49,9 +49,10 @@
 // Applied returns the fencing token and epoch of the newest placement that was applied.
 func (f *Follower) Applied() (fence, epoch uint64) { return f.placement.Fence, f.placement.Epoch }
 
-// Split returns the ratios of the destination zones by class for work that enters here. Decided reports whether they are
-// from a placement; without one in force they are from the local rule, for which the caller gives the endpoint list, the
-// work offered here by class in core-ms per second, and the number of coordinators.
+// Split returns, by class, the ratios of the destination zones for work that enters at this coordinator. The result
+// decided reports whether they come from a placement. While no placement is in effect they come from the local rule,
+// for which the caller passes the endpoint list, the work offered to this coordinator by class in core-ms per second,
+// and the number of coordinators.
 func (f *Follower) Split(now Millis, listed []ListedCapacity, offered []float64, coordinators int) (byClass [][]float64, decided bool) {
 	if now < f.expiresAt {
 		return f.placement.Split[f.entryZone], true
@@ -59,8 +60,8 @@
 	return f.localSplit(listed, sum(offered), coordinators), false
 }
 
-// localSplit keeps work in the zone of entry. If that has no capacity, this coordinator takes its part of what other zones
-// reserve, so that all coordinators together stay within the reserve even when none hears of another.
+// localSplit keeps work in the zone of entry. If that zone has no capacity, it admits this coordinator's equal part of
+// the reserve of the other zones, so that all coordinators together stay within the reserve even without communication.
 func (f *Follower) localSplit(listed []ListedCapacity, offered float64, coordinators int) [][]float64 {
 	capacities := f.capacities(listed)
 	total := sum(capacities)
@@ -84,7 +85,7 @@
 	return byClass
 }
 
-// capacities returns the capacity of each zone; a zone that is missing in the list has none.
+// capacities returns the capacity of each zone; a zone that is missing from the list has none.
 func (f *Follower) capacities(listed []ListedCapacity) []float64 {
 	capacities := make([]float64, len(f.settings.Zones))
 	for zone := range min(len(listed), len(capacities)) {
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A follower never applies an older placement, across a restart too, and after the TTL it stays local or takes its part of the
-// reserve.
+// A follower never applies an older placement, not even after a restart. After the TTL it keeps work local, or sends
+// its part of the reserve to other zones if the local zone has no capacity.
 func TestFollowerNeverAppliesAnOlderPlacement(t *testing.T) {
 	s := testSettings(3)
 	remote := make([][][]float64, 3)
@@ -26,17 +26,17 @@
 		require.ErrorIs(t, f.Apply(1, old), ErrStalePlacement)
 	}
 	require.ErrorIs(t, f.Apply(1, Placement{Fence: 4, Epoch: 1, TTL: 3000, Split: remote[:2]}), ErrInvalidPlacement)
-	over := [][][]float64{remote[0], remote[1], {{1, 0.5, 0}, {1, 0, 0}, {1, 0, 0}}}
-	require.ErrorIs(t, f.Apply(1, Placement{Fence: 4, Epoch: 1, TTL: 3000, Split: over}), ErrInvalidPlacement)
+	overfullSplit := [][][]float64{remote[0], remote[1], {{1, 0.5, 0}, {1, 0, 0}, {1, 0, 0}}}
+	require.ErrorIs(t, f.Apply(1, Placement{Fence: 4, Epoch: 1, TTL: 3000, Split: overfullSplit}), ErrInvalidPlacement)
 	listed := []ListedCapacity{{WarmCores: 10}, {WarmCores: 10}, {WarmCores: 20}}
 	split, decided := f.Split(2999, listed, []float64{1, 1, 1}, 12)
 	require.True(t, decided)
 	require.Equal(t, 1.0, split[0][1])
 	split, decided = f.Split(3000, listed, []float64{1, 1, 1}, 12)
-	require.False(t, decided, "its TTL has ended")
+	require.False(t, decided, "the placement's TTL has ended")
 	require.Equal(t, []float64{1, 0, 0}, split[0])
 	listed[0].WarmCores = 0
-	offered := s.capacity(listed[2]) // of one coordinator
+	offered := s.capacity(listed[2]) // offered work of one coordinator
 	split, _ = f.Split(3000, listed, []float64{offered, 0, 0}, 12)
 	admitted := split[0][1] + split[0][2]
 	require.LessOrEqual(t, admitted*offered*12, localReserveRatio*(s.capacity(listed[1])+s.capacity(listed[2]))+1e-6, "all coordinators together stay within the reserve")
--- a/internal/failover/health.go
+++ b/internal/failover/health.go
@@ -2,31 +2,31 @@
 
 import "math"
 
-// slowLatencyRatio is the latency, as a multiple of its best, above which a zone counts as slow and its capacity is
-// reduced.
+// slowLatencyRatio is the latency, as a multiple of the zone's best latency, above which a zone counts as slow and its
+// capacity is reduced.
 const slowLatencyRatio = 2.0
 
-// HealthState is the state of a zone as the fleet sees it. A zone that some zones cannot reach and others can is healthy:
-// only the links to it fail over.
+// HealthState is the state of a zone as the fleet sees it. A zone that only some zones can reach is not unreachable:
+// only the links from the others fail over.
 type HealthState string
 
-// The health states. Their values stand in messages.
+// Health states. Their values are part of messages.
 const (
 	Healthy     HealthState = "well"
-	Slow        HealthState = "slow"   // answers late, and has less capacity
-	Unreachable HealthState = "dead"   // each zone with evidence has failed over from it
-	NoEndpoints HealthState = "empty"  // the endpoint list names no capacity there
-	Unknown     HealthState = "unsure" // no recent evidence
+	Slow        HealthState = "slow"   // answers slowly; its capacity is reduced
+	Unreachable HealthState = "dead"   // all zones with evidence about it have failed over from it
+	NoEndpoints HealthState = "empty"  // the endpoint list has no capacity there
+	Unknown     HealthState = "unsure" // there is no recent evidence
 )
 
-// assessment is the evidence of one instant and what follows from it.
+// assessment holds the evidence at one time and the health states that follow from it.
 type assessment struct {
 	reports []receivedReport
-	votes   [][]tally     // by the voters' zone and the zone voted on
+	votes   [][]tally     // by zone of the voters and zone voted on
 	health  []HealthState // by zone
 }
 
-// assess evaluates reports and votes; it changes nothing.
+// assess derives the zones' health states from reports and votes. It does not change the decider.
 func (d *Decider) assess(reports []receivedReport, votes [][]tally) assessment {
 	a := assessment{reports: reports, votes: votes, health: make([]HealthState, len(d.settings.Zones))}
 	for zone := range a.health {
@@ -39,21 +39,21 @@
 	if d.settings.capacity(d.listed[zone]) <= 0 {
 		return NoEndpoints
 	}
-	witnesses, failedOver := 0, 0
+	zonesWithEvidence, failedOver := 0, 0
 	for from := range d.links {
-		failed := d.links[from][zone].failedOver
-		if votes[from][zone].empty() && !failed {
+		linkFailedOver := d.links[from][zone].failedOver
+		if votes[from][zone].empty() && !linkFailedOver {
 			continue
 		}
-		witnesses++
-		if failed {
+		zonesWithEvidence++
+		if linkFailedOver {
 			failedOver++
 		}
 	}
 	switch {
-	case witnesses == 0:
+	case zonesWithEvidence == 0:
 		return Unknown
-	case failedOver == witnesses:
+	case failedOver == zonesWithEvidence:
 		return Unreachable
 	case medianLatencyLogRatio(zone, reports) > math.Log(slowLatencyRatio):
 		return Slow
--- a/internal/failover/link.go
+++ b/internal/failover/link.go
@@ -2,30 +2,30 @@
 
 import "math"
 
-// When a link fails over and when it is used again, in periods (see Settings.Period).
+// Thresholds of a link's failover and recovery, in periods (see Settings.Period).
 const (
-	failoverPeriods      = 2   // unreachable in a row before failover
-	initialReturnPeriods = 6   // reachable in a row before the return after a first failure; doubles with each further one
-	maxReturnDoublings   = 6   // bounds the wait for a zone that flaps
-	forgivePeriods       = 120 // without a failure, after which earlier ones no longer count
-	rampPeriods          = 10  // over which work returns
+	failoverPeriods      = 2   // consecutive unreachable periods before failover
+	initialReturnPeriods = 6   // consecutive reachable periods before the return; doubles with each further failure
+	maxReturnDoublings   = 6   // limits the wait for a flapping zone
+	failureMemoryPeriods = 120 // periods without a failure after which earlier failures no longer count
+	rampPeriods          = 10  // periods over which work returns
 )
 
 // link is the state of the traffic from one zone to another, or from a zone to itself. It fails over after
-// failoverPeriods, returns with hysteresis, and then carries more with each period (recovery ramp).
+// failoverPeriods, returns with hysteresis, and then carries more work with each period (recovery ramp).
 type link struct {
-	unreachablePeriods int  // in a row
-	reachablePeriods   int  // in a row
-	failedOver         bool // carries no work
-	failures           int  // failovers that are not yet forgiven
+	unreachablePeriods int  // consecutive periods in which most votes were unreachable
+	reachablePeriods   int  // consecutive periods in which most votes were reachable
+	failedOver         bool // the link carries no work but trial traffic
+	failures           int  // failovers that still count
 	lastFailureAt      Millis
-	recovered          float64 // position on the recovery ramp; 1: all of the capacity may be used
+	recovered          float64 // part of the destination's capacity that the recovery ramp allows; 1: all
 }
 
-// update counts the votes of one period and moves the link's state.
+// update counts the votes of one period and updates the link's state.
 func (l *link) update(now Millis, votes tally, period Millis) {
 	l.countPeriod(now, votes)
-	if l.failures > 0 && now-l.lastFailureAt > forgivePeriods*period {
+	if l.failures > 0 && now-l.lastFailureAt > failureMemoryPeriods*period {
 		l.failures = 0
 	}
 	if !l.failedOver && l.unreachablePeriods >= failoverPeriods {
@@ -41,27 +41,27 @@
 	}
 }
 
-// countPeriod counts the period for the majority of the votes, and for neither side on a tie.
+// countPeriod counts the period as reachable or unreachable by the majority of the votes, and as neither on a tie.
 func (l *link) countPeriod(now Millis, votes tally) {
 	switch {
 	case votes.unreachable > votes.reachable:
 		l.unreachablePeriods++
 		l.reachablePeriods = 0
-		l.lastFailureAt = now // no forgiveness while failures continue
+		l.lastFailureAt = now // earlier failures keep counting while failures continue
 	case votes.reachable > votes.unreachable:
 		l.unreachablePeriods = 0
 		l.reachablePeriods++
 	}
 }
 
-// returnPeriods is how many reachable periods in a row end the failover: twice as many after each failure, so that a
-// flapping zone is returned to rarely.
+// returnPeriods returns how many consecutive reachable periods end the failover. The number doubles with each failure,
+// so that work rarely returns to a flapping zone.
 func (l *link) returnPeriods() float64 {
 	doublings := min(max(l.failures-1, 0), maxReturnDoublings)
 	return initialReturnPeriods * math.Exp2(float64(doublings))
 }
 
-// usableRatio is the part of the destination's capacity that the link may use.
+// usableRatio returns the part of the destination's capacity that the link may use.
 func (l *link) usableRatio() float64 {
 	if l.failedOver {
 		return 0
--- a/internal/failover/link_test.go
+++ b/internal/failover/link_test.go
@@ -6,28 +6,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A zone that flaps every few seconds fails over few times: each return takes twice as long as the one before.
+// A zone that flaps every few seconds fails over rarely, because each return takes twice as long as the one before.
 func TestFlappingZoneFailsOverRarely(t *testing.T) {
 	f := newFleet(t, 3, 0.6)
-	changes, was := 0, false
+	changes, wasFailedOver := 0, false
 	const periods = 400
 	for i := range periods {
 		f.reachable = nil
-		if i/8%2 == 1 { // four seconds up, four down
+		if i/8%2 == 1 { // four seconds reachable, four seconds unreachable
 			f.reachable = unreachableZone(1)
 		}
 		f.step()
-		if is := f.decider.links[0][1].failedOver; is != was {
-			changes, was = changes+1, is
+		if isFailedOver := f.decider.links[0][1].failedOver; isFailedOver != wasFailedOver {
+			changes, wasFailedOver = changes+1, isFailedOver
 		}
 	}
-	require.LessOrEqual(t, changes, 6, "25 times up and down in %d periods", periods)
+	require.LessOrEqual(t, changes, 6, "the zone flapped 25 times in %d periods", periods)
 }
 
-// The return after a failure takes twice as long as after the one before, until earlier failures are forgiven.
-func TestReturnDelayDoublesUntilFailuresAreForgiven(t *testing.T) {
+// The return after a failure takes twice as long as after the one before, until earlier failures no longer count.
+func TestReturnDelayDoublesUntilFailuresExpire(t *testing.T) {
 	f := newFleet(t, 3, 0.6)
-	goodPeriods := []int{}
+	periodsToReturn := []int{}
 	for range 6 {
 		f.reachable = unreachableZone(1)
 		for range failoverPeriods {
@@ -35,12 +35,12 @@
 		}
 		require.True(t, f.decider.links[0][1].failedOver)
 		f.reachable = nil
-		good := 0
+		reachablePeriods := 0
 		for f.decider.links[0][1].failedOver {
 			f.step()
-			good++
+			reachablePeriods++
 		}
-		goodPeriods = append(goodPeriods, good)
+		periodsToReturn = append(periodsToReturn, reachablePeriods)
 	}
-	require.Equal(t, []int{6, 12, 24, 48, 96, forgivePeriods + 1}, goodPeriods)
+	require.Equal(t, []int{6, 12, 24, 48, 96, failureMemoryPeriods + 1}, periodsToReturn)
 }
--- a/internal/failover/message_test.go
+++ b/internal/failover/message_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireSameMessage reads a message as it was written before, strictly, compares it with what it means and writes it again byte for byte.
+// requireSameMessage strictly decodes a recorded message, compares it with the wanted value and requires that encoding
+// it gives the same bytes.
 func requireSameMessage[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	recorded, err := os.ReadFile(filepath.Join("testdata", name))
@@ -41,12 +42,12 @@
 	t.Run("override", func(t *testing.T) {
 		requireSameMessage(t, "override.json", Override{Kind: Evacuate, Zone: 2, RampDown: 5000, TTL: 60000})
 	})
-	t.Run("override without end", func(t *testing.T) {
+	t.Run("override without a TTL", func(t *testing.T) {
 		requireSameMessage(t, "override-freeze.json", Override{Kind: Freeze})
 	})
 }
 
-func TestConstantValuesAreThoseOnTheWire(t *testing.T) {
+func TestConstantsKeepTheirEncodedValues(t *testing.T) {
 	require.Equal(t, []OverrideKind{"evacuate", "return", "freeze", "thaw"}, []OverrideKind{Evacuate, Return, Freeze, Thaw})
 	require.Equal(t, []HealthState{"well", "slow", "dead", "empty", "unsure"}, []HealthState{Healthy, Slow, Unreachable, NoEndpoints, Unknown})
 }
--- a/internal/failover/override.go
+++ b/internal/failover/override.go
@@ -5,39 +5,40 @@
 	"slices"
 )
 
-// OverrideKind is what an operator orders.
+// OverrideKind is the kind of an operator's override.
 type OverrideKind string
 
-// The kinds of overrides. Their values stand in messages and commands.
+// Kinds of overrides. Their values are part of messages and operators' commands.
 const (
-	Evacuate OverrideKind = "evacuate" // reduces a zone's capacity to nothing over RampDown
-	Return   OverrideKind = "return"   // ends an evacuation; work returns by the recovery ramp
-	Freeze   OverrideKind = "freeze"   // repeats the last split
+	Evacuate OverrideKind = "evacuate" // reduces a zone's capacity to 0 over RampDown
+	Return   OverrideKind = "return"   // ends an evacuation; work returns along the recovery ramp
+	Freeze   OverrideKind = "freeze"   // keeps the last split
 	Thaw     OverrideKind = "thaw"     // ends a freeze
 )
 
-// Override is an operator's order. It takes precedence over evidence.
+// Override is an operator's command that takes precedence over the evidence in reports.
 type Override struct {
 	Kind     OverrideKind `json:"kind"`
-	Zone     int          `json:"zone"`           // for Evacuate and Return
-	RampDown Millis       `json:"over,omitempty"` // for Evacuate; 0: at once
-	TTL      Millis       `json:"for,omitempty"`  // after which the override ends; 0: it stays
+	Zone     int          `json:"zone"`           // used by Evacuate and Return
+	RampDown Millis       `json:"over,omitempty"` // used by Evacuate, in ms; 0: at once
+	TTL      Millis       `json:"for,omitempty"`  // time in ms after which the override ends; 0: no limit
 }
 
-func (o Override) concernsFreeze() bool { return o.Kind == Freeze || o.Kind == Thaw }
+// isFreezeOrThaw reports whether o starts or ends a freeze.
+func (o Override) isFreezeOrThaw() bool { return o.Kind == Freeze || o.Kind == Thaw }
 
-// replaces reports whether o takes the place of an earlier override: a freeze or thaw of the freeze, any other of the same
-// zone's.
+// replaces reports whether o replaces an earlier override: a freeze or thaw replaces a freeze or thaw, and any other
+// override replaces that of the same zone.
 func (o Override) replaces(earlier Override) bool {
-	if o.concernsFreeze() || earlier.concernsFreeze() {
-		return o.concernsFreeze() == earlier.concernsFreeze()
+	if o.isFreezeOrThaw() || earlier.isFreezeOrThaw() {
+		return o.isFreezeOrThaw() == earlier.isFreezeOrThaw()
 	}
 	return o.Zone == earlier.Zone
 }
 
 func (s Settings) validateOverride(o Override) error {
 	if !slices.Contains([]OverrideKind{Evacuate, Return, Freeze, Thaw}, o.Kind) {
-		return invalidField(ErrInvalidOverride, "kind", "%q is not evacuate, return, freeze or thaw", o.Kind)
+		return invalidField(ErrInvalidOverride, "kind", "%q is unknown; must be evacuate, return, freeze or thaw", o.Kind)
 	}
 	if !s.hasZone(o.Zone) {
 		return invalidField(ErrInvalidOverride, "zone", "zone %d does not exist", o.Zone)
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// activeOverride is an evacuation or a freeze that is in force.
+// activeOverride is an evacuation or a freeze that is in effect.
 type activeOverride struct {
 	Override
 	since Millis
@@ -54,7 +55,7 @@
 // overrideSet holds at most one freeze and one evacuation for each zone.
 type overrideSet []activeOverride
 
-// set applies an override that was validated.
+// set applies a validated override.
 func (s *overrideSet) set(now Millis, o Override) {
 	*s = slices.DeleteFunc(*s, func(active activeOverride) bool { return o.replaces(active.Override) })
 	if o.Kind == Evacuate || o.Kind == Freeze {
@@ -70,7 +71,7 @@
 	return slices.ContainsFunc(s, func(active activeOverride) bool { return active.Kind == Freeze })
 }
 
-// capacityRatio is the part of a zone's capacity that overrides leave.
+// capacityRatio returns the part of a zone's capacity that remains usable under the overrides.
 func (s overrideSet) capacityRatio(now Millis, zone int) float64 {
 	for _, active := range s {
 		if active.Kind != Evacuate || active.Zone != zone {
--- a/internal/failover/panic.go
+++ b/internal/failover/panic.go
@@ -1,7 +1,7 @@
 package failover
 
-// panicCapacityRatio is the panic threshold: where less of the listed capacity is reachable, the evidence is more likely
-// wrong than the fleet is lost, and all zones are used.
+// panicCapacityRatio is the panic threshold. If a smaller part of the listed capacity is reachable, wrong evidence is
+// more likely than the loss of that many engines, and all zones are used.
 const panicCapacityRatio = 0.5
 
 // inPanic reports whether the reachable part of the listed capacity is below the panic threshold.
@@ -17,7 +17,7 @@
 	return listed > 0 && usable < panicCapacityRatio*listed
 }
 
-// panicSplit splits all work in proportion to the zones' capacities, whatever their health.
+// panicSplit splits all work in proportion to the zones' capacities, regardless of their health.
 func (s Settings) panicSplit(capacities []float64) Split {
 	split := s.newSplit()
 	for entry, byClass := range split {
@@ -28,7 +28,8 @@
 	return split
 }
 
-// splitByCapacity sets the ratios of one zone of entry and class.
+// splitByCapacity sets the ratios of one zone of entry and class in proportion to the capacities of the permitted
+// zones.
 func (s Settings) splitByCapacity(ratios []float64, class Class, entry int, capacities []float64) {
 	permitted := 0.0
 	for zone, capacity := range capacities {
--- a/internal/failover/panic_test.go
+++ b/internal/failover/panic_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Where the evidence leaves less than half of the capacity, every zone is used. That all reports stop at once changes nothing.
+// If the evidence leaves less than half of the capacity reachable, all zones are used. If all reports stop at once,
+// work is not rejected.
 func TestPanicUsesAllZones(t *testing.T) {
 	f := newFleet(t, 3, 0.5)
 	f.step()
@@ -14,9 +15,9 @@
 	for range 10 {
 		placement := f.step()
 		work, _, rejected := f.assignedWork(placement)
-		require.InDelta(t, 0, rejected, 1e-9, "rejected in panic")
+		require.InDelta(t, 0, rejected, 1e-9, "no work is rejected in panic")
 		for zone, assigned := range work {
-			require.Greater(t, assigned, 0.2*f.settings.capacity(f.listed[zone]), "zone %d is used by nobody", zone)
+			require.Greater(t, assigned, 0.2*f.settings.capacity(f.listed[zone]), "zone %d is not used", zone)
 		}
 	}
 	require.True(t, f.decider.lastPlacement.Panic)
--- a/internal/failover/placement.go
+++ b/internal/failover/placement.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// maxSplitError is the rounding error by which the ratios of a split may add up to more than 1.
+// maxSplitError is the largest amount by which the ratios of a split may exceed a total of 1, to allow for rounding.
 const maxSplitError = 1e-6
 
 // Split is a traffic split: ratios between 0 and 1, indexed by zone of entry, class and destination zone. Where the
 // ratios of an entry zone and class add up to less than 1, the rest is rejected at once.
 type Split [][][]float64
 
-// Placement is a decision: where coordinators send work until the placement's TTL ends or a newer one arrives.
+// Placement is a decision of where coordinators send work until the placement's TTL ends or a newer placement arrives.
 type Placement struct {
 	Fence uint64 `json:"fence"` // fencing token of the decider's lease
-	Epoch uint64 `json:"epoch"` // grows with each decision under one fencing token
-	TTL   Millis `json:"life"`  // from the arrival at the follower
+	Epoch uint64 `json:"epoch"` // incremented with each decision under the same fencing token
+	TTL   Millis `json:"life"`  // in ms, counted from the arrival at the follower
 	Split Split  `json:"shares"`
-	Panic bool   `json:"panic,omitempty"` // the evidence is not believed, all zones are used
+	Panic bool   `json:"panic,omitempty"` // the evidence is distrusted and all zones are used
 }
 
 // NewerThan reports whether p was decided after other.
@@ -60,12 +60,12 @@
 		}
 	}
 	if total := sum(ratios); total > 1+maxSplitError {
-		return invalidField(ErrInvalidPlacement, field, "the ratios add up to %v", total)
+		return invalidField(ErrInvalidPlacement, field, "the ratios add up to %v, which is more than 1", total)
 	}
 	return nil
 }
 
-// newSplit returns a split in which everything is rejected.
+// newSplit returns a split that rejects all work.
 func (s Settings) newSplit() Split {
 	split := make(Split, len(s.Zones))
 	for entry := range split {
--- a/internal/failover/report.go
+++ b/internal/failover/report.go
@@ -5,20 +5,20 @@
 	"math"
 )
 
-// Observation is what one coordinator saw of one zone since its last report.
+// Observation holds one coordinator's measurements of one zone since its last report.
 type Observation struct {
-	Answers            int     `json:"answers"` // attempts that were answered, with a result or an error
-	Failures           int     `json:"fails"`   // connections refused or lost, and attempts without an answer
-	CapacityRejections int     `json:"full"`    // of the answers: rejected for lack of capacity
-	LatencyLogRatio    float64 `json:"stretch"` // mean natural logarithm of latency over the zone's best latency
+	Answers            int     `json:"answers"` // attempts that were answered with a result or an error
+	Failures           int     `json:"fails"`   // refused or lost connections, and attempts without an answer
+	CapacityRejections int     `json:"full"`    // number of the answers that rejected the attempt for lack of capacity
+	LatencyLogRatio    float64 `json:"stretch"` // mean of ln(latency / the zone's best latency)
 }
 
-// Report is what a coordinator sends to the Decider once a period.
+// Report is the message that a coordinator sends to the Decider once per period.
 type Report struct {
 	Coordinator  string        `json:"from"`
-	Zone         int           `json:"zone"`    // where the coordinator runs and its clients enter
+	Zone         int           `json:"zone"`    // zone where the coordinator runs and its clients enter
 	Sequence     uint64        `json:"seq"`     // grows with each report of a coordinator
-	OfferedWork  []float64     `json:"offered"` // by class: work of first attempts, core-ms per second
+	OfferedWork  []float64     `json:"offered"` // work of first attempts by class, in core-ms per second
 	Observations []Observation `json:"seen"`    // by zone
 }
 
@@ -28,7 +28,7 @@
 	receivedAt Millis
 }
 
-// totalOfferedWork is the offered work of all classes, in core-ms per second.
+// totalOfferedWork returns the offered work of all classes, in core-ms per second.
 func (r Report) totalOfferedWork() float64 { return sum(r.OfferedWork) }
 
 // validateReport returns a FieldError of kind ErrInvalidReport for the first field that is out of its range.
@@ -47,7 +47,7 @@
 	}
 	for class, work := range r.OfferedWork {
 		if !(work >= 0) || math.IsInf(work, 0) {
-			return invalid(fmt.Sprintf("offered[%d]", class), "%v is not an amount of work", work)
+			return invalid(fmt.Sprintf("offered[%d]", class), "work %v must be finite and not negative", work)
 		}
 	}
 	for zone, observation := range r.Observations {
--- a/internal/failover/settings.go
+++ b/internal/failover/settings.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Millis is a duration, or an instant on the caller's clock, in milliseconds.
+// Millis is a duration, or a time by the caller's clock, in milliseconds.
 type Millis = float64
 
-// minTTLPeriods is the shortest TTL of a placement, in periods: two lost messages must not end it.
+// minTTLPeriods is the minimum TTL of a placement, in periods: the loss of two messages must not end a placement.
 const minTTLPeriods = 3
 
 // Zone is a failure domain with engines and coordinators.
@@ -24,26 +24,26 @@
 type Class struct {
 	Name             string
 	Weight           float64 // priority weight of one query
-	MeanWork         Millis  // mean work of one query, on one core
-	LatencyObjective Millis  // an answer later than this is worth little
-	AllowedZones     []int   // the only zones that may run it; nil: any
+	MeanWork         Millis  // mean work of one query, in ms on one core
+	LatencyObjective Millis  // an answer that takes longer is worth little
+	AllowedZones     []int   // zones that may run the class; nil: all
 }
 
-// weightPerWork orders classes by what a core-millisecond spent on them is worth.
+// weightPerWork returns the priority weight that a core-millisecond spent on the class earns.
 func (c Class) weightPerWork() float64 {
 	const minWork = 1e-9 // avoids a division by zero
 	return c.Weight / math.Max(c.MeanWork, minWork)
 }
 
-// Settings configure a Decider and its Followers, which must have equal ones.
+// Settings configures a Decider and its Followers, which must all use the same settings.
 type Settings struct {
 	Zones        []Zone
 	Classes      []Class
-	Period       Millis // between two decisions, and between two reports of a coordinator
-	PlacementTTL Millis // how long a placement is applied when no newer one arrives
-	// WarmupInitialRatio is the part of its capacity that an endpoint has when it starts.
+	Period       Millis // interval between decisions, and between the reports of a coordinator
+	PlacementTTL Millis // how long a placement is applied if no newer one arrives
+	// WarmupInitialRatio is the part of its full capacity that an endpoint has when it becomes ready.
 	WarmupInitialRatio float64
-	// WarmupDuration is the time after which an endpoint has all of its capacity.
+	// WarmupDuration is the time after which an endpoint has its full capacity.
 	WarmupDuration Millis
 }
 
@@ -56,14 +56,14 @@
 		return err
 	}
 	if !(s.Period > 0) || s.PlacementTTL < minTTLPeriods*s.Period {
-		return invalidField(ErrInvalidSettings, "life", "%v must be at least %d periods of %v", s.PlacementTTL, minTTLPeriods, s.Period)
+		return invalidField(ErrInvalidSettings, "life", "placement TTL of %v ms must be at least %d periods of %v ms, and the period must be above 0", s.PlacementTTL, minTTLPeriods, s.Period)
 	}
 	return nil
 }
 
 func (s Settings) validateZones() error {
 	if len(s.Zones) == 0 {
-		return invalidField(ErrInvalidSettings, "zones", "none given")
+		return invalidField(ErrInvalidSettings, "zones", "at least one zone is required")
 	}
 	for i, zone := range s.Zones {
 		field := fmt.Sprintf("zones[%d].way", i)
@@ -72,7 +72,7 @@
 		}
 		for j, latency := range zone.LatencyTo {
 			if !(latency >= 0) || i == j && latency != 0 {
-				return invalidField(ErrInvalidSettings, fmt.Sprintf("%s[%d]", field, j), "%v is not a latency", latency)
+				return invalidField(ErrInvalidSettings, fmt.Sprintf("%s[%d]", field, j), "latency %v ms must not be negative, and must be 0 from a zone to itself", latency)
 			}
 		}
 	}
@@ -81,12 +81,12 @@
 
 func (s Settings) validateClasses() error {
 	if len(s.Classes) == 0 {
-		return invalidField(ErrInvalidSettings, "classes", "none given")
+		return invalidField(ErrInvalidSettings, "classes", "at least one class is required")
 	}
 	for i, class := range s.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
 		if !(class.MeanWork > 0) || !(class.Weight >= 0) || !(class.LatencyObjective > 0) {
-			return invalidField(ErrInvalidSettings, field, "work and aim must be above 0, worth must not be negative")
+			return invalidField(ErrInvalidSettings, field, "mean work and latency objective must be above 0, and weight must not be negative")
 		}
 		for _, zone := range class.AllowedZones {
 			if !s.hasZone(zone) {
@@ -99,8 +99,8 @@
 
 func (s Settings) hasZone(zone int) bool { return zone >= 0 && zone < len(s.Zones) }
 
-// permitted reports whether work of a class may be sent from an entry zone to a destination. A class whose latency
-// objective is shorter than the added latency gains nothing there.
+// permitted reports whether work of a class may be sent from a zone of entry to a destination. A class runs only in its
+// AllowedZones, and is not sent where the added latency alone reaches its latency objective.
 func (s Settings) permitted(class Class, entry, destination int) bool {
 	if class.AllowedZones != nil && !slices.Contains(class.AllowedZones, destination) {
 		return false
--- a/internal/failover/settings_test.go
+++ b/internal/failover/settings_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first wrong field is named, by the name that it has in messages and settings.
+// The error names the first invalid field as messages and settings name it.
 func TestInvalidFieldsAreNamed(t *testing.T) {
-	for field, spoil := range map[string]func(s *Settings){
+	for field, invalidate := range map[string]func(s *Settings){
 		"zones":           func(s *Settings) { s.Zones = nil },
 		"zones[1].way":    func(s *Settings) { s.Zones[1].LatencyTo = nil },
 		"zones[0].way[0]": func(s *Settings) { s.Zones[0].LatencyTo[0] = 1 },
@@ -20,7 +20,7 @@
 		"life":            func(s *Settings) { s.PlacementTTL = 2 * period },
 	} {
 		s := testSettings(2)
-		spoil(&s)
+		invalidate(&s)
 		_, err := NewDecider(s, 1)
 		require.ErrorIs(t, err, ErrInvalidSettings, field)
 		var invalid *FieldError
--- a/internal/failover/trial.go
+++ b/internal/failover/trial.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// trialRatio is the part of the lightest class's work that tries a failed-over link: enough requests to see a recovery
-// within a few periods, few enough to lose.
+// trialRatio is the part of the lightest class's work that is sent over a failed-over link: enough requests to detect a
+// recovery within a few periods, and few enough that their loss is acceptable.
 const trialRatio = 0.01
 
-// addTrialTraffic sends some work of the lightest class over each failed-over link to a zone with listed capacity. Without
-// it nothing would show that the zone is reachable again.
+// addTrialTraffic sends some work of the lightest class over each failed-over link to a zone with listed capacity.
+// Without it no report would show that the zone is reachable again.
 func (d *Decider) addTrialTraffic(split Split, health []HealthState) {
 	class := d.settings.lightestClass()
 	for entry := range split {
@@ -22,7 +22,7 @@
 	}
 }
 
-// addTrial adds the trial to a zone's ratio and reduces the others where they would add up to more than 1.
+// addTrial adds trialRatio to a zone's ratio. It scales the ratios down first if the total would exceed 1.
 func addTrial(ratios []float64, zone int) {
 	const minTotal = 1e-9 // avoids a division by zero
 	scale := math.Min(1, (1-trialRatio)/math.Max(sum(ratios), minTotal))
@@ -32,7 +32,8 @@
 	ratios[zone] += trialRatio
 }
 
-// lightestClass is the class whose queries are the smallest loss: the least weight and work.
+// lightestClass returns the class whose lost queries cost least: the one with the lowest product of weight and mean
+// work.
 func (s Settings) lightestClass() int {
 	lightest := 0
 	for i, class := range s.Classes {
