--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -9,7 +9,7 @@
 
 const period = 500.0
 
-// testSettings returns settings with three zones per region. Zones of a region are 2 ms apart, zones of different
+// testSettings returns settings with 3 zones per region. Zones of a region are 2 ms apart, zones of different
 // regions 60 ms.
 func testSettings(zones int) Settings {
 	s := Settings{
