--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -96,7 +96,7 @@
 	if name, known := r.replicaName(m.GetTo()); known {
 		r.ready.Messages = append(r.ready.Messages, Message{GroupID: r.groupID(), Recipient: name, Raft: m})
 	}
-	if m.GetType() == raftpb.MsgSnap { // it is sent as one message, so the end of its transfer is not reported later
+	if m.GetType() == raftpb.MsgSnap { // a snapshot is one message, so the end of its transfer is not reported later
 		r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -44,7 +44,7 @@
 	now       lease.Millis
 	lastTick  lease.Millis
 	node      *raft.RawNode
-	storage   *raft.MemoryStorage // in-memory copy of the state that the caller persists as Ready demands
+	storage   *raft.MemoryStorage // in-memory copy of the state that the caller persists as Ready requests
 	state     *StateMachine
 	confState *raftpb.ConfState
 	applied   uint64 // index of the last applied entry
@@ -75,7 +75,7 @@
 	waiting            []pendingKeepAlive            // requests for the next confirmation of leadership
 	confirming         []pendingKeepAlive            // requests for the confirmation in flight
 	membershipChangeAt lease.Millis                  // when the membership change in flight was proposed; 0: none
-	adminRequests      map[uint64]lease.AdminRequest // moves in flight, by a sequence number of this replica
+	adminRequests      map[uint64]lease.AdminRequest // moves in flight, by lastAdminID when they were proposed
 }
 
 func newLeaderState() leaderState {
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -76,8 +76,8 @@
 	Generation uint64        `json:"g,omitempty"`
 }
 
-// Errors of apply. After either error the state machine is unchanged, except that it gets an empty lease for a job that
-// it did not know.
+// Errors of apply. After either error the state machine is unchanged, except that a previously
+// unknown job gets an empty lease.
 var (
 	errOutdatedCommand = errors.New("consensus: the job has changed since the command was proposed")
 	errUnknownCommand  = errors.New("consensus: unknown command")
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -29,7 +29,7 @@
 	GroupID   uint64 `json:"council"` // consensus group of the replica; 0: none
 }
 
-// Operation is the operation that an AdminRequest asks for.
+// Operation names the operation that an AdminRequest asks for.
 type Operation string
 
 // Operations of an AdminRequest.
