--- a/internal/ctl/fleet_admin.go
+++ b/internal/ctl/fleet_admin.go
@@ -143,8 +143,8 @@
 			}
 			for _, job := range lease.Jobs() {
 				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s\n  %s\n  fence: %s\n", job.Name, job.Description, job.FenceCheck)
-				if job.SafeTwice != "" {
-					_, _ = fmt.Fprintf(cmd.OutOrStdout(), "  twice does no harm: %s\n", job.SafeTwice)
+				if job.OverlapSafety != "" {
+					_, _ = fmt.Fprintf(cmd.OutOrStdout(), "  twice does no harm: %s\n", job.OverlapSafety)
 				}
 			}
 			return nil
--- a/internal/lease/jobs.go
+++ b/internal/lease/jobs.go
@@ -5,9 +5,9 @@
 	Name        string `json:"Name"`
 	Description string `json:"Tells"`
 	FenceCheck  string `json:"Fenced"` // where the target stores and checks the fence
-	// SafeTwice says why two holders at the same time do no harm; empty: they would do harm. It is required for a job
+	// OverlapSafety says why two holders at the same time do no harm; empty: they would do harm. It is required for a job
 	// whose target cannot check the fence in one transaction with the operation.
-	SafeTwice string `json:"Harmless"`
+	OverlapSafety string `json:"Harmless"`
 }
 
 // Jobs of this release.
@@ -28,13 +28,13 @@
 		},
 		{
 			Name: JobCollectSpool, Description: "drops what is over in the spool folders of coordinators that are gone, under a root that all share",
-			FenceCheck: "the root's fences.json, under the root's lock for as long as the act lasts",
-			SafeTwice:  "a folder is collected by whom holds its lock: twice finds nothing more",
+			FenceCheck:    "the root's fences.json, under the root's lock for as long as the act lasts",
+			OverlapSafety: "a folder is collected by whom holds its lock: twice finds nothing more",
 		},
 		{
 			Name: JobReadJournal, Description: "follows the journal service and publishes the list to all others",
-			FenceCheck: "each follower, durably, before it follows a published list",
-			SafeTwice:  "two readers only call the journal service twice: what they publish is the same list",
+			FenceCheck:    "each follower, durably, before it follows a published list",
+			OverlapSafety: "two readers only call the journal service twice: what they publish is the same list",
 		},
 	}
 }
