--- a/internal/spool/bench_test.go
+++ b/internal/spool/bench_test.go
@@ -10,8 +10,8 @@
 	"aniseloft/internal/spool/ledger"
 )
 
-// BenchmarkAgainstCopy spools 64 MB, sealed, beside writing and syncing the same bytes to a
-// plain file: what counts is the ratio within one run.
+// BenchmarkAgainstCopy compares spooling and sealing a result of 64 MB with writing and syncing
+// the same bytes to a plain file. Only the ratio of the two within one run is meaningful.
 func BenchmarkAgainstCopy(b *testing.B) {
 	const pages, size = 256, 256 << 10
 	page := make([]byte, size)
--- a/internal/spool/collection.go
+++ b/internal/spool/collection.go
@@ -10,23 +10,24 @@
 // CoordinatorDirectory returns a coordinator's own directory under a root that several share.
 func CoordinatorDirectory(root, name string) string { return filepath.Join(root, name) }
 
-// Collection is what CollectUnowned did.
+// Collection counts what CollectUnowned found and removed.
 type Collection struct {
-	Folders int // of coordinators that are gone
-	InUse   int // of others
-	Expired int // results dropped
-	Removed int // directories without results
+	Unowned int // directories that no coordinator uses
+	InUse   int // directories that are locked by a process
+	Expired int // expired results that were dropped
+	Removed int // directories that were removed, as no result was left in them
 }
 
 // CollectUnowned drops the expired results in the directories of coordinators that are gone, under a shared root, and
-// removes the directories that are then empty. One that is in use is its own coordinator's to collect.
-func CollectUnowned(root, own string, options Options) (c Collection, err error) {
+// removes the directories that are left without results. It skips ownName, the caller's directory, and directories that
+// are in use: their own coordinators collect them.
+func CollectUnowned(root, ownName string, options Options) (c Collection, err error) {
 	entries, err := os.ReadDir(root)
 	if err != nil {
 		return c, fmt.Errorf("spool: %w", err)
 	}
 	for _, e := range entries {
-		if !e.IsDir() || e.Name() == own {
+		if !e.IsDir() || e.Name() == ownName {
 			continue
 		}
 		if err := c.collect(filepath.Join(root, e.Name()), options); err != nil {
@@ -36,7 +37,7 @@
 	return c, nil
 }
 
-// collect takes one directory, under its lock.
+// collect collects one directory while holding its lock; a directory in use is only counted.
 func (c *Collection) collect(path string, options Options) error {
 	directory, err := OpenDirectory(path)
 	if errors.Is(err, ErrInUse) {
@@ -46,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	c.Folders++
+	c.Unowned++
 	err = c.expire(directory, options)
 	if closeErr := directory.Close(); closeErr != nil {
 		err = errors.Join(err, fmt.Errorf("spool: %w", closeErr))
@@ -54,9 +55,10 @@
 	return err
 }
 
+// expire drops the expired results of a directory, and removes the directory if no result is left.
 func (c *Collection) expire(directory *Directory, options Options) error {
 	s, _, err := Open(directory, options)
-	if err != nil { // damaged or of a later release: left for its coordinator
+	if err != nil { // damaged, or written by a later release: left for its coordinator
 		return nil
 	}
 	expired, err := s.Expire()
@@ -69,7 +71,7 @@
 		return nil
 	}
 	c.Removed++
-	// The lock is held until the directory is gone: a coordinator that starts now creates another.
+	// The lock is held until the directory is removed: a coordinator that starts after that creates a new one.
 	if err := os.RemoveAll(directory.path); err != nil {
 		return fmt.Errorf("spool: %w", err)
 	}
--- a/internal/spool/compress.go
+++ b/internal/spool/compress.go
@@ -8,7 +8,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// zstdCodec is created once it is needed: its tables take some MB, which a coordinator that does not compress never holds.
+// zstdCodec creates the encoder and decoder at first use: their tables take some MB, which a coordinator that does not
+// compress pages never allocates.
 var zstdCodec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)) // no option can fail
 	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxRecordBytes))
@@ -16,27 +17,27 @@
 })
 
 const (
-	// minCompressBytes is the size below which a page is not worth the call.
+	// minCompressBytes is the smallest page that is compressed: smaller ones save too little to be worth the call.
 	minCompressBytes = 64
-	// minSavedFraction is the denominator of the least saving: a page that shrinks by less than an eighth is stored as it is,
-	// as decompressing it at each read would cost more than the bytes are worth.
-	minSavedFraction = 8
+	// minSavingDenominator is the denominator of the smallest saving for which a page is stored compressed, an eighth:
+	// with less, decompressing the page at each read would cost more than the saved bytes are worth.
+	minSavingDenominator = 8
 )
 
-// compress returns a page as it is to be stored, with its record's flags.
+// compress returns a page in the form in which it is stored, and the flags of its record.
 func compress(page []byte, enabled bool) (stored []byte, flags byte) {
 	if !enabled || len(page) < minCompressBytes {
 		return page, 0
 	}
 	encoder, _ := zstdCodec()
 	compressed := encoder.EncodeAll(page, make([]byte, 0, len(page)))
-	if len(compressed) > len(page)-len(page)/minSavedFraction {
+	if len(compressed) > len(page)-len(page)/minSavingDenominator {
 		return page, 0
 	}
 	return compressed, flagZstd
 }
 
-// decompress checks a payload as it was stored and returns the page.
+// decompress verifies the checksum of a stored payload and returns the page.
 func decompress(at location, stored []byte) ([]byte, error) {
 	if xxhash.Sum64(stored) != at.checksum {
 		return nil, errCorruptPayload
--- a/internal/spool/contents.go
+++ b/internal/spool/contents.go
@@ -1,16 +1,17 @@
 package spool
 
-// contents are the results that a medium's records describe. Of a page that is stored twice, as after a compaction that a
-// crash interrupted, the later one counts.
+// contents indexes the results that a medium's records describe. If a page is stored twice, for example because a crash
+// interrupted a compaction, the later record counts.
 type contents struct {
 	results    map[ID]*foundResult
-	order      []ID // of their first records
+	order      []ID // IDs of the results, in the order of their first records
 	tombstones map[ID]location
 }
 
+// foundResult is one result as its records describe it.
 type foundResult struct {
 	pages     map[uint32]location
-	pageCount uint32 // by the seal
+	pageCount uint32 // from the seal
 	seal      *location
 	sealRecord
 }
@@ -19,7 +20,7 @@
 	return &contents{results: map[ID]*foundResult{}, tombstones: map[ID]location{}}
 }
 
-// add takes one record. A seal that cannot be read leaves its result unsealed.
+// add indexes one record. A seal that cannot be parsed leaves its result unsealed.
 func (c *contents) add(h header, at location, payload []byte) {
 	r := c.results[h.resultID]
 	if r == nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-// completePages returns a sealed result's pages in order; it is not ok where one is missing.
+// completePages returns the pages of a sealed result in order. ok is false if the result is not sealed or lacks a page.
 func (r *foundResult) completePages() (pages []location, ok bool) {
 	if r.seal == nil {
 		return nil, false
--- a/internal/spool/crash_test.go
+++ b/internal/spool/crash_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// writeHistory writes, seals, drops and expires results. It returns the pages of those whose seal, and the names of those whose
-// drop was acknowledged; maybe holds all that may be there.
-func writeHistory(st *Store, now *float64) (sealed map[string]int, dropped map[string]bool, maybe map[string]int) {
-	sealed, dropped, maybe = map[string]int{}, map[string]bool{}, map[string]int{}
+// writeHistory writes, seals, aborts and drops results. It returns the page counts of the results whose seal was
+// acknowledged, the names of those whose drop was acknowledged, and the page counts of all that a restart may find.
+func writeHistory(st *Store, now *float64) (sealed map[string]int, dropped map[string]bool, possible map[string]int) {
+	sealed, dropped, possible = map[string]int{}, map[string]bool{}, map[string]int{}
 	for k := range 14 {
 		name, pages := fmt.Sprint("r", k), 1+k%5
 		w, err := st.Begin(name, "x", "report", 10)
@@ -23,11 +23,11 @@
 				break
 			}
 		}
-		maybe[name] = pages
+		possible[name] = pages
 		switch {
 		case err != nil:
 			_ = w.Abort()
-		case k == 11: // left open
+		case k == 11: // stays open
 		default:
 			if w.Seal() == nil {
 				sealed[name] = pages
@@ -35,7 +35,7 @@
 		}
 		if k%3 == 2 {
 			old := fmt.Sprint("r", k-1)
-			maybe[old] = sealed[old]
+			possible[old] = sealed[old]
 			delete(sealed, old)
 			if st.Drop(old) == nil {
 				dropped[old] = true
@@ -43,11 +43,12 @@
 		}
 		*now += 10
 	}
-	return sealed, dropped, maybe
+	return sealed, dropped, possible
 }
 
-// A crash between any two steps on the medium loses any part of what was not synced. What was acknowledged is there and
-// equal, what was dropped is not, all else is complete or gone; with compressed pages too.
+// Fails the medium at each of its operations in turn: by a crash, which loses any part of the unsynced bytes, and by
+// a single error. Sealed results must be read unchanged after a restart, dropped ones must not return, and all others
+// must be complete or gone; with compressed pages too.
 func TestCrashAtEveryStepKeepsAcknowledgedResults(t *testing.T) {
 	for _, compressed := range []bool{false, true} {
 		options := func(now *float64) Options {
@@ -62,7 +63,7 @@
 		writeHistory(st, &now)
 		steps := m.step
 		require.Greater(t, steps, 40)
-		for _, transient := range []bool{false, true} { // a crash, and an error that passes
+		for _, transient := range []bool{false, true} { // a crash, and an error of one operation
 			for step := 1; step <= steps; step++ {
 				crashAt(t, step, transient, options)
 			}
@@ -76,7 +77,7 @@
 	m := &faultyMedium{segments: map[uint64]*faultySegment{}, failAt: step, transient: transient, partialPercent: rng.IntN(101)}
 	st, _, err := Open(m, options(&now))
 	require.NoError(t, err)
-	sealed, dropped, maybe := writeHistory(st, &now)
+	sealed, dropped, possible := writeHistory(st, &now)
 	if transient {
 		for name, pages := range sealed {
 			requireResult(t, st, name, pages)
@@ -84,15 +85,15 @@
 	}
 	st, found, err := Open(m.restart(rng), options(&now))
 	require.NoError(t, err, "step %d", step)
-	require.Empty(t, found.Damage, "a truncated record is no damage")
+	require.Empty(t, found.Damage, "a truncated record is not damage")
 	for name, pages := range sealed {
 		requireResult(t, st, name, pages)
 	}
 	for name := range dropped {
 		_, _, err := st.Read(name, 0)
-		require.ErrorIs(t, err, ErrNotFound, "%s came back, step %d", name, step)
+		require.ErrorIs(t, err, ErrNotFound, "%s was dropped and is read again, step %d", name, step)
 	}
-	for name, pages := range maybe {
+	for name, pages := range possible {
 		if _, _, err := st.Read(name, 0); err == nil {
 			requireResult(t, st, name, pages)
 		}
@@ -100,7 +101,8 @@
 	requireNothingLeaked(t, st, &now, step)
 }
 
-// requireNothingLeaked checks that once all has expired, the segments with the last tombstones are left at most.
+// requireNothingLeaked checks that after all results have expired no bytes are reserved, and that no segments are left
+// except those with the last tombstones.
 func requireNothingLeaked(t *testing.T, st *Store, now *float64, step int) {
 	*now += 10000
 	_, err := st.Expire()
--- a/internal/spool/directory.go
+++ b/internal/spool/directory.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	segmentSuffix = ".seg" // after the number in 16 hex digits
+	segmentSuffix = ".seg" // follows the segment's number, which has 16 hexadecimal digits
 	lockFile      = "lock"
-	privateMode   = 0o600 // results are their owners' data
+	privateMode   = 0o600 // results hold private data of their owners
 	directoryMode = 0o700
 )
 
-// Directory is a medium of files in one directory. Only one process may write to it: the one that holds its lock.
+// Directory is a Medium that stores segments as files in one directory. Only the process that holds its lock may write
+// to it.
 type Directory struct {
 	path string
-	lock *os.File // nil: only to be read
+	lock *os.File // nil: opened for reading only
 }
 
-// ErrInUse is returned where another process holds the spool's lock.
+// ErrInUse is returned if another process holds the spool's lock.
 var ErrInUse = errors.New("spool: in use by another process")
 
-// OpenDirectory creates the directory if it is missing and takes its lock, until Close or the end of the process.
+// OpenDirectory creates the directory if it is missing and holds its lock until Close or the end of the process.
 func OpenDirectory(path string) (*Directory, error) {
 	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
@@ -44,14 +45,15 @@
 	return &Directory{path, lock}, nil
 }
 
-// ReadDirectory opens a spool's directory for reading. It may be in use meanwhile: segments are only appended to.
+// ReadDirectory opens a spool's directory for reading, without its lock. Another process may use the spool meanwhile,
+// as segments are only appended to.
 func ReadDirectory(path string) (*Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("spool: %s is not a folder", path)
+		return nil, fmt.Errorf("spool: %s is not a directory", path)
 	}
 	return &Directory{path: path}, nil
 }
@@ -116,6 +118,7 @@
 	return numbers, nil
 }
 
+// sync makes the creation and removal of files durable.
 func (d *Directory) sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
--- a/internal/spool/faultymedium_test.go
+++ b/internal/spool/faultymedium_test.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// faultyMedium fails at a step: every step from then on fails, or only that one where transient. What was not synced may be
-// lost behind any byte.
+// faultyMedium is a Medium in memory that fails at a step, which is a call that changes it: from failAt on every step
+// fails, or only that one if transient is set. restart drops unsynced bytes from any offset on.
 type faultyMedium struct {
 	segments       map[uint64]*faultySegment
-	step           int
-	failAt         int
+	step           int // number of steps so far
+	failAt         int // 0: never
 	transient      bool
 	dead           bool
-	partialPercent int // of the bytes of a failing write that are written all the same
-	onRead         func()
+	partialPercent int    // percentage of the bytes of a failing write that are written nevertheless
+	onRead         func() // called once, within the next read
 }
 
 type faultySegment struct {
@@ -62,54 +62,54 @@
 	return l, nil
 }
 
-func (p *faultySegment) Write(b []byte) (int, error) {
-	if err := p.medium.nextStep(); err != nil {
-		n := len(b) * p.medium.partialPercent / 100
-		p.data = append(p.data, b[:n]...)
+func (s *faultySegment) Write(b []byte) (int, error) {
+	if err := s.medium.nextStep(); err != nil {
+		n := len(b) * s.medium.partialPercent / 100
+		s.data = append(s.data, b[:n]...)
 		return n, err
 	}
-	p.data = append(p.data, b...)
+	s.data = append(s.data, b...)
 	return len(b), nil
 }
 
-func (p *faultySegment) ReadAt(b []byte, at int64) (int, error) {
-	if f := p.medium.onRead; f != nil {
-		p.medium.onRead = nil
+func (s *faultySegment) ReadAt(b []byte, at int64) (int, error) {
+	if f := s.medium.onRead; f != nil {
+		s.medium.onRead = nil
 		f()
 	}
-	n := copy(b, p.data[min(at, int64(len(p.data))):])
+	n := copy(b, s.data[min(at, int64(len(s.data))):])
 	if n < len(b) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (p *faultySegment) Sync() error {
-	if err := p.medium.nextStep(); err != nil {
+func (s *faultySegment) Sync() error {
+	if err := s.medium.nextStep(); err != nil {
 		return err
 	}
-	p.synced = len(p.data)
+	s.synced = len(s.data)
 	return nil
 }
 
-func (p *faultySegment) Truncate(n int64) error {
-	if err := p.medium.nextStep(); err != nil {
+func (s *faultySegment) Truncate(n int64) error {
+	if err := s.medium.nextStep(); err != nil {
 		return err
 	}
-	p.data = p.data[:n]
-	p.synced = min(p.synced, int(n))
+	s.data = s.data[:n]
+	s.synced = min(s.synced, int(n))
 	return nil
 }
 
-func (p *faultySegment) Size() (int64, error) { return int64(len(p.data)), nil }
-func (p *faultySegment) Close() error         { return nil }
+func (s *faultySegment) Size() (int64, error) { return int64(len(s.data)), nil }
+func (s *faultySegment) Close() error         { return nil }
 
-// restart returns what a crash leaves.
+// restart returns a medium with the data after a crash: a random part of each segment's unsynced bytes is lost.
 func (m *faultyMedium) restart(rng *rand.Rand) *faultyMedium {
-	n := &faultyMedium{segments: map[uint64]*faultySegment{}}
-	for k, p := range m.segments {
-		keep := p.synced + rng.IntN(len(p.data)-p.synced+1)
-		n.segments[k] = &faultySegment{medium: n, data: slices.Clone(p.data[:keep]), synced: keep}
+	restarted := &faultyMedium{segments: map[uint64]*faultySegment{}}
+	for number, segment := range m.segments {
+		keep := segment.synced + rng.IntN(len(segment.data)-segment.synced+1)
+		restarted.segments[number] = &faultySegment{medium: restarted, data: slices.Clone(segment.data[:keep]), synced: keep}
 	}
-	return n
+	return restarted
 }
--- a/internal/spool/fence.go
+++ b/internal/spool/fence.go
@@ -12,14 +12,15 @@
 	"aniseloft/internal/lease"
 )
 
-// fencesFile holds, beside the coordinators' directories, the highest fence of each job that has acted there. The file of
-// the same name in a fleet's directory is another one: it holds the assignments that a coordinator has followed
-// (internal/transport/coordination/fences.go).
+// fencesFile is beside the coordinators' directories and holds, for each job, the highest fence that has acted there.
+// It is unrelated to the file of the same name in a fleet's directory, which holds the assignments that a coordinator
+// has followed (internal/transport/coordination/fences.go).
 const fencesFile = "fences.json"
 
-// RunFenced carries out an operation of a job on a shared directory, never after a later grant has acted there: a
-// lease.StaleFenceError is returned then. The directory's lock is held for the whole operation, as a directory has no
-// transactions: a holder that is suspended within it delays later ones, and does no harm when it resumes.
+// RunFenced runs an operation of a job on a shared directory. If a later grant of the job has acted there, it returns
+// a lease.StaleFenceError instead. The directory's lock is held for the whole operation, as a directory has no
+// transactions: a holder that is suspended during its operation delays later holders, and does no harm when it
+// resumes.
 func RunFenced(root, job string, fence lease.Fence, holder string, operation func() error) error {
 	lock, err := os.OpenFile(filepath.Join(root, lockFile), os.O_CREATE|os.O_RDWR, privateMode)
 	if err != nil {
@@ -35,8 +36,8 @@
 	return operation()
 }
 
-// admitFence checks a fence against the highest of its job, and stores it before the operation: a holder that was rejected
-// must be so after a restart too. The caller holds the directory's lock.
+// admitFence checks a fence against the highest one of its job and stores it before the operation, so that stale
+// holders are rejected after a restart too. The caller holds the directory's lock.
 func admitFence(path, job string, fence lease.Fence, holder string) error {
 	records := map[string]lease.FenceRecord{}
 	raw, err := os.ReadFile(path)
@@ -44,7 +45,7 @@
 		err = json.Unmarshal(raw, &records)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("spool: %s: %w; move it away: the next owner's fence is then taken as the first", path, err)
+		return fmt.Errorf("spool: %s: %w; move it away: the fence of the next holder is then accepted as the first", path, err)
 	}
 	admitted, err := records[job].Admit(job, fence, holder)
 	if err != nil || admitted == records[job] {
--- a/internal/spool/fences_test.go
+++ b/internal/spool/fences_test.go
@@ -12,34 +12,34 @@
 	"aniseloft/internal/testdir"
 )
 
-// testdata/fences.json was written by the release before the first rename of what it holds, with
+// testdata/fences.json was written by the release before the stored types were first renamed, with
 //
 //	go test ./internal/spool -run TestStoredFences -update-fences
-var updateFences = flag.Bool("update-fences", false, "write the fixtures anew")
+var updateFences = flag.Bool("update-fences", false, "rewrite the fixtures")
 
-// The fences of an earlier release's shared folder are read and written alike.
-func TestStoredFencesAreReadAndWrittenAlike(t *testing.T) {
+// The fences file of an earlier release must be honoured, and this release must write the same bytes.
+func TestStoredFencesAreReadAndWrittenUnchanged(t *testing.T) {
 	fixture := filepath.Join("testdata", fencesFile)
-	act := func(root, job string, fence lease.Fence) error {
+	runFenced := func(root, job string, fence lease.Fence) error {
 		return RunFenced(root, job, fence, "n1/7f3a", func() error { return nil })
 	}
 	root := testdir.Dir(t)
-	require.NoError(t, act(root, lease.JobCollectSpool, 4))
-	require.NoError(t, act(root, "another-job", 9))
-	wrote, err := os.ReadFile(filepath.Join(root, fencesFile))
+	require.NoError(t, runFenced(root, lease.JobCollectSpool, 4))
+	require.NoError(t, runFenced(root, "another-job", 9))
+	written, err := os.ReadFile(filepath.Join(root, fencesFile))
 	require.NoError(t, err)
 	if *updateFences {
-		require.NoError(t, os.WriteFile(fixture, wrote, 0o644))
+		require.NoError(t, os.WriteFile(fixture, written, 0o644))
 	}
-	kept, err := os.ReadFile(fixture)
+	stored, err := os.ReadFile(fixture)
 	require.NoError(t, err)
-	require.Equal(t, string(kept), string(wrote))
+	require.Equal(t, string(stored), string(written))
 
 	root = testdir.Dir(t)
-	require.NoError(t, os.WriteFile(filepath.Join(root, fencesFile), kept, 0o600))
-	var refused lease.StaleFenceError
-	require.ErrorAs(t, act(root, lease.JobCollectSpool, 3), &refused)
-	require.Equal(t, lease.StaleFenceError{Job: lease.JobCollectSpool, Fence: 3, Highest: 4}, refused)
-	require.ErrorAs(t, act(root, "another-job", 8), &refused)
-	require.Equal(t, lease.StaleFenceError{Job: "another-job", Fence: 8, Highest: 9}, refused)
+	require.NoError(t, os.WriteFile(filepath.Join(root, fencesFile), stored, 0o600))
+	var stale lease.StaleFenceError
+	require.ErrorAs(t, runFenced(root, lease.JobCollectSpool, 3), &stale)
+	require.Equal(t, lease.StaleFenceError{Job: lease.JobCollectSpool, Fence: 3, Highest: 4}, stale)
+	require.ErrorAs(t, runFenced(root, "another-job", 8), &stale)
+	require.Equal(t, lease.StaleFenceError{Job: "another-job", Fence: 8, Highest: 9}, stale)
 }
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -12,7 +12,9 @@
 	"aniseloft/internal/testdir"
 )
 
-// recorded is a folder that d9ce9f6 wrote, with a spool of its own folder n0: go test ./internal/spool -run Recorded -update
+// recorded is a shared directory that commit d9ce9f6 wrote, with the spool of coordinator n0. This rewrites it:
+//
+//	go test ./internal/spool -run Recorded -update
 const recorded = "testdata/shared"
 
 func recordedOptions(now float64) Options {
@@ -20,7 +22,7 @@
 		Limits: ledger.Limits{Total: 1 << 20, PerOwner: 1 << 19, RetentionMS: 3600e3, MaxRetentionMS: 3600e3, RetryAfterMS: 100}}
 }
 
-// recordedPage is page n of a result; longer ones are packed.
+// recordedPage returns page n of a result. Page 0 is too short to be compressed, longer pages are compressed.
 func recordedPage(n int) []byte {
 	var b []byte
 	for range 1 + 40*n {
@@ -60,9 +62,9 @@
 	require.NoError(t, os.CopyFS(root, os.DirFS(recorded)))
 	dir, err := OpenDirectory(CoordinatorDirectory(root, "n0"))
 	require.NoError(t, err)
-	look, err := Inspect(dir, true)
+	inspection, err := Inspect(dir, true)
 	require.NoError(t, err)
-	golden.JSON(t, "testdata/inspection.golden", look)
+	golden.JSON(t, "testdata/inspection.golden", inspection)
 	st, found, err := Open(dir, recordedOptions(1e12+1))
 	require.NoError(t, err)
 	require.Equal(t, Recovery{Sealed: 1, Discarded: 1}, found)
@@ -77,7 +79,7 @@
 	golden.JSON(t, "testdata/usage.golden", st.Usage())
 	require.NoError(t, st.Close())
 	require.NoError(t, dir.Close())
-	require.Error(t, RunFenced(root, "collect-spool", 6, "n1", func() error { return nil }), "a fence below the one that has acted")
+	require.Error(t, RunFenced(root, "collect-spool", 6, "n1", func() error { return nil }), "the fence is below the stored one")
 	require.NoError(t, RunFenced(root, "collect-spool", 7, "n0", func() error { return nil }))
 }
 
@@ -85,9 +87,9 @@
 	root := testdir.Dir(t)
 	dir, err := OpenDirectory(root)
 	require.NoError(t, err)
-	opt := recordedOptions(1e12)
-	opt.Compress, opt.SegmentBytes = false, 1<<20
-	st, _, err := Open(dir, opt)
+	options := recordedOptions(1e12)
+	options.Compress, options.SegmentBytes = false, 1<<20
+	st, _, err := Open(dir, options)
 	require.NoError(t, err)
 	for _, name := range []string{"kept", "dropped"} {
 		w, err := st.Begin(name, "ana", "trip-lookup", 100)
--- a/internal/spool/inspect.go
+++ b/internal/spool/inspect.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// States of a result from outside.
+// States of a result, as Inspect reports them.
 const (
 	stateSealed  = "sealed"
 	stateOpen    = "open"
 	stateDropped = "dropped"
 )
 
-// ResultInfo describes one result of a spool from outside. Name, owner, class, size and time are those of its seal.
+// ResultInfo describes one result of a spool. Name, Owner, Class, Bytes and SealedAt are read from its seal.
 type ResultInfo struct {
 	Name     string  `json:"name"`
 	ID       string  `json:"id"` // hexadecimal
@@ -20,11 +20,11 @@
 	Class    string  `json:"class"`
 	Pages    int     `json:"pages"`
 	Bytes    int64   `json:"bytes"`
-	SealedAt float64 `json:"sealed_at_ms"` // Unix
+	SealedAt float64 `json:"sealed_at_ms"` // Unix ms
 	State    string  `json:"state"`        // sealed, open or dropped
 }
 
-// Inspection is what a spool holds, seen from outside.
+// Inspection describes the contents of a spool.
 type Inspection struct {
 	Results  []ResultInfo `json:"results"`
 	Segments int          `json:"segments"`
@@ -32,7 +32,8 @@
 	Damage   []Damage     `json:"damage"`
 }
 
-// Inspect reads a spool and changes nothing; it may be in use meanwhile. Where deep, every page is read and checked too.
+// Inspect reads a spool without changing it; the spool may be in use meanwhile. If deep is set, every page is read and
+// verified too.
 func Inspect(m Medium, deep bool) (Inspection, error) {
 	all, found, err := scanMedium(m, deep)
 	if err != nil {
@@ -55,6 +56,7 @@
 	return found, nil
 }
 
+// describe returns the description of a result, and a damage if the result is sealed but lacks pages.
 func (c *contents) describe(id ID) (info ResultInfo, damage []Damage) {
 	r := c.results[id]
 	info = ResultInfo{
@@ -69,12 +71,12 @@
 	case complete:
 		info.State, info.Pages = stateSealed, len(pages)
 	case r.seal != nil:
-		damage = []Damage{{r.seal.segment, r.seal.offset, r.Name, int(r.pageCount), "sealed, but pages of it are missing"}}
+		damage = []Damage{{r.seal.segment, r.seal.offset, r.Name, int(r.pageCount), "the result is sealed, but some of its pages are missing"}}
 	}
 	return info, damage
 }
 
-// scanMedium reads all segments. The inspection has no results yet.
+// scanMedium reads all segments. It does not fill in the Results of the Inspection.
 func scanMedium(m Medium, deep bool) (*contents, Inspection, error) {
 	var found Inspection
 	numbers, err := m.List()
@@ -101,8 +103,8 @@
 	return all, found, nil
 }
 
-// ReadPage reads one page of a sealed result from outside, checked. Errors are ErrNotFound, ErrNoPage, ErrMedium and
-// ErrCorruptPage.
+// ReadPage reads one page of a sealed result and verifies its checksum; the spool may be in use meanwhile. Errors are
+// ErrNotFound, ErrNoPage, ErrMedium, ErrCorruptPage and those of the medium.
 func ReadPage(m Medium, name string, page int) ([]byte, error) {
 	all, _, err := scanMedium(m, false)
 	if err != nil {
@@ -118,7 +120,7 @@
 		return nil, fmt.Errorf("%w: it is not sealed", ErrNotFound)
 	}
 	if page < 0 || page >= len(pages) {
-		return nil, fmt.Errorf("%w: there are %d, from 0", ErrNoPage, len(pages))
+		return nil, fmt.Errorf("%w: the result has %d pages, numbered from 0", ErrNoPage, len(pages))
 	}
 	at := pages[page]
 	file, err := m.Open(at.segment)
--- a/internal/spool/ledger/admission.go
+++ b/internal/spool/ledger/admission.go
@@ -11,25 +11,25 @@
 // Verdicts of the ledger.
 const (
 	Reserved  Verdict = iota // the bytes are reserved
-	MustEvict                // they fit once Decision.Evict have been dropped: drop them and ask again
-	MustWait                 // open results hold what is missing: read the engine on once one ends
-	Rejected                 // no result can be evicted for it: the client is told to come back
+	MustEvict                // the bytes fit once the results in Decision.Evict are dropped: drop them and ask again
+	MustWait                 // other results hold the missing bytes: read on from the engine once they are freed
+	Rejected                 // too few results can be evicted: the client is told to retry later
 )
 
-// Decision is a verdict with what it asks for.
+// Decision is a verdict, with the details that the caller needs to follow it.
 type Decision struct {
 	Verdict      Verdict
-	Evict        []string // names, in order; each has been read to its end, or its retention is over
-	RetryAfterMS float64  // with Rejected and MustWait
+	Evict        []string // names, in order; each result has been read to its end, or its retention is over
+	RetryAfterMS float64  // set with Rejected and MustWait
 	Reason       string
 }
 
-// shortage is how many bytes are missing under each quota.
+// shortage is the number of bytes that are missing under each quota.
 type shortage struct{ total, owner, class int64 }
 
 func (s shortage) none() bool { return s.total <= 0 && s.owner <= 0 && s.class <= 0 }
 
-// reason names the narrowest quota that is exhausted.
+// reason names the most specific quota that is exhausted.
 func (s shortage) reason() string {
 	switch {
 	case s.owner > 0:
@@ -40,11 +40,13 @@
 	return "the spool is full"
 }
 
-// relievedBy reports whether dropping a result of that owner and class would help.
+// relievedBy reports whether dropping a result would reduce the shortage, depending on whether that result has the same
+// owner and class as the one that needs the bytes.
 func (s shortage) relievedBy(sameOwner, sameClass bool) bool {
 	return s.total > 0 || s.owner > 0 && sameOwner || s.class > 0 && sameClass
 }
 
+// relieve subtracts the bytes of a dropped result from the quotas that it counts against.
 func (s *shortage) relieve(bytes int64, sameOwner, sameClass bool) {
 	s.total -= bytes
 	if sameOwner {
@@ -55,8 +57,9 @@
 	}
 }
 
-// admit decides whether a result may hold more bytes. All quotas must hold: the total, the owner's and the class's. Where one
-// is exhausted, results are evicted in the order of evictable; never one that is being read, or that its client may still fetch.
+// admit decides whether a result may hold more bytes under all quotas: the total, the owner's and the class's. If one
+// is exhausted, it selects results to evict, in the order of evictable. A result that is being read is never
+// selected, nor one that is still retained for a client that has not read it to its end.
 func (l *Ledger) admit(now float64, e *entry, bytes int64, growing bool) Decision {
 	missing := l.shortageOf(e, bytes)
 	if missing.none() {
@@ -78,13 +81,14 @@
 		return Decision{Verdict: MustEvict, Evict: evict, Reason: reason}
 	}
 	verdict := Rejected
-	// A growing result can wait for what others will free. One that would exceed its quota by itself would wait for ever.
+	// A growing result can wait until others free bytes, unless it exceeds its quota by itself: it would wait forever.
 	if growing && l.canWait(e) && e.bytes()+bytes <= l.limits.maxFor(e.class) {
 		verdict = MustWait
 	}
 	return Decision{Verdict: verdict, RetryAfterMS: l.retryAfterMS(now), Reason: reason}
 }
 
+// shortageOf returns the bytes that are missing for a result to hold that many more.
 func (l *Ledger) shortageOf(e *entry, bytes int64) shortage {
 	missing := shortage{total: max(l.total+bytes-l.limits.Total, 0)}
 	if quota := l.limits.PerOwner; quota > 0 {
@@ -96,8 +100,8 @@
 	return missing
 }
 
-// evictable returns the results that may be dropped, those whose retention ends first before others: it is over, or they
-// have been read to their end, and nobody is reading them.
+// evictable returns the results that may be dropped: those that are not being read, and that have been read to their
+// end or whose retention is over. They are sorted by the end of their retention, then by age.
 func (l *Ledger) evictable(now float64) []*entry {
 	var list []*entry
 	for _, e := range l.entries {
@@ -112,8 +116,8 @@
 	return list
 }
 
-// canWait reports whether an older result is still open, or any is sealed. The oldest open result never waits for younger
-// ones, so not all can wait for each other.
+// canWait reports whether an older result is still open, or any other result is sealed. The oldest open result never
+// waits for younger open ones, so that open results cannot all wait for each other.
 func (l *Ledger) canWait(e *entry) bool {
 	for _, other := range l.entries {
 		if other != e && (other.phase != PhaseOpen || other.order < e.order) {
@@ -123,10 +127,10 @@
 	return false
 }
 
-// minRetryAfterMS keeps a client from coming back at once.
+// minRetryAfterMS is the shortest time that a client is told to wait, so that it does not retry at once.
 const minRetryAfterMS = 1
 
-// retryAfterMS returns the time until the next retention ends, at most the limit.
+// retryAfterMS returns the time until the next retention ends, at most Limits.RetryAfterMS.
 func (l *Ledger) retryAfterMS(now float64) float64 {
 	after := l.limits.RetryAfterMS
 	for _, e := range l.entries {
@@ -137,7 +141,7 @@
 	return after
 }
 
-// retainedUntil returns until when a sealed result is kept for its client.
+// retainedUntil returns the time until which a sealed result is kept for its client.
 func (l *Ledger) retainedUntil(e *entry) float64 {
 	return min(e.lastReadAtMS+l.limits.RetentionMS, e.sealedAtMS+l.limits.MaxRetentionMS)
 }
--- a/internal/spool/ledger/ledger.go
+++ b/internal/spool/ledger/ledger.go
@@ -1,8 +1,9 @@
-// Package ledger decides what may be spooled: whether a result fits under its quotas, what is evicted for it, when reading
-// an engine must wait, and what a client is told.
+// Package ledger accounts for the bytes of spooled results and enforces the quotas: it decides whether a result fits,
+// which results are evicted for it, when reading from an engine must wait, and how long a rejected client waits
+// before it retries.
 //
-// It does no I/O and reads no clock: now is Unix ms everywhere. Its sums are exact: bytes are reserved before the first page
-// is asked for, and freed once.
+// It does no I/O and reads no clock: callers pass the time as now, in Unix ms. Its sums are exact: bytes are reserved
+// before the first page is requested, and freed exactly once.
 package ledger
 
 import (
@@ -10,20 +11,20 @@
 	"fmt"
 )
 
-// Errors of calls that do not fit a result's phase. They are wrapped with its name.
+// Errors of calls that are invalid in a result's phase, or with that size. They are wrapped with the result's name.
 var (
 	ErrExists      = errors.New("ledger: the result exists already")
 	ErrNotOpen     = errors.New("ledger: the result is not open")
 	ErrInvalidSize = errors.New("ledger: invalid size")
 )
 
-// Phase of a result.
+// Phase is how far a result has been written and read.
 type Phase int
 
-// Phases, in their order.
+// Phases of a result, in the order in which it passes through them.
 const (
 	PhaseOpen   Phase = iota // pages are being written
-	PhaseSealed              // complete; waits for its reader
+	PhaseSealed              // complete; not yet read to its end
 	PhaseRead                // its last page has been read
 )
 
@@ -31,22 +32,22 @@
 	name, owner, class       string
 	phase                    Phase
 	reserved, used           int64 // bytes
-	readers                  int
+	readers                  int   // reads in progress
 	sealedAtMS, lastReadAtMS float64
-	order                    int // of its beginning among all results
+	order                    int // position among all results, by Begin or Restore
 }
 
-// bytes returns what counts against the quotas: a reservation covers the first pages.
+// bytes returns the size that counts against the quotas: the reservation covers the first pages.
 func (e *entry) bytes() int64 { return max(e.reserved, e.used) }
 
 // Ledger accounts for one spool. It is not safe for concurrent use: the spool's lock protects it.
 type Ledger struct {
 	limits  Limits
 	entries map[string]*entry
-	total   int64            // bytes
-	owners  map[string]int64 // bytes
-	classes map[string]int64 // bytes
-	order   int              // of the last result
+	total   int64            // bytes of all results
+	owners  map[string]int64 // bytes by owner
+	classes map[string]int64 // bytes by class
+	order   int              // position of the last result
 }
 
 // New returns an empty ledger, or a wrapped LimitError.
@@ -57,12 +58,13 @@
 	return &Ledger{limits: limits, entries: map[string]*entry{}, owners: map[string]int64{}, classes: map[string]int64{}}, nil
 }
 
-// ReservedBytes returns what all results hold, reserved or used.
+// ReservedBytes returns the bytes that all results hold, reserved or used.
 func (l *Ledger) ReservedBytes() int64 { return l.total }
 
 // Len returns the number of results.
 func (l *Ledger) Len() int { return len(l.entries) }
 
+// add changes the sums by the bytes that a result gains, or loses if they are negative.
 func (l *Ledger) add(e *entry, bytes int64) {
 	l.total += bytes
 	l.owners[e.owner] += bytes
@@ -75,7 +77,7 @@
 	}
 }
 
-// openEntry returns the result of that name if pages may be written to it, else ErrNotOpen.
+// openEntry returns the result with this name if it is open, else ErrNotOpen.
 func (l *Ledger) openEntry(name string) (*entry, error) {
 	e := l.entries[name]
 	if e == nil || e.phase != PhaseOpen {
@@ -84,7 +86,8 @@
 	return e, nil
 }
 
-// Begin reserves bytes for a result before its first page is asked for. The result exists only where the verdict is Reserved.
+// Begin reserves bytes for a result before its first page is requested. It adds the result only if the verdict is
+// Reserved.
 func (l *Ledger) Begin(now float64, name, owner, class string, bytes int64) (Decision, error) {
 	if l.entries[name] != nil {
 		return Decision{}, fmt.Errorf("%w: %s", ErrExists, name)
@@ -103,7 +106,7 @@
 	return d, nil
 }
 
-// Grow accounts for a page before it is written; the reservation covers it first. It is accounted for only where the
+// Grow accounts for a page before it is written, first from the result's reservation. The page is counted only if the
 // verdict is Reserved.
 func (l *Ledger) Grow(now float64, name string, bytes int64) (Decision, error) {
 	e, err := l.openEntry(name)
@@ -125,7 +128,7 @@
 	return d, nil
 }
 
-// Shrink takes back pages that could not be written, or that another attempt writes anew.
+// Shrink subtracts the bytes of pages that could not be written, or that another attempt writes again.
 func (l *Ledger) Shrink(name string, bytes int64) error {
 	e, err := l.openEntry(name)
 	if err != nil {
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// Seal ends the writing: what was reserved and not used is freed.
+// Seal marks a result as complete and frees the unused part of its reservation.
 func (l *Ledger) Seal(now float64, name string) error {
 	e, err := l.openEntry(name)
 	if err != nil {
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// Restore accounts for a sealed result that a restart found.
+// Restore adds a sealed result that was found on the medium at a restart.
 func (l *Ledger) Restore(name, owner, class string, bytes int64, sealedAt float64) {
 	l.order++
 	e := &entry{name: name, owner: owner, class: class, phase: PhaseSealed, used: bytes, sealedAtMS: sealedAt, lastReadAtMS: sealedAt, order: l.order}
@@ -160,7 +163,7 @@
 	l.add(e, bytes)
 }
 
-// BeginRead begins a read, which keeps the result from being evicted until EndRead. It reports false where there is no
+// BeginRead begins a read, which keeps the result from being evicted until EndRead. It reports false if there is no
 // such result or its retention is over.
 func (l *Ledger) BeginRead(now float64, name string) bool {
 	e := l.entries[name]
@@ -171,7 +174,7 @@
 	return true
 }
 
-// EndRead ends a read; last says that it was of the last page.
+// EndRead ends a read; last is set if the read returned the last page.
 func (l *Ledger) EndRead(now float64, name string, last bool) {
 	e := l.entries[name]
 	if e == nil || e.readers == 0 {
@@ -184,7 +187,8 @@
 	}
 }
 
-// Expired returns the names of the results whose retention is over and that nobody reads, in the order of evictable.
+// Expired returns the names of the results whose retention is over and that are not being read, in the order of
+// evictable.
 func (l *Ledger) Expired(now float64) []string {
 	var names []string
 	for _, e := range l.evictable(now) {
--- a/internal/spool/ledger/ledger_test.go
+++ b/internal/spool/ledger/ledger_test.go
@@ -35,20 +35,20 @@
 	require.NoError(t, l.Seal(0, "a"))
 	d := begin(t, l, 9, "b", "y", "trip", 50)
 	require.Equal(t, Rejected, d.Verdict)
-	require.Equal(t, 1.0, d.RetryAfterMS, "when the retention ends")
+	require.Equal(t, 1.0, d.RetryAfterMS, "until the retention ends")
 	require.True(t, l.BeginRead(9.9, "a"))
 	require.Equal(t, Rejected, begin(t, l, 10, "b", "y", "trip", 50).Verdict, "it is being read")
 	l.EndRead(10, "a", false)
-	require.False(t, l.BeginRead(20, "a"), "at its end the retention is over")
+	require.False(t, l.BeginRead(20, "a"), "the retention is over at its end")
 	d = begin(t, l, 20, "b", "y", "trip", 50)
 	require.Equal(t, MustEvict, d.Verdict)
 	require.Equal(t, []string{"a"}, d.Evict)
 	require.True(t, l.Drop("a"))
-	require.False(t, l.Drop("a"), "freed once")
+	require.False(t, l.Drop("a"), "its bytes are freed once")
 	require.Equal(t, Reserved, begin(t, l, 20, "b", "y", "trip", 50).Verdict)
 }
 
-// Two results fill the spool together: the younger waits and the older is rejected, so that one of them ends.
+// Two growing results fill the spool. If both waited they would deadlock: the younger waits and the older is rejected.
 func TestOldestOpenResultIsRejectedRatherThanWaiting(t *testing.T) {
 	l, _ := New(limits)
 	begin(t, l, 0, "a", "x", "trip", 50)
@@ -62,5 +62,5 @@
 	require.Equal(t, Rejected, a.Verdict)
 	require.Equal(t, MustWait, b.Verdict)
 	c, _ := l.Grow(0, "b", 11)
-	require.Equal(t, Rejected, c.Verdict, "more than its quota by itself")
+	require.Equal(t, Rejected, c.Verdict, "it exceeds its quota by itself")
 }
--- a/internal/spool/ledger/model_test.go
+++ b/internal/spool/ledger/model_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// Draws are the same in each run, so that CI's verdict is; -rapid.seed draws others.
+// Uses the same seed in each run, so that the outcome in CI is reproducible; -rapid.seed sets another one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// model is a plain account of what the ledger holds.
+// model is a simple reference implementation of the ledger's accounting.
 type model struct {
 	ledger  *Ledger
 	results map[string]*modelResult
 	now     float64
-	begun   int
+	begun   int // results begun so far; numbers their names
 }
 
 type modelResult struct {
@@ -36,10 +36,10 @@
 	return now < min(r.last+limits.RetentionMS, r.sealed+limits.MaxRetentionMS)
 }
 
-// draw returns one of the results, or skips the step where there is none.
+// draw returns one of the results, or skips the step if there is none.
 func (m *model) draw(t *rapid.T) (string, *modelResult) {
 	if len(m.results) == 0 {
-		t.Skip("none")
+		t.Skip("no results")
 	}
 	var names []string
 	for name := range m.results {
@@ -50,12 +50,13 @@
 	return name, m.results[name]
 }
 
-// evict drops what a decision names; nothing of it may be in use or still retained for its client.
+// evict drops the results that a decision names, and fails if one of them is open, being read, or still retained for
+// its client.
 func (m *model) evict(t *rapid.T, d Decision) {
 	for _, name := range d.Evict {
 		r := m.results[name]
 		if r.open || r.readers > 0 || r.retained(m.now) && !r.read {
-			t.Fatalf("%s is evicted: %+v at %v", name, r, m.now)
+			t.Fatalf("%s must not be evicted: %+v at %v", name, r, m.now)
 		}
 		m.ledger.Drop(name)
 		delete(m.results, name)
@@ -113,7 +114,7 @@
 	name, r := m.draw(t)
 	want := r.open || r.retained(m.now)
 	if m.ledger.BeginRead(m.now, name) != want {
-		t.Fatalf("%s readable: not %t", name, want)
+		t.Fatalf("%s: BeginRead is not %t", name, want)
 	}
 	if want {
 		r.readers++
@@ -139,7 +140,7 @@
 
 func (m *model) advance(t *rapid.T) { m.now += rapid.Float64Range(0, 12).Draw(t, "ms") }
 
-// check compares all sums, and holds them against the quotas.
+// check compares the ledger's sums with the model's, and the model's with the quotas.
 func (m *model) check(t *rapid.T) {
 	var sum int64
 	owners, classes := map[string]int64{}, map[string]int64{}
@@ -151,11 +152,12 @@
 	}
 	exact := sum == m.ledger.ReservedBytes() && len(m.results) == m.ledger.Len()
 	if !exact || sum > 100 || owners["x"] > 60 || owners["y"] > 60 || classes["report"] > 80 {
-		t.Fatalf("held %d of %d: %v %v", m.ledger.ReservedBytes(), sum, owners, classes)
+		t.Fatalf("the ledger holds %d bytes, the model %d: owners %v, classes %v", m.ledger.ReservedBytes(), sum, owners, classes)
 	}
 }
 
-// Against the model, sums are exact, no quota is exceeded, and no result is lost that is retained for its client.
+// After random operations the ledger's sums equal the model's, no quota is exceeded, and no result was evicted that
+// is still retained for its client.
 func TestLedgerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := New(limits)
--- a/internal/spool/memory.go
+++ b/internal/spool/memory.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Memory is a medium that ends with the process. It is safe for concurrent use.
+// Memory is a Medium whose contents are lost when the process ends. It is safe for concurrent use.
 type Memory struct {
 	mu       sync.Mutex
 	segments map[uint64]*memorySegment
@@ -18,7 +18,7 @@
 // NewMemory returns an empty medium.
 func NewMemory() *Memory { return &Memory{segments: map[uint64]*memorySegment{}} }
 
-// Create makes an empty segment.
+// Create creates an empty segment.
 func (m *Memory) Create(number uint64) (Segment, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,11 +54,11 @@
 	return slices.Sorted(maps.Keys(m.segments)), nil
 }
 
-// memorySegment keeps each write as a piece of its own, so that growing copies nothing.
+// memorySegment keeps each write as a separate piece, so that an append does not copy earlier data.
 type memorySegment struct {
 	mu      sync.RWMutex
 	pieces  [][]byte
-	offsets []int64 // of the pieces
+	offsets []int64 // offset of each piece
 	size    int64
 }
 
@@ -75,7 +75,7 @@
 	defer s.mu.RUnlock()
 	i, exact := slices.BinarySearch(s.offsets, offset)
 	if !exact {
-		i-- // the piece that the offset lies in
+		i-- // the piece that contains the offset
 	}
 	for ; read < len(b) && i >= 0 && i < len(s.pieces); i++ {
 		within := offset + int64(read) - s.offsets[i]
--- a/internal/spool/reader.go
+++ b/internal/spool/reader.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Read returns one page of a result, checked. last reports that the result is sealed and has no page after it. Errors are
-// ErrNotFound, ErrNoPage, ErrExpired, ErrMedium and ErrCorruptPage.
+// Read returns one page of a result after verifying its checksum. last reports that the result is sealed and that
+// this is its last page. Errors are ErrNotFound, ErrNoPage, ErrExpired, ErrMedium and ErrCorruptPage.
 func (s *Store) Read(name string, page int) (b []byte, last bool, err error) {
 	r, at, seg, err := s.beginRead(name, page)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return b, last, nil
 }
 
-// beginRead keeps the result and the page's segment in place until endRead.
+// beginRead looks up a page. Until endRead its result is not evicted and its segment is not removed.
 func (s *Store) beginRead(name string, page int) (*result, location, *segment, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,6 +40,7 @@
 	return r, at, seg, nil
 }
 
+// endRead ends a read and reports whether the page was the last one of a sealed result.
 func (s *Store) endRead(r *result, page int, seg *segment, succeeded bool) (last bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +50,7 @@
 	return last
 }
 
-// Pages returns how many pages a result has by now, and whether it is sealed.
+// Pages returns the number of pages written to a result so far, and whether it is sealed.
 func (s *Store) Pages(name string) (count int, sealed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/spool/reclaim.go
+++ b/internal/spool/reclaim.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Drop frees a result's bytes at once; a restart does not bring it back. Errors are ErrNotFound and ErrMedium.
+// Drop drops a result and frees its bytes at once; a restart does not restore it. Errors are ErrNotFound and ErrMedium.
 func (s *Store) Drop(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,8 @@
 	return s.reclaim()
 }
 
-// drop forgets a result. A sealed one gets a tombstone, or a restart would serve it again.
+// drop removes a result from the store. For a sealed one it writes a tombstone, as a restart would restore it
+// otherwise.
 func (s *Store) drop(r *result) error {
 	delete(s.results, r.resultID)
 	s.ledger.Drop(r.name)
@@ -38,7 +39,7 @@
 	return s.sync()
 }
 
-// Expire drops the results whose retention is over and returns their number. It is to be called periodically.
+// Expire drops the results whose retention is over and returns their number. Callers run it periodically.
 func (s *Store) Expire() (dropped int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,10 +52,11 @@
 	return dropped, s.reclaim()
 }
 
-// compactBelowRatio is the live part of a segment at or below which its live records move on.
+// compactBelowRatio is the fraction of live bytes at or below which a segment is compacted.
 const compactBelowRatio = 0.5
 
-// reclaim removes segments without live records. Those of mostly dead ones move to the current segment before.
+// reclaim removes segments without live records. It first compacts segments with few live records, which copies their
+// live records to the current segment.
 func (s *Store) reclaim() error {
 	s.forgetTombstones()
 	for _, number := range slices.Sorted(maps.Keys(s.segments)) {
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// forgetTombstones marks tombstones dead whose result has no other record left in any segment.
+// forgetTombstones marks the tombstones as dead whose results have no other record left in any segment.
 func (s *Store) forgetTombstones() {
 	for id, at := range s.tombstones {
 		records := 0
@@ -93,8 +95,8 @@
 	}
 }
 
-// compact copies the live records of a segment to the current one. Results refer to the copies only once those are synced:
-// after a failed sync the old records still count.
+// compact copies the live records of a segment to the current one. Results refer to the copies only after these are
+// synced, so that the old records stay valid if the sync fails.
 func (s *Store) compact(seg *segment) error {
 	m := mover{store: s, from: seg}
 	ids := slices.SortedFunc(maps.Keys(seg.records), func(a, b ID) int { return slices.Compare(a[:], b[:]) })
@@ -112,13 +114,14 @@
 	return nil
 }
 
-// mover copies records from one segment and collects what is to refer to the copies.
+// mover copies records from one segment and collects the updates that make the store refer to the copies.
 type mover struct {
 	store   *Store
 	from    *segment
 	updates []func()
 }
 
+// moveResult copies the records of a result that are in the segment: its pages, seal and tombstone.
 func (m *mover) moveResult(id ID) error {
 	if r := m.store.results[id]; r != nil {
 		for i := range r.pages {
@@ -140,7 +143,8 @@
 	return nil
 }
 
-// move copies one record, if it is in the segment. Its checksum moves along unchecked.
+// move copies one record if it is in the segment. The checksum is copied without being verified, so that a corrupt page
+// stays detectable.
 func (m *mover) move(h header, at location, update func(to location)) error {
 	if at.segment != m.from.number {
 		return nil
--- a/internal/spool/record.go
+++ b/internal/spool/record.go
@@ -12,9 +12,9 @@
 // A segment is a sequence of records. A record is a header of fixed size, with a checksum of its own so that a corrupt page
 // can be skipped, and a payload. Sizes in bytes, numbers little-endian:
 //
-//	magic 4, kind 1, flags 1, none 2, result 16, page 4, length 4, xxhash of payload 8, xxhash of header 8
+//	magic 4, kind 1, flags 1, unused 2, result 16, page 4, length 4, xxhash of payload 8, xxhash of header 8
 //
-// The payload's checksum is of its bytes as they are stored; a compressed page is decompressed after it was checked.
+// The payload's checksum covers the bytes as stored; a compressed page is verified before it is decompressed.
 const (
 	magic          = 0x314c5053 // "SPL1"
 	headerSize     = 48
@@ -30,22 +30,22 @@
 	headerChecksumOffset = 40
 )
 
-// kind of a record.
+// kind is the kind of a record.
 type kind byte
 
 const (
 	kindPage      kind = 1
-	kindSeal      kind = 2 // payload: a sealRecord; page: the number of pages
-	kindTombstone kind = 3 // the result is dropped, whatever other records say
+	kindSeal      kind = 2 // the payload is a sealRecord, the page field holds the number of pages
+	kindTombstone kind = 3 // the result is dropped, regardless of its other records
 )
 
 // flagZstd marks a payload compressed with zstd.
 const flagZstd = 1
 
-// ID identifies a result for good; it is never used twice.
+// ID identifies a result. The ID of a dropped result is not used again.
 type ID [16]byte
 
-// IDFromName returns the ID of a result. Names may be of any form.
+// IDFromName returns the ID of the result with this name; any string is a valid name.
 func IDFromName(name string) ID {
 	var id ID
 	binary.BigEndian.PutUint64(id[:], xxhash.Sum64String(name))
@@ -58,16 +58,16 @@
 	flags    byte
 	resultID ID
 	page     uint32
-	length   uint32 // of the payload
-	checksum uint64 // of the payload
+	length   uint32 // size of the payload in bytes
+	checksum uint64 // xxhash of the payload
 }
 
-// location is where a record is stored.
+// location tells where a record is stored, with the header fields that are needed to read its payload.
 type location struct {
 	segment  uint64
-	offset   int64 // of its header
-	length   uint32
-	checksum uint64
+	offset   int64  // of the header
+	length   uint32 // size of the payload in bytes
+	checksum uint64 // xxhash of the payload
 	flags    byte
 }
 
@@ -87,10 +87,10 @@
 	return append(b, payload...)
 }
 
-// Errors of reading segments, as Damage names them.
+// Errors of reading records. Damage.Problem holds their texts, except for a truncated record, which is not damage.
 var (
-	errTruncated      = errors.New("the record is cut off")
-	errCorruptHeader  = errors.New("the record's head is spoilt")
+	errTruncated      = errors.New("the record is truncated")
+	errCorruptHeader  = errors.New("the record's header is corrupt")
 	errCorruptPayload = errors.New("the page's bytes are spoilt")
 )
 
@@ -118,8 +118,8 @@
 	Name       string  `json:"name"`
 	Owner      string  `json:"owner"`
 	Class      string  `json:"class"`
-	Bytes      int64   `json:"bytes"` // of the pages, as stored
-	SealedAtMS float64 `json:"at_ms"` // Unix
+	Bytes      int64   `json:"bytes"` // stored size of the pages
+	SealedAtMS float64 `json:"at_ms"` // Unix ms
 }
 
 func parseSeal(payload []byte) (s sealRecord, err error) {
--- a/internal/spool/recovery.go
+++ b/internal/spool/recovery.go
@@ -1,13 +1,14 @@
 package spool
 
-// Recovery is what a start found.
+// Recovery reports what Open found on the medium.
 type Recovery struct {
-	Sealed    int      // results served again
-	Discarded int      // results that were not complete; their clients are told so
-	Damage    []Damage // what could not be read
+	Sealed    int      // complete results, which can be read again
+	Discarded int      // incomplete results, which are lost; their clients are told so
+	Damage    []Damage // records that could not be read
 }
 
-// recover rebuilds the store from the medium's segments. It appends to none of them: the end of each is in doubt.
+// recover rebuilds the store from the medium's segments. It never appends to them, as each may end in a truncated
+// record.
 func (s *Store) recover() (found Recovery, err error) {
 	numbers, err := s.medium.List()
 	if err != nil {
@@ -28,6 +29,7 @@
 	return found, s.reclaim()
 }
 
+// recoverSegment opens a segment and indexes its records.
 func (s *Store) recoverSegment(number uint64, all *contents) ([]Damage, error) {
 	file, err := s.medium.Open(number)
 	if err != nil {
@@ -47,6 +49,7 @@
 	return damage, nil
 }
 
+// recoverResult restores a result, if it is complete and was not dropped.
 func (s *Store) recoverResult(id ID, r *foundResult, found *Recovery) {
 	if tombstone, dropped := s.tombstones[id]; dropped {
 		s.segments[tombstone.segment].liveBytes += tombstone.size()
--- a/internal/spool/scan.go
+++ b/internal/spool/scan.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Damage is something wrong in a segment.
+// Damage is a fault that was found in a segment.
 type Damage struct {
 	Segment uint64 `json:"segment"`
 	Offset  int64  `json:"offset"`
-	Result  string `json:"result,omitempty"` // its name, or its ID where the name is unknown
+	Result  string `json:"result,omitempty"` // name of the result, or its ID if the name is unknown
 	Page    int    `json:"page"`
 	Problem string `json:"problem"`
 }
@@ -21,9 +21,10 @@
 	return fmt.Sprintf("segment %016x, offset %d, page %d: %s", d.Segment, d.Offset, d.Page, d.Problem)
 }
 
-// scan reads a segment's records in order and calls each for them. Payloads are read and checked only where deep, and those
-// of seals always; a corrupt one is nil. It returns where the last complete record ends: a truncated record behind it is no
-// damage, as a crash within a write leaves one.
+// scan reads a segment's records in order and calls each for every one. It reads and verifies the payloads of seals,
+// and if deep is set those of all records. A corrupt seal is skipped; other records with a corrupt payload are passed
+// without it. It returns the offset at which the last complete record ends. A truncated record after that is not
+// damage, as a crash during a write leaves one.
 func scan(segment uint64, file io.ReaderAt, size int64, deep bool, each func(h header, at location, payload []byte)) (end int64, damage []Damage) {
 	var buffer [headerSize]byte
 	for end < size {
@@ -51,7 +52,7 @@
 	return end, damage
 }
 
-// readHeader reads the header at an offset; errTruncated where the record passes the segment's size.
+// readHeader reads the header at an offset. It returns errTruncated if the record extends beyond the segment's size.
 func readHeader(file io.ReaderAt, buffer []byte, offset, size int64) (header, error) {
 	read, err := file.ReadAt(buffer[:min(headerSize, size-offset)], offset)
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/spool/segment.go
+++ b/internal/spool/segment.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// segment is a file of records with its accounts. The store's lock protects it.
+// segment is a file of records with its accounting. The store's lock protects it.
 type segment struct {
 	number    uint64
 	file      Segment
 	size      int64
-	liveBytes int64      // of records that are still needed
-	records   map[ID]int // of each result, dead ones included
-	failed    bool       // takes no more: its end is in doubt
-	dirty     bool       // holds what is not synced
-	readers   int        // a segment that is being read is not removed
+	liveBytes int64      // size of the records that are still needed
+	records   map[ID]int // number of records of each result, dead ones included
+	failed    bool       // nothing is appended any more, as its last record may be incomplete
+	dirty     bool       // holds records that are not synced
+	readers   int        // reads in progress; the segment is not removed while there are any
 }
 
-// maxBufferKept bounds the buffer that is kept for the next record.
+// maxBufferKept is the largest buffer, in bytes, that is kept for the next record.
 const maxBufferKept = 1 << 20
 
 var errShortWrite = errors.New("short write")
 
-// append writes a record at the end of the current segment, completely or not at all. The header's length is set here; its
-// checksum is the caller's, as a corrupt page that is moved must stay known as corrupt.
+// append writes a record at the end of the current segment, completely or not at all. It sets the header's length; the
+// caller sets the checksum, as the checksum of a corrupt page must not become valid when the page is copied.
 func (s *Store) append(h header, payload []byte) (location, error) {
 	if err := s.ensureSegment(); err != nil {
 		return location{}, err
@@ -52,13 +52,13 @@
 	return at, nil
 }
 
-// ensureSegment creates a segment where the current one is full.
+// ensureSegment creates a segment if there is no current one or it is full.
 func (s *Store) ensureSegment() error {
 	if s.current != nil && s.current.size < s.options.SegmentBytes {
 		return nil
 	}
 	number := s.nextNumber
-	s.nextNumber++ // also after a failure, which may leave a file of that number
+	s.nextNumber++ // incremented after a failure too, which may leave a file with that number
 	file, err := s.medium.Create(number)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrMedium, err)
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// retire ends appending to a segment: what of it was not synced is in doubt, and so is every open result with records there.
+// retire ends appending to a segment after an error. Its unsynced records may be lost, so every open result with
+// records in it is marked as damaged.
 func (s *Store) retire(seg *segment) {
 	seg.failed, seg.dirty = true, false
 	if s.current == seg {
@@ -81,7 +82,8 @@
 	}
 }
 
-// sync makes all records durable. A segment that fails is retired: a second sync that succeeds would prove nothing.
+// sync makes all records durable. A segment whose sync fails is retired, as a later sync may succeed although records
+// were lost.
 func (s *Store) sync() error {
 	for _, seg := range s.segments {
 		if !seg.dirty {
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// markDead takes a result's records out of the live bytes of their segments.
+// markDead subtracts a result's records from the live bytes of their segments.
 func (s *Store) markDead(r *result) {
 	r.eachRecord(func(at location) { s.segments[at.segment].liveBytes -= at.size() })
 }
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -1,8 +1,9 @@
-// Package spool stores results page by page, apart from the engines that made them, until their clients have read them: an
-// append-only store in segments, in memory or in a directory, with quotas and retention times.
+// Package spool stores the results of queries page by page, independently of the engines that produced them, until
+// clients have read them. It is an append-only store of segments, in memory or in a directory, with quotas and
+// retention times.
 //
-// A result is written by a Writer and sealed; from then on each of its pages can be read, also after a crash, until its
-// retention ends. Package ledger decides what fits.
+// A Writer writes a result and seals it. From then on each of its pages can be read, also after a crash, until its
+// retention ends. Package ledger enforces the quotas.
 package spool
 
 import (
@@ -12,34 +13,34 @@
 	"aniseloft/internal/spool/ledger"
 )
 
-// Errors of the store. They are wrapped with what was being done.
+// Errors of the store. Some are returned wrapped, with details.
 var (
 	ErrNotFound    = errors.New("spool: no such result")
 	ErrNoPage      = errors.New("spool: no such page")
-	ErrExpired     = errors.New("spool: the result's time is over") // or it is sealed: it takes no pages
+	ErrExpired     = errors.New("spool: the result has expired") // also for a write to a result that was sealed or dropped
 	ErrNameUsed    = errors.New("spool: the name has been used")
-	ErrCorruptPage = errors.New("spool: the page is spoilt")
+	ErrCorruptPage = errors.New("spool: the page is corrupt")
 	ErrMedium      = errors.New("spool: the medium failed")
 )
 
 var errSegmentBytes = errors.New("spool: segment bytes: must be above 0")
 
-// CapacityError says that the quotas leave no room, with the ledger's decision.
+// CapacityError reports that a result does not fit under the quotas, with the ledger's decision.
 type CapacityError struct{ ledger.Decision }
 
 func (e CapacityError) Error() string { return "spool: " + e.Reason }
 
-// Options of a store.
+// Options are the settings of a Store.
 type Options struct {
 	Limits       ledger.Limits
-	SegmentBytes int64          // a segment of that size takes no more
+	SegmentBytes int64          // a segment of this size or more is full
 	NowMS        func() float64 // Unix ms
-	// Compress keeps a page compressed with zstd where that saves an eighth or more. Quotas count pages as they are stored.
+	// Compress stores a page compressed with zstd if that saves an eighth or more. Quotas count the stored size.
 	Compress bool
 }
 
-// Store is a spool. It is safe for concurrent use: mu protects all fields and the segments' accounts. Only Read touches the
-// medium without it.
+// Store is a spool. It is safe for concurrent use: mu protects all fields and the segments' accounting. Only Read
+// accesses the medium without holding it.
 type Store struct {
 	mu           sync.Mutex
 	medium       Medium
@@ -47,10 +48,10 @@
 	ledger       *ledger.Ledger
 	results      map[ID]*result
 	segments     map[uint64]*segment
-	current      *segment // appended to; nil: the next append creates one
-	nextNumber   uint64   // of the segment to come
+	current      *segment // the one that is appended to; nil: the next append creates one
+	nextNumber   uint64   // number of the next segment
 	recordBuffer []byte   // reused between appends
-	// tombstones are the records of dropped results whose older records are still in some segment.
+	// tombstones holds the location of the tombstone of each dropped result that has older records in some segment.
 	tombstones map[ID]location
 }
 
@@ -60,9 +61,9 @@
 	owner    string
 	class    string
 	pages    []location
-	seal     *location // nil: still open
-	bytes    int64     // of its pages, as stored
-	damaged  bool      // some of it may not have reached the medium
+	seal     *location // nil: the result is open
+	bytes    int64     // stored size of the pages
+	damaged  bool      // some of its records may not have reached the medium
 }
 
 // eachRecord calls f for each live record of the result.
@@ -75,8 +76,8 @@
 	}
 }
 
-// Open reads what the medium holds. Sealed results are served again; incomplete ones are discarded. The medium stays the
-// caller's to close.
+// Open reads the medium and returns a store with the sealed results found there; incomplete ones are discarded. The
+// caller closes the medium.
 func Open(m Medium, options Options) (*Store, Recovery, error) {
 	l, err := ledger.New(options.Limits)
 	if err != nil {
@@ -96,15 +97,15 @@
 	return s, found, nil
 }
 
-// Usage is what the spool holds.
+// Usage is the number and size of the results and segments of a spool.
 type Usage struct {
 	Results       int   `json:"results"`
-	ReservedBytes int64 `json:"held_bytes"`   // in the ledger
-	StoredBytes   int64 `json:"stored_bytes"` // in segments, dead records included
+	ReservedBytes int64 `json:"held_bytes"`   // accounted by the ledger: reserved or used by results
+	StoredBytes   int64 `json:"stored_bytes"` // size of the segments, dead records included
 	Segments      int   `json:"segments"`
 }
 
-// Usage returns what the spool holds.
+// Usage returns the current usage of the spool.
 func (s *Store) Usage() Usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/spool/store_test.go
+++ b/internal/spool/store_test.go
@@ -61,7 +61,7 @@
 		_, _, err = st.Read("b", 2)
 		require.ErrorIs(t, err, ErrCorruptPage)
 		require.NoError(t, st.Drop("a"))
-		require.NoError(t, st.Drop("c")) // b is moved
+		require.NoError(t, st.Drop("c")) // compaction copies the records of b
 		st, _, err = Open(faulty.restart(rand.New(rand.NewPCG(1, 1))), testOptions(&now))
 		require.NoError(t, err)
 		_, _, err = st.Read("b", 2)
@@ -71,22 +71,22 @@
 	}
 }
 
-// A compressed page reads the same, also after a compaction and a restart; one that does not shrink is stored as it is; a
-// flipped byte of a compressed page is detected.
+// Compressed pages must be read unchanged, also after a compaction and a restart. A page that does not shrink is stored
+// uncompressed, and a flipped bit in a compressed page is detected.
 func TestCompressedPagesAreSmallerAndReadTheSame(t *testing.T) {
 	now := 0.0
 	m := &faultyMedium{segments: map[uint64]*faultySegment{}}
-	o := testOptions(&now)
-	o.Compress = true
-	st, _, err := Open(m, o)
+	options := testOptions(&now)
+	options.Compress = true
+	st, _, err := Open(m, options)
 	require.NoError(t, err)
 	writeSealed(t, st, "a", 4)
 	var raw int64
 	for i := range 4 {
 		raw += int64(len(pageOf("a", i)))
 	}
-	held := st.Usage().ReservedBytes
-	require.Less(t, held, raw/2, "text compresses to less than half")
+	reserved := st.Usage().ReservedBytes
+	require.Less(t, reserved, raw/2, "text compresses to less than half")
 	noise := make([]byte, 2000)
 	rng := rand.New(rand.NewPCG(5, 5))
 	for i := range noise {
@@ -96,15 +96,15 @@
 	require.NoError(t, err)
 	require.NoError(t, w.WritePage(noise))
 	require.NoError(t, w.Seal())
-	require.Zero(t, st.results[IDFromName("noise")].pages[0].flags, "a page that does not shrink is stored as it is")
+	require.Zero(t, st.results[IDFromName("noise")].pages[0].flags, "a page that does not shrink is stored uncompressed")
 	b, _, err := st.Read("noise", 0)
 	require.NoError(t, err)
 	require.Equal(t, noise, b)
 
 	writeSealed(t, st, "b", 6)
-	require.NoError(t, st.Drop("b")) // a is moved
+	require.NoError(t, st.Drop("b")) // compaction copies the records of a
 	m = m.restart(rand.New(rand.NewPCG(1, 1)))
-	st, _, err = Open(m, o)
+	st, _, err = Open(m, options)
 	require.NoError(t, err)
 	requireResult(t, st, "a", 4)
 	at := st.results[IDFromName("a")].pages[1]
@@ -123,7 +123,7 @@
 	require.NoError(t, w.Seal())
 }
 
-// A DELETE while a page is being read must not remove its segment.
+// A DELETE request while a page is being read must not remove the page's segment.
 func TestSegmentIsNotRemovedWhileItIsRead(t *testing.T) {
 	now := 0.0
 	m := &faultyMedium{segments: map[uint64]*faultySegment{}}
@@ -140,7 +140,7 @@
 	require.NoError(t, err)
 	require.Equal(t, pageOf("a", 0), b)
 	require.NoError(t, st.Drop("b"))
-	require.NotContains(t, m.segments, first, "it is removed once nobody reads it")
+	require.NotContains(t, m.segments, first, "it is removed after the read")
 }
 
 func TestFailedWriteReservesNothing(t *testing.T) {
@@ -154,13 +154,13 @@
 	m.failAt = m.step + 1
 	require.ErrorIs(t, w.WritePage(make([]byte, 100)), ErrMedium)
 	require.EqualValues(t, 100, st.Usage().ReservedBytes)
-	require.NoError(t, w.WritePage(make([]byte, 100)), "the disk has room again")
+	require.NoError(t, w.WritePage(make([]byte, 100)), "the disk has space again")
 	require.NoError(t, w.Abort())
 	require.Zero(t, st.Usage().ReservedBytes)
 }
 
-// A header whose page number was flipped must not put a page in another's place.
-func TestCorruptHeaderIsNoRecord(t *testing.T) {
+// A flipped bit in the page number of a header must not make one page be read as another.
+func TestRecordWithCorruptHeaderIsNotRead(t *testing.T) {
 	now := 0.0
 	m := &faultyMedium{segments: map[uint64]*faultySegment{}}
 	st, _, err := Open(m, testOptions(&now))
@@ -168,10 +168,10 @@
 	writeSealed(t, st, "a", 3)
 	at := st.results[IDFromName("a")].pages[1]
 	m.segments[at.segment].data[at.offset+pageOffset] ^= 2
-	in, err := Inspect(m, true)
+	inspection, err := Inspect(m, true)
 	require.NoError(t, err)
-	require.Len(t, in.Damage, 1)
-	require.Equal(t, at.offset, in.Damage[0].Offset)
+	require.Len(t, inspection.Damage, 1)
+	require.Equal(t, at.offset, inspection.Damage[0].Offset)
 	_, found, err := Open(m.restart(rand.New(rand.NewPCG(1, 1))), testOptions(&now))
 	require.NoError(t, err)
 	require.Zero(t, found.Sealed)
@@ -180,9 +180,9 @@
 
 func TestReadsUntilRetentionEnds(t *testing.T) {
 	now := 0.0
-	o := testOptions(&now)
-	o.Limits.Total = 1000
-	st, _, err := Open(NewMemory(), o)
+	options := testOptions(&now)
+	options.Limits.Total = 1000
+	st, _, err := Open(NewMemory(), options)
 	require.NoError(t, err)
 	w, err := st.Begin("a", "x", "report", 100)
 	require.NoError(t, err)
@@ -190,10 +190,10 @@
 	b, last, err := st.Read("a", 0)
 	require.NoError(t, err)
 	require.Len(t, b, 600)
-	require.False(t, last, "it is not complete yet")
+	require.False(t, last, "the result is not sealed")
 	var full CapacityError
 	require.ErrorAs(t, w.WritePage(make([]byte, 600)), &full, "the spool fills up in the middle of a result")
-	require.NoError(t, w.WritePage(make([]byte, 400)), "it goes on with what fits")
+	require.NoError(t, w.WritePage(make([]byte, 400)), "a smaller page fits")
 	require.NoError(t, w.Seal())
 	require.ErrorIs(t, w.WritePage(nil), ErrExpired)
 	_, _, err = st.Read("a", 2)
@@ -223,7 +223,7 @@
 				if err = w.WritePage(pageOf(name, i)); err == nil {
 					var b []byte
 					if b, _, err = st.Read(name, i); err == nil && !bytes.Equal(b, pageOf(name, i)) {
-						err = errors.New("not the page")
+						err = errors.New("the page differs from the written one")
 					}
 				}
 			}
@@ -247,11 +247,11 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		end, _ := scan(1, bytes.NewReader(b), int64(len(b)), true, func(_ header, at location, _ []byte) {
 			if at.offset+at.size() > int64(len(b)) {
-				t.Fatal("a record beyond the end")
+				t.Fatal("a record extends beyond the end of the segment")
 			}
 		})
 		if end > int64(len(b)) {
-			t.Fatal("an end beyond the end")
+			t.Fatal("the returned end is beyond the end of the segment")
 		}
 	})
 }
--- a/internal/spool/writer.go
+++ b/internal/spool/writer.go
@@ -10,13 +10,14 @@
 	"aniseloft/internal/spool/ledger"
 )
 
-// Writer takes the pages of one result. It may be used by one goroutine at a time.
+// Writer writes the pages of one result. It may be used by one goroutine at a time.
 type Writer struct {
 	store  *Store
 	result *result
 }
 
-// Begin reserves bytes for a result before its first page is asked for. Errors are CapacityError, ErrNameUsed and ErrMedium.
+// Begin reserves bytes for a result before its first page is requested. Errors are CapacityError, ErrNameUsed and
+// ErrMedium.
 func (s *Store) Begin(name, owner, class string, reserve int64) (*Writer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +36,7 @@
 	return &Writer{s, r}, nil
 }
 
-// reserve asks the ledger, and drops the results that it evicts. The caller holds the lock.
+// reserve asks the ledger for bytes and drops the results that it evicts. The caller holds the store's lock.
 func (s *Store) reserve(ask func() (ledger.Decision, error)) error {
 	d, err := ask()
 	if err == nil && d.Verdict == ledger.MustEvict {
@@ -55,7 +56,8 @@
 	return nil
 }
 
-// checkOpen returns an error where the result takes no pages. The caller holds the store's lock.
+// checkOpen returns an error if no page can be written to the result: ErrExpired if it was sealed or dropped,
+// ErrMedium if records of it may be lost. The caller holds the store's lock.
 func (w *Writer) checkOpen() error {
 	switch {
 	case w.store.results[w.result.resultID] != w.result || w.result.seal != nil:
@@ -108,7 +110,7 @@
 	if err != nil {
 		return fmt.Errorf("spool: seal of %s: %w", r.name, err)
 	}
-	// The pages come first: a seal must never outlive one of its pages.
+	// The pages are synced first: after a crash there must be no seal without its pages.
 	if err := s.sync(); err != nil {
 		return err
 	}
@@ -123,8 +125,8 @@
 	return s.ledger.Seal(now, r.name)
 }
 
-// Reset forgets the pages so far: another attempt writes the result from its beginning. Of a page that is then stored twice,
-// the later one counts.
+// Reset discards the pages written so far, as another attempt writes the result from its beginning. If a page is then
+// stored twice, the later record counts.
 func (w *Writer) Reset() error {
 	s, r := w.store, w.result
 	s.mu.Lock()
@@ -138,5 +140,5 @@
 	return errors.Join(err, s.reclaim())
 }
 
-// Abort drops the result; its bytes are free at once.
+// Abort drops the result and frees its bytes at once.
 func (w *Writer) Abort() error { return w.store.Drop(w.result.name) }
