--- a/internal/store/fence.go
+++ b/internal/store/fence.go
@@ -9,17 +9,17 @@
 	"aniseloft/internal/lease"
 )
 
-// createFenceTable makes the table of the grants that have acted on the record. Every one stays, so that operators can see
-// who did what.
+// createFenceTable creates the table of the grants that have acted on the record. Its rows are never deleted, so that
+// operators can see which holders have acted.
 const createFenceTable = `CREATE TABLE IF NOT EXISTS fence (
 	job TEXT NOT NULL, fence BIGINT NOT NULL, holder TEXT NOT NULL, since_ms BIGINT NOT NULL, acts BIGINT NOT NULL, PRIMARY KEY (job, fence))`
 
-// Exec changes the record within a transaction and returns the number of rows that it changed.
+// Exec executes a statement within a transaction and returns the number of rows that it changed.
 type Exec func(query string, args ...any) (changed int64, err error)
 
-// RunFenced carries out an operation of a job for the whole fleet, in one transaction with the check of its fence. A
-// lease.StaleFenceError says that a later grant has acted; nothing is changed then. Where the outcome of the commit is
-// unknown the operation may have taken place, under this fence.
+// RunFenced runs an operation of a job for the whole fleet, in one transaction with the check of its fence. If a
+// later grant has acted, it changes nothing and returns a lease.StaleFenceError. If the outcome of the commit is
+// unknown, the operation may have taken effect, under this fence.
 func (s *Store) RunFenced(ctx context.Context, job string, fence lease.Fence, holder string, operation func(Exec) error) error {
 	tx, err := s.database.BeginTx(ctx, nil)
 	if err != nil {
@@ -27,7 +27,8 @@
 	}
 	defer func() { _ = tx.Rollback() }()
 	exec := func(query string, args ...any) (int64, error) { return s.execOn(ctx, tx, query, args...) }
-	// The write comes first: it takes the record's lock, so that nothing changes between the read behind it and the commit.
+	// The write comes first: it takes the record's lock, so that nothing changes between the following read and the
+	// commit.
 	if _, err := exec(`INSERT INTO fence (job, fence, holder, since_ms, acts) VALUES ($1, $2, $3, $4, 1)
 		ON CONFLICT (job, fence) DO UPDATE SET acts = fence.acts + 1`, job, int64(fence), holder, time.Now().UnixMilli()); err != nil {
 		return err
@@ -48,6 +49,7 @@
 	return nil
 }
 
+// highestFence returns the highest fence that has acted for a job, with its holder.
 func (s *Store) highestFence(ctx context.Context, tx *sql.Tx, job string) (record lease.FenceRecord, err error) {
 	var fence int64
 	statement := s.placeholders(`SELECT fence, holder FROM fence WHERE job = $1 ORDER BY fence DESC LIMIT 1`)
@@ -58,7 +60,8 @@
 	return record, nil
 }
 
-// DeleteExpiredFenced deletes the rows that had expired at now, on behalf of the whole fleet. Errors are those of RunFenced.
+// DeleteExpiredFenced deletes the queries that had expired at now, on behalf of the whole fleet. Errors are those of
+// RunFenced.
 func (s *Store) DeleteExpiredFenced(ctx context.Context, now time.Time, fence lease.Fence, holder string) (deleted int64, err error) {
 	err = s.RunFenced(ctx, lease.JobPruneRecord, fence, holder, func(exec Exec) error {
 		deleted, err = exec(deleteExpired, now.UnixMilli())
@@ -72,8 +75,8 @@
 	Job     string      `json:"job"`
 	Fence   lease.Fence `json:"fence"`
 	Holder  string      `json:"holder"`
-	SinceMS int64       `json:"since_ms"` // Unix, of its first operation
-	Acts    int64       `json:"acts"`     // operations, refused ones excluded
+	SinceMS int64       `json:"since_ms"` // time of its first operation, Unix ms
+	Acts    int64       `json:"acts"`     // number of its operations, rejected ones excluded
 }
 
 // Fences returns all grants that have acted on the record, by job and fence.
--- a/internal/store/fence_test.go
+++ b/internal/store/fence_test.go
@@ -12,7 +12,8 @@
 	"aniseloft/internal/testdir"
 )
 
-// A holder that resumes late changes nothing: its fence is checked in the transaction of its operation.
+// A holder that is suspended past the end of its lease must change nothing when it resumes: its fence is checked in the
+// transaction of its operation.
 func TestStaleFenceChangesNothing(t *testing.T) {
 	path, now := filepath.Join(testdir.Dir(t), "record.db"), time.Now()
 	open := func() *Store {
@@ -22,21 +23,21 @@
 		return s
 	}
 	s, other := open(), open()
-	put := func(id string) {
+	insertExpired := func(id string) {
 		_, err := s.Begin(t.Context(), Query{ID: id, Slug: "s", Class: "c", Owner: "o", ExpiresAt: now.Add(-time.Hour)})
 		require.NoError(t, err)
 		require.NoError(t, s.Finish(t.Context(), id, StateSucceeded, nil, 0, now.Add(-time.Hour)))
 	}
-	put("a")
+	insertExpired("a")
 	n, err := s.DeleteExpiredFenced(t.Context(), now, 3, "n1/1")
 	require.NoError(t, err)
 	require.EqualValues(t, 1, n)
-	put("b")
-	for _, late := range []struct {
+	insertExpired("b")
+	for _, attempt := range []struct {
 		fence  lease.Fence
 		holder string
 	}{{2, "n2/1"}, {3, "n2/1"}, {0, "n1/1"}} {
-		_, err = other.DeleteExpiredFenced(t.Context(), now, late.fence, late.holder)
+		_, err = other.DeleteExpiredFenced(t.Context(), now, attempt.fence, attempt.holder)
 		var stale lease.StaleFenceError
 		require.ErrorAs(t, err, &stale)
 		require.EqualValues(t, 3, stale.Highest)
@@ -50,38 +51,39 @@
 	require.Error(t, err)
 	rows, err := s.Fences(t.Context())
 	require.NoError(t, err)
-	require.Len(t, rows, 2, "rejected operations leave no trace")
+	require.Len(t, rows, 2, "rejected operations leave no row")
 	require.Equal(t, "n1/1", rows[0].Holder)
 	require.EqualValues(t, 1, rows[0].Acts)
 	require.EqualValues(t, 5, rows[1].Fence)
 }
 
-// Two holders at once, each with a connection of its own: once the later one has acted, the earlier one never does.
+// Two holders act concurrently on separate connections: after the first operation of the later one, every operation
+// of the earlier one must be rejected.
 func TestFenceHoldsBetweenConnections(t *testing.T) {
 	path := filepath.Join(testdir.Dir(t), "record.db")
 	var mu sync.Mutex
-	var newest time.Time // when the later grant's first act had returned
-	var all sync.WaitGroup
+	var laterActed time.Time // when the first operation of the later grant had returned
+	var holders sync.WaitGroup
 	for fence := lease.Fence(1); fence <= 2; fence++ {
 		s, err := Open(t.Context(), path)
 		require.NoError(t, err)
-		all.Go(func() {
+		holders.Go(func() {
 			defer func() { _ = s.Close() }()
 			time.Sleep(time.Duration(fence-1) * 20 * time.Millisecond)
 			for range 40 {
 				called := time.Now()
 				_, err := s.DeleteExpiredFenced(t.Context(), called, fence, "holder")
 				mu.Lock()
-				if err == nil && fence == 2 && newest.IsZero() {
-					newest = time.Now()
+				if err == nil && fence == 2 && laterActed.IsZero() {
+					laterActed = time.Now()
 				}
-				if err == nil && fence == 1 && !newest.IsZero() && called.After(newest) {
+				if err == nil && fence == 1 && !laterActed.IsZero() && called.After(laterActed) {
 					t.Error("the earlier holder acted after the later one")
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	require.False(t, newest.IsZero())
+	holders.Wait()
+	require.False(t, laterActed.IsZero())
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -14,29 +14,31 @@
 	"aniseloft/internal/testdir"
 )
 
-// recorded is a record that d9ce9f6 wrote: go test ./internal/store -run Recorded -update
+// recorded is a record that commit d9ce9f6 wrote. This rewrites it:
+//
+//	go test ./internal/store -run Recorded -update
 const recorded = "testdata/record.db"
 
-// recordedExpiry is in the year 2100.
+// recordedExpiry is in the year 2100, so that the queries of the record do not expire.
 var recordedExpiry = time.UnixMilli(4102444800000)
 
-// recordedQueries are the rows of the record, in the states that they ended in.
+// recordedQueries returns the queries of the record, one for each state.
 func recordedQueries() []Query {
-	q := Query{Class: "trip-lookup", Owner: "ana", ExpiresAt: recordedExpiry}
+	template := Query{Class: "trip-lookup", Owner: "ana", ExpiresAt: recordedExpiry}
 	var all []Query
 	for i, st := range []State{StateRunning, StateSucceeded, StateRejected, StateFailed, StateCanceled} {
-		one := q
-		one.ID, one.Slug, one.Digest, one.State = "q-"+string(st), "s-"+string(st), "d-"+string(st), st
-		if one.IdempotencyKey = "k-" + string(st); i%2 == 1 {
-			one.IdempotencyKey = ""
+		q := template
+		q.ID, q.Slug, q.Digest, q.State = "q-"+string(st), "s-"+string(st), "d-"+string(st), st
+		if q.IdempotencyKey = "k-" + string(st); i%2 == 1 {
+			q.IdempotencyKey = ""
 		}
 		switch st {
 		case StateSucceeded:
-			one.Pages = []byte("1\tvienna\t17.5\n")
+			q.Pages = []byte("1\tvienna\t17.5\n")
 		case StateRejected:
-			one.RetryAfter = 1200 * time.Millisecond
+			q.RetryAfter = 1200 * time.Millisecond
 		}
-		all = append(all, one)
+		all = append(all, q)
 	}
 	return all
 }
@@ -48,9 +50,9 @@
 	require.NoError(t, err)
 	for _, q := range recordedQueries() {
 		q.Coordinator = "n0"
-		had, err := s.Begin(ctx, q)
+		existing, err := s.Begin(ctx, q)
 		require.NoError(t, err)
-		require.Nil(t, had)
+		require.Nil(t, existing)
 		if q.State != StateRunning {
 			require.NoError(t, s.Finish(ctx, q.ID, q.State, q.Pages, q.RetryAfter, q.ExpiresAt))
 		}
@@ -58,7 +60,7 @@
 	_, err = s.DeleteExpiredFenced(ctx, time.UnixMilli(0), 7, "n0")
 	require.NoError(t, err)
 	require.NoError(t, s.CreateLeaseTable(ctx))
-	_, err = s.AcquireLease(ctx, lease.JobPruneRecord, "n0", -1000, true) // over at once
+	_, err = s.AcquireLease(ctx, lease.JobPruneRecord, "n0", -1000, true) // expires at once
 	require.NoError(t, err)
 	require.NoError(t, s.RaiseFence(ctx, lease.JobCollectSpool, 9))
 	require.NoError(t, s.Close())
@@ -78,7 +80,7 @@
 		got, err := s.Get(ctx, want.ID)
 		require.NoError(t, err)
 		if want.State == StateRejected {
-			want.IdempotencyKey = "" // a refusal gives its key free
+			want.IdempotencyKey = "" // a rejected query releases its key
 		}
 		if want.Pages == nil {
 			want.Pages = []byte{}
@@ -97,6 +99,6 @@
 	require.Equal(t, LeaseRow{Fence: 10, Holder: "n1"}, row)
 	n, err := s.FailUnfinished(ctx, "n0")
 	require.NoError(t, err)
-	require.EqualValues(t, 1, n, "the one that ran, of this coordinator")
+	require.EqualValues(t, 1, n, "the running query of this coordinator")
 	require.NoError(t, s.Close())
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -9,26 +9,27 @@
 	"aniseloft/internal/lease"
 )
 
-// createLeaseTable makes the table of the jobs' holders, where the record itself assigns the jobs.
+// createLeaseTable creates the table of the jobs' holders, for coordinators whose jobs the record itself assigns.
 const createLeaseTable = `CREATE TABLE IF NOT EXISTS lease (
 	job TEXT PRIMARY KEY, fence BIGINT NOT NULL, holder TEXT NOT NULL, until_ms BIGINT NOT NULL)`
 
 // LeaseRow is a job's lease.
 type LeaseRow struct {
 	Fence  lease.Fence
-	Holder string // empty: nobody
+	Holder string // empty: none
 	Free   bool   // without a holder, or expired
 }
 
-// CreateLeaseTable makes the table of leases where there is none.
+// CreateLeaseTable creates the table of leases if it does not exist.
 func (s *Store) CreateLeaseTable(ctx context.Context) error {
 	_, err := s.exec(ctx, createLeaseTable)
 	return err
 }
 
-// AcquireLease renews the holder's lease on a job for durationMS of the database's clock. Where acquire is set and the job is
-// free, it takes the lease under the next fence. It returns the row as it then is. After an error the lease may be the
-// holder's all the same, as the outcome of a commit can be unknown: the next call finds it so, under the same fence.
+// AcquireLease renews the holder's lease on a job for durationMS of the database's clock. If acquire is set and the
+// job is free, it takes the lease under the next fence. It returns the resulting row. After an error the holder may
+// have the lease nevertheless, as the outcome of a commit can be unknown: the next call then renews it, under the
+// same fence.
 func (s *Store) AcquireLease(ctx context.Context, job, holder string, durationMS float64, acquire bool) (LeaseRow, error) {
 	until := fmt.Sprintf("%s + %.0f", s.nowSQL, durationMS)
 	renew := `UPDATE lease SET until_ms = ` + until + ` WHERE job = $1 AND holder = $2 RETURNING fence`
@@ -58,6 +59,7 @@
 	return lease.Fence(number), true, nil
 }
 
+// readLease returns the row of a job; a job without a row is free.
 func (s *Store) readLease(ctx context.Context, job string) (row LeaseRow, err error) {
 	var fence, free int64
 	statement := `SELECT fence, holder, CASE WHEN holder = '' OR until_ms < ` + s.nowSQL + ` THEN 1 ELSE 0 END FROM lease WHERE job = $1`
@@ -72,14 +74,14 @@
 	return row, nil
 }
 
-// ReleaseLease frees a job that is held under this fence; one that has moved on is left as it is.
+// ReleaseLease frees a job that this holder has under this fence. It does nothing if the job was granted again since.
 func (s *Store) ReleaseLease(ctx context.Context, job, holder string, fence lease.Fence) error {
 	_, err := s.exec(ctx, `UPDATE lease SET holder = '' WHERE job = $1 AND holder = $2 AND fence = $3`, job, holder, int64(fence))
 	return err
 }
 
-// RaiseFence raises a job's fence to one that its target has seen. A holder under a lower one loses the lease: the target
-// would reject all that it does.
+// RaiseFence raises a job's fence to one that its target has accepted. A holder under a lower fence loses the lease,
+// as the target would reject all its operations.
 func (s *Store) RaiseFence(ctx context.Context, job string, fence lease.Fence) error {
 	_, err := s.exec(ctx, `INSERT INTO lease (job, fence, holder, until_ms) VALUES ($1, $2, '', 0)
 		ON CONFLICT (job) DO UPDATE SET fence = excluded.fence, holder = '' WHERE lease.fence < excluded.fence`, job, int64(fence))
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -1,5 +1,5 @@
-// Package store is the record of REST queries, in SQLite or PostgreSQL. It makes pages readable and a query's end known
-// after a restart. Coordinators that share a record also keep their fences and leases in it.
+// Package store is the record of REST queries, in SQLite or PostgreSQL. It keeps the states of queries and the pages
+// of their results across restarts. Coordinators that share a record also keep their fences and leases in it.
 //
 // Errors of the database are wrapped; those that a caller can act on are ErrNotFound and lease.StaleFenceError.
 package store
@@ -14,28 +14,28 @@
 	"time"
 
 	_ "github.com/jackc/pgx/v5/stdlib" // the driver for PostgreSQL
-	_ "modernc.org/sqlite"             // the driver, in pure Go
+	_ "modernc.org/sqlite"             // the driver for SQLite, in pure Go
 )
 
 // Store is the record. It is safe for concurrent use; its one connection carries one statement or transaction at a time.
 type Store struct {
 	database *sql.DB
-	// placeholders turns $1 into the driver's form.
+	// placeholders replaces $1, $2 and so on by the driver's form of placeholders.
 	placeholders func(query string) string
-	nowSQL       string // the database's own clock, Unix ms, as an expression
+	nowSQL       string // expression for the time of the database's clock, Unix ms
 }
 
-// dialect is what differs between the databases.
+// dialect holds what a Store does differently for SQLite and PostgreSQL.
 type dialect struct {
 	driver, source string
 	placeholders   func(string) string
 	nowSQL         string
 }
 
-var errUnreadableURL = errors.New("store: the URL is not readable") // without its text, which may hold a password
+var errUnreadableURL = errors.New("store: the postgres URL is invalid") // the URL is left out, as it may hold a password
 
-// Open opens the record: a PostgreSQL database where the name is a postgres URL, else a SQLite file. It creates what the
-// record lacks, and retries while another coordinator holds the file, until ctx ends.
+// Open opens the record: a PostgreSQL database if the name is a postgres URL, else a SQLite file. It creates missing
+// tables and columns, and retries while another coordinator has locked the file, until ctx ends.
 func Open(ctx context.Context, name string) (*Store, error) {
 	d, err := dialectOf(name)
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	database.SetMaxOpenConns(1) // one writer; its descriptors are budgeted
+	database.SetMaxOpenConns(1) // there is one writer, and file descriptors are budgeted
 	s := &Store{database: database, placeholders: d.placeholders, nowSQL: d.nowSQL}
 	if err := retryWhileBusy(ctx, func() error { return s.createTables(ctx) }); err != nil {
 		_ = database.Close()
@@ -54,6 +54,7 @@
 	return s, nil
 }
 
+// dialectOf returns the dialect of the database with this name.
 func dialectOf(name string) (dialect, error) {
 	if !strings.HasPrefix(name, "postgres://") && !strings.HasPrefix(name, "postgresql://") {
 		return dialect{
@@ -67,7 +68,7 @@
 	if err != nil {
 		return dialect{}, errUnreadableURL
 	}
-	// Simple queries need no statement prepared on each connection, and pass through poolers.
+	// The simple protocol needs no prepared statements on each connection, and works through connection poolers.
 	arguments := u.Query()
 	arguments.Set("default_query_exec_mode", "simple_protocol")
 	u.RawQuery = arguments.Encode()
@@ -75,7 +76,8 @@
 	return dialect{driver: "pgx", source: u.String(), placeholders: asIs, nowSQL: postgresNow}, nil
 }
 
-// The databases' own clocks, Unix ms. Leases hang on them alone: no coordinator's clock is compared with them.
+// Expressions for the time of the databases' clocks, Unix ms. Leases depend on these alone: they are never compared
+// with the clock of a coordinator.
 const (
 	sqliteNow   = `CAST(unixepoch('subsec') * 1000 AS INTEGER)`
 	postgresNow = `CAST(extract(epoch FROM clock_timestamp()) * 1000 AS BIGINT)`
@@ -84,7 +86,7 @@
 // Close closes the record.
 func (s *Store) Close() error { return s.database.Close() }
 
-// createTables creates the tables, and the column that records of earlier releases lack.
+// createTables creates missing tables, and the column node, which records of earlier releases lack.
 func (s *Store) createTables(ctx context.Context) error {
 	for _, statement := range []string{createQueryTable, createFenceTable} {
 		if _, err := s.database.ExecContext(ctx, statement); err != nil {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// execer is a database or a transaction.
+// execer is implemented by a database and a transaction.
 type execer interface {
 	ExecContext(ctx context.Context, query string, args ...any) (sql.Result, error)
 }
@@ -113,22 +115,23 @@
 	return s.execOn(ctx, s.database, query, args...)
 }
 
-func (s *Store) execOn(ctx context.Context, on execer, query string, args ...any) (changed int64, err error) {
-	result, err := on.ExecContext(ctx, s.placeholders(query), args...)
+// execOn executes a statement and returns the number of rows that it changed.
+func (s *Store) execOn(ctx context.Context, target execer, query string, args ...any) (changed int64, err error) {
+	result, err := target.ExecContext(ctx, s.placeholders(query), args...)
 	if err != nil {
 		return 0, fmt.Errorf("store: %w", err)
 	}
 	return result.RowsAffected()
 }
 
-// busyRetryInterval is the pause before a file is tried again that another coordinator holds.
+// busyRetryInterval is the pause between attempts while another coordinator has locked the file.
 const busyRetryInterval = 20 * time.Millisecond
 
-// sqliteBusy is SQLite's code for a file that another connection holds.
+// sqliteBusy is SQLite's primary result code SQLITE_BUSY: another connection has locked the file.
 const sqliteBusy = 5
 
-// retryWhileBusy repeats f until ctx ends while another coordinator holds the file: one that creates it, or that is
-// suspended within a write.
+// retryWhileBusy repeats f while another coordinator has locked the file, as it creates the file or was suspended
+// during a write. It returns the last error when ctx ends.
 func retryWhileBusy(ctx context.Context, f func() error) error {
 	for {
 		err := f()
@@ -143,6 +146,7 @@
 	}
 }
 
+// isBusy reports whether SQLite returned an error because another connection has locked the file.
 func isBusy(err error) bool {
 	var coded interface{ Code() int }
 	return errors.As(err, &coded) && coded.Code()&0xff == sqliteBusy
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -11,11 +11,11 @@
 	"aniseloft/internal/testdir"
 )
 
-// Coordinators that start together create one file between them: one that finds it held for longer than a statement waits
-// retries, and its start goes on.
+// Coordinators that start together create the same file. Open must retry, rather than fail, if another coordinator
+// has locked the file for longer than a statement waits, and so must FailUnfinished.
 func TestOpenRetriesWhileTheRecordIsBusy(t *testing.T) {
 	path := filepath.Join(testdir.Dir(t), "record.db")
-	first, err := sql.Open("sqlite", path) // as a file is before its first coordinator has switched its journal
+	first, err := sql.Open("sqlite", path) // a new file, whose journal mode has not been switched yet
 	require.NoError(t, err)
 	first.SetMaxOpenConns(1)
 	_, err = first.Exec("BEGIN EXCLUSIVE; CREATE TABLE making (x TEXT)")
@@ -23,18 +23,19 @@
 	time.AfterFunc(1500*time.Millisecond, func() { _, _ = first.Exec("COMMIT"); _ = first.Close() })
 	second, err := Open(t.Context(), path)
 	require.NoError(t, err)
-	// A process that is suspended within a write, while the start ends what was left running.
-	stopped, err := Open(t.Context(), path)
+	// A process is suspended during a write while another one, which starts, fails the queries that were left running.
+	suspended, err := Open(t.Context(), path)
 	require.NoError(t, err)
-	_, err = stopped.database.Exec("BEGIN IMMEDIATE")
+	_, err = suspended.database.Exec("BEGIN IMMEDIATE")
 	require.NoError(t, err)
-	time.AfterFunc(1500*time.Millisecond, func() { _, _ = stopped.database.Exec("COMMIT"); _ = stopped.Close() })
+	time.AfterFunc(1500*time.Millisecond, func() { _, _ = suspended.database.Exec("COMMIT"); _ = suspended.Close() })
 	_, err = second.FailUnfinished(t.Context(), "n1")
 	require.NoError(t, err)
 	require.NoError(t, second.Close())
 }
 
-// A record from before coordinators shared one is upgraded, and a restart ends only its own queries.
+// A record of a release in which coordinators could not share one is upgraded. A restart fails only the queries of
+// its own coordinator and those from before the upgrade.
 func TestOldRecordIsUpgradedAndOthersQueriesKeepRunning(t *testing.T) {
 	path := filepath.Join(testdir.Dir(t), "record.db")
 	s, err := Open(t.Context(), path)
@@ -53,7 +54,7 @@
 	}
 	n, err := s.FailUnfinished(t.Context(), "n1")
 	require.NoError(t, err)
-	require.EqualValues(t, 2, n, "its own, and the one from before the upgrade")
+	require.EqualValues(t, 2, n, "its own query, and the one from before the upgrade")
 	q, err := s.Get(t.Context(), "n2")
 	require.NoError(t, err)
 	require.Equal(t, StateRunning, q.State)
--- a/internal/store/query.go
+++ b/internal/store/query.go
@@ -13,48 +13,48 @@
 	class TEXT NOT NULL, state TEXT NOT NULL, pages TEXT NOT NULL, come_back_ms BIGINT NOT NULL,
 	expiry_ms BIGINT NOT NULL, node TEXT NOT NULL DEFAULT '', UNIQUE (owner, idem_key))`
 
-// addCoordinatorColumn upgrades a record from before coordinators shared one.
+// addCoordinatorColumn upgrades a record from a release in which coordinators could not share one.
 const addCoordinatorColumn = `ALTER TABLE query ADD COLUMN node TEXT NOT NULL DEFAULT ''`
 
 const queryColumns = `id, slug, owner, COALESCE(idem_key, ''), digest, class, state, pages, come_back_ms, expiry_ms`
 
-// State is the state of a query, as the record holds it.
+// State is the state of a query; its value is stored in the record.
 type State string
 
 // States of a query. All but StateRunning are final.
 const (
 	StateRunning   State = "running"
 	StateSucceeded State = "served"
-	StateRejected  State = "refused" // it never ran
-	StateFailed    State = "failed"  // it may have run
+	StateRejected  State = "refused" // the query never ran
+	StateFailed    State = "failed"  // the query may have run
 	StateCanceled  State = "cancelled"
 )
 
-// Query is one row.
+// Query is one row of the record.
 type Query struct {
 	ID             string
-	Slug           string // the secret part of its address
-	IdempotencyKey string // the client's; empty: none
-	Digest         string // of its class and statement
+	Slug           string // the secret part of the query's URL
+	IdempotencyKey string // chosen by the client; empty: none
+	Digest         string // of the class and the statement
 	Class          string
 	Owner          string
-	Coordinator    string // that serves it; empty: of a record that one coordinator keeps alone. Not read back
+	Coordinator    string // name of the one that serves the query; empty if no other uses the record; not read back
 	State          State
 	Pages          []byte
-	RetryAfter     time.Duration // with StateRejected
+	RetryAfter     time.Duration // set with StateRejected
 	ExpiresAt      time.Time
 }
 
-// ErrNotFound is returned where there is no such row.
+// ErrNotFound is returned if there is no such query.
 var ErrNotFound = errors.New("store: no such query")
 
-// Begin writes a running query before its first attempt. Where the owner's idempotency key is in use, nothing is written and
-// the row that has it is returned.
+// Begin stores a query as running before its first attempt. If the owner's idempotency key is in use, it stores
+// nothing and returns the query that has the key.
 func (s *Store) Begin(ctx context.Context, q Query) (existing *Query, err error) {
-	var key any // NULL is unique to each row
+	var key any // NULL does not conflict with any key
 	if q.IdempotencyKey != "" {
 		key = q.IdempotencyKey
-		// An expired row gives its key free, whether it has been deleted or not.
+		// An expired query no longer holds its key, even if its row has not been deleted yet.
 		if _, err := s.exec(ctx, `DELETE FROM query WHERE owner = $1 AND idem_key = $2 AND expiry_ms < $3 AND state <> 'running'`,
 			q.Owner, q.IdempotencyKey, time.Now().UnixMilli()); err != nil {
 			return nil, err
@@ -69,12 +69,13 @@
 	return s.queryOne(ctx, "owner = $1 AND idem_key = $2", q.Owner, q.IdempotencyKey)
 }
 
-// Finish writes a query's end before it is answered. A rejected one gives its key free: it never ran, and the client is told
-// that a retry is harmless. ErrNotFound is returned where the query is not running.
-func (s *Store) Finish(ctx context.Context, id string, end State, pages []byte, retryAfter time.Duration, expiresAt time.Time) error {
+// Finish stores the final state of a query before the client is answered. A rejected query releases its idempotency
+// key: it never ran, and the client is told that a retry is safe. ErrNotFound is returned if the query is not
+// running.
+func (s *Store) Finish(ctx context.Context, id string, final State, pages []byte, retryAfter time.Duration, expiresAt time.Time) error {
 	updated, err := s.exec(ctx, `UPDATE query SET state = $1, pages = $2, come_back_ms = $3, expiry_ms = $4,
 		idem_key = CASE WHEN $5 = 'refused' THEN NULL ELSE idem_key END WHERE id = $6 AND state = 'running'`,
-		string(end), string(pages), retryAfter.Milliseconds(), expiresAt.UnixMilli(), string(end), id)
+		string(final), string(pages), retryAfter.Milliseconds(), expiresAt.UnixMilli(), string(final), id)
 	if err != nil {
 		return err
 	}
@@ -89,6 +90,7 @@
 	return s.queryOne(ctx, "id = $1", id)
 }
 
+// queryOne reads the query that matches a condition, or returns ErrNotFound.
 func (s *Store) queryOne(ctx context.Context, where string, args ...any) (*Query, error) {
 	var q Query
 	var pages string
@@ -108,19 +110,19 @@
 	return &q, nil
 }
 
-// FailUnfinished ends as failed what an earlier process of this coordinator left running: it may have run, and is never
-// sent again. Queries of other coordinators are left alone.
-func (s *Store) FailUnfinished(ctx context.Context, coordinator string) (ended int64, err error) {
+// FailUnfinished marks the queries that an earlier process of this coordinator left running as failed: they may have
+// run, and are never sent again. Queries of other coordinators are not changed.
+func (s *Store) FailUnfinished(ctx context.Context, coordinator string) (failed int64, err error) {
 	err = retryWhileBusy(ctx, func() (err error) {
-		ended, err = s.exec(ctx, `UPDATE query SET state = 'failed' WHERE state = 'running' AND (node = $1 OR node = '')`, coordinator)
+		failed, err = s.exec(ctx, `UPDATE query SET state = 'failed' WHERE state = 'running' AND (node = $1 OR node = '')`, coordinator)
 		return err
 	})
-	return ended, err
+	return failed, err
 }
 
 const deleteExpired = `DELETE FROM query WHERE expiry_ms < $1 AND state <> 'running'`
 
-// DeleteExpired deletes the rows that had expired at now.
+// DeleteExpired deletes the queries that had expired at now, except running ones.
 func (s *Store) DeleteExpired(ctx context.Context, now time.Time) (deleted int64, err error) {
 	return s.exec(ctx, deleteExpired, now.UnixMilli())
 }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -14,10 +14,10 @@
 	"aniseloft/internal/testdir"
 )
 
-// testdata/fences.db was written by the release before the first rename of these rows, with
+// testdata/fences.db was written by the release before the stored types were first renamed, with
 //
 //	go test ./internal/store -run TestStoredFencesAndLeases -update-fences
-var updateFences = flag.Bool("update-fences", false, "write the fixtures anew")
+var updateFences = flag.Bool("update-fences", false, "rewrite the fixtures")
 
 const fencesFixture = "testdata/fences.db"
 
@@ -44,8 +44,8 @@
 	require.NoError(t, os.WriteFile(fencesFixture, raw, 0o644))
 }
 
-// Rows of an earlier release are read whole, and a later write leaves them in the same form.
-func TestStoredFencesAndLeasesAreReadAndWrittenAlike(t *testing.T) {
+// Fences and leases of an earlier release must be read completely, and later writes must keep the form of the rows.
+func TestStoredFencesAndLeasesAreReadAndWrittenUnchanged(t *testing.T) {
 	if *updateFences {
 		writeStoredFences(t)
 	}
