--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,5 @@
-// Package durable writes files that survive a kill of the process and a power failure complete or not at all.
+// Package durable replaces files so that after a kill of the process or a power failure the old or the new content is
+// there, complete.
 package durable
 
 import (
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWriteFileReplacesTheContentAndLeavesNoTemporaryFile(t *testing.T) {
+func TestWriteFileReplacesContentAndLeavesNoTemporaryFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fences.json")
 	require.NoError(t, WriteFile(path, []byte("old")))
 	require.NoError(t, WriteFile(path, []byte("new")))
@@ -24,6 +24,6 @@
 	require.Len(t, entries, 1)
 }
 
-func TestWriteFileToAMissingDirectoryIsAnError(t *testing.T) {
+func TestWriteFileToMissingDirectoryFails(t *testing.T) {
 	require.ErrorIs(t, WriteFile(filepath.Join(t.TempDir(), "missing", "fences.json"), nil), fs.ErrNotExist)
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares what a test made with a file that an earlier build wrote. Only tests import it.
+// Package golden compares the output of a test with a file that an earlier build wrote. Only tests import it.
 //
-// The files hold what other programs read, or what later versions must still read: messages, settings and stored data.
-// A test writes its files anew under -update; that is right only where the form is meant to change.
+// The files hold data that other programs or later versions must be able to read: messages, settings and stored data.
+// With -update a test rewrites its files; use it only if the format is meant to change.
 package golden
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Update is set where the files are to be written by this build.
-var Update = flag.Bool("update", false, "write the golden files by this build")
+// Update is set if tests are to rewrite the files with the output of this build.
+var Update = flag.Bool("update", false, "rewrite the golden files with the output of this build")
 
 // Equal compares bytes with the file at path.
 func Equal(t testing.TB, path string, got []byte) {
--- a/internal/pgtest/server.go
+++ b/internal/pgtest/server.go
@@ -1,4 +1,5 @@
-// Package pgtest provides a PostgreSQL server for tests: the wire protocol, from its public specification, over a SQLite file.
+// Package pgtest provides a PostgreSQL server for tests. It implements the wire protocol, by its public
+// specification, on top of a SQLite file.
 package pgtest
 
 import (
@@ -16,15 +17,15 @@
 	"aniseloft/internal/testdir"
 )
 
-// Server speaks the protocol of a PostgreSQL server: simple queries, and transactions by connection. Its data outlives
-// connections.
+// Server speaks the protocol of a PostgreSQL server, with simple queries and with transactions on each connection.
+// Its data stays when connections end.
 type Server struct {
 	DSN      string
 	Database *sql.DB // the data, for tests that inspect it
-	// DropReply, where set, reports whether the connection ends after a statement was executed and before its reply, as when
-	// the reply to a commit is lost. Set it before the first connection.
+	// DropReply, if set, reports whether the connection is closed after a statement was executed and before the reply
+	// is sent, as when the reply to a commit is lost. Set it before the first connection.
 	DropReply func(statement string) bool
-	// Unavailable ends each connection at its next statement, before anything is executed.
+	// Unavailable, while true, closes each connection at its next statement, before anything is executed.
 	Unavailable atomic.Bool
 }
 
@@ -66,7 +67,7 @@
 		return
 	}
 	defer func() {
-		_, _ = connection.ExecContext(context.Background(), "ROLLBACK") // fails where no transaction is open
+		_, _ = connection.ExecContext(context.Background(), "ROLLBACK") // fails if no transaction is open
 		_ = connection.Close()
 	}()
 	client.Send(&pgproto3.AuthenticationOk{})
@@ -95,7 +96,7 @@
 	}
 }
 
-// transactionStatus is the status of a connection, as the protocol's ReadyForQuery message has it.
+// transactionStatus is the transaction status of a connection, with the values of the protocol's ReadyForQuery message.
 type transactionStatus byte
 
 const (
@@ -104,7 +105,7 @@
 	statusFailed        transactionStatus = 'E'
 )
 
-// after returns the status once a statement has ended with an error or without.
+// after returns the status after a statement that has returned err.
 func (s transactionStatus) after(verb string, err error) transactionStatus {
 	switch {
 	case err != nil && s == statusInTransaction:
--- a/internal/pgtest/statement.go
+++ b/internal/pgtest/statement.go
@@ -26,7 +26,7 @@
 	return statement{text, strings.ToUpper(strings.Trim(strings.Fields(text + " ;")[0], ";"))}
 }
 
-// sqliteDialect replaces the expressions that SQLite writes in another way.
+// sqliteDialect replaces PostgreSQL's expressions by SQLite's.
 var sqliteDialect = strings.NewReplacer("CAST(extract(epoch FROM clock_timestamp()) * 1000 AS BIGINT)", "CAST(unixepoch('subsec') * 1000 AS INTEGER)")
 
 // execute executes a statement and sends its result, or returns the database's error.
@@ -37,7 +37,7 @@
 	}
 	text := s.text
 	if s.verb == "BEGIN" {
-		text = "BEGIN" // SQLite knows none of PostgreSQL's options
+		text = "BEGIN" // SQLite does not support PostgreSQL's options
 	}
 	text = sqliteDialect.Replace(text)
 	if s.verb == "SELECT" || strings.Contains(text, " RETURNING ") {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// describe gives columns their types by name: SQLite has none of its own for an expression.
+// describe derives the types of columns from their names, as SQLite has no type for an expression.
 func describe(names []string) *pgproto3.RowDescription {
 	description := &pgproto3.RowDescription{}
 	for _, name := range names {
@@ -97,7 +97,7 @@
 	return description
 }
 
-// commandTag is the protocol's summary of an executed statement.
+// commandTag returns the protocol's summary of an executed statement.
 func commandTag(verb string, count int64) []byte {
 	switch verb {
 	case "INSERT":
--- a/internal/testdir/testdir.go
+++ b/internal/testdir/testdir.go
@@ -1,4 +1,4 @@
-// Package testdir gives tests folders for their records. Only tests import it.
+// Package testdir provides directories for the files of tests. Only tests import it.
 package testdir
 
 import (
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// memory is where Linux keeps files in memory.
-const memory = "/dev/shm"
+// memoryRoot is the root of Linux's file system in memory.
+const memoryRoot = "/dev/shm"
 
-// Dir returns a folder that is gone after the test: in memory where the system has that. A disk under other
-// load was seen to take 5 s for one fsync, past the time that a coordinator gives its record: a test whose
-// verdict must not hang on the machine's disk keeps its record here.
+// Dir returns a directory that is removed after the test. It is in memory if the system has a file system there:
+// on a disk under other load one fsync was seen to take 5 s, longer than the timeout of a coordinator's
+// record, so tests whose outcome must not depend on the machine's disk keep their record here.
 func Dir(t testing.TB) string {
-	dir, err := os.MkdirTemp(memory, "aniseloft-test-")
+	dir, err := os.MkdirTemp(memoryRoot, "aniseloft-test-")
 	if err != nil {
 		return t.TempDir()
 	}
