--- a/internal/consensus/keepalive.go
+++ b/internal/consensus/keepalive.go
@@ -23,7 +23,7 @@
 	}
 	if r.nameInUse(request.Holder) {
 		r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses, lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt,
-			Error: fmt.Sprintf("the name %s is in use by another incarnation; it becomes free once that has sent no keep-alive request for %.0f ms", request.Holder.Name, r.config.Timing.LeaseTTL)})
+			Error: fmt.Sprintf("the name %s is in use; it is free once nothing was heard of it for %.0f ms", request.Holder.Name, r.config.Timing.LeaseTTL)})
 		return
 	}
 	r.leader.waiting = append(r.leader.waiting, pendingKeepAlive{request, now})
