--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,52 +1,55 @@
-// Package drain holds the rules by which a coordinator sends its clients away: paused by an
-// operator, or terminated by SIGTERM. It reads no clock and does no I/O.
+// Package drain defines how a coordinator drains its clients, either paused by an operator or
+// terminated by SIGTERM. It does not read the clock and does no I/O.
 package drain
 
 import "time"
 
-// The platform's balancer stops new connections 0.2 s after a coordinator turns unready. Its open
-// connections must be closed 4 s after, when only requests older than 2 s may still be open. After
-// SIGTERM the process is killed no sooner than the longest deadline, counted as 3 s where it is
-// longer, plus 0.7 s.
+// The limits below follow from the platform. Its load balancer sends no new connections from 0.2 s
+// after a coordinator becomes unready. Open connections must be closed 4 s after that moment; by then
+// only requests older than 2 s may still be open. After SIGTERM the process is killed no sooner than
+// the longest deadline, capped at 3 s, plus 0.7 s.
 const (
-	// AdmitFor is how long after a pause requests on open connections are still admitted. Later
-	// ones are rejected at once, so that none younger than 2 s is open at the 4 s mark.
-	AdmitFor = 1600 * time.Millisecond
-	// RetryAfter is what a rejection while draining tells the client: a new connection reaches
-	// another process at once.
+	// PauseAdmissionPeriod is how long after a pause requests on open connections are still admitted.
+	// Later requests are rejected immediately, so that 4 s after the pause no open request is younger
+	// than 2 s.
+	PauseAdmissionPeriod = 1600 * time.Millisecond
+	// RetryAfter is the retry delay that a client is given when its request is rejected during a drain.
+	// It is short because a new connection immediately reaches another process.
 	RetryAfter = 100 * time.Millisecond
 
-	maxCountedDeadline = 3 * time.Second
-	killAfterDeadline  = 700 * time.Millisecond
-	// killMargin is for the way of the last answers (0.1 s), the lingering closes and the exit (0.1 s),
-	// by a process that gets its processor late (0.2 s).
+	// maxDeadlineBeforeKill caps the longest deadline, and killAfterDeadline is added to it, to get the
+	// earliest time of the kill after SIGTERM.
+	maxDeadlineBeforeKill = 3 * time.Second
+	killAfterDeadline     = 700 * time.Millisecond
+	// killMargin is the time reserved before the kill: for the transmission of the last answers (0.1 s),
+	// for lingering connections and the exit (0.1 s), and for scheduling delays of the process (0.2 s).
 	killMargin = 400 * time.Millisecond
-	// AnswerAllAfter is when, after SIGTERM, every open request is answered at the latest: the kill
-	// must not cut an answer off.
-	AnswerAllAfter = maxCountedDeadline + killAfterDeadline - killMargin
+	// MaxAnswerAllAfter is the longest time after SIGTERM until every open request is answered. It ends
+	// before the kill, which would cut off an answer.
+	MaxAnswerAllAfter = maxDeadlineBeforeKill + killAfterDeadline - killMargin
 )
 
 const (
-	// workMargin is how many times its estimated work a request is likely to take at worst.
+	// workMargin is the ratio of the actual to the estimated work of a request that is assumed in the worst case.
 	workMargin = 1.5
-	// baseDurationMS is what a request takes beside its work, in milliseconds.
+	// baseDurationMS is the assumed duration of a request in addition to its work, in milliseconds.
 	baseDurationMS = 50
 )
 
-// Drain is the drain state of a coordinator. While it drains, connections without an open request
+// Drain is the drain state of a coordinator. During a drain, connections without an open request
 // are closed. A Drain is not safe for concurrent use; the zero value is not draining.
 type Drain struct {
-	// LongestDeadline is that of all classes, which decides when the kill may come; 0: not known, and
-	// counted as long.
+	// LongestDeadline is the longest deadline of all classes. It determines the earliest time of the
+	// kill; 0 means unknown and is treated like a deadline above the cap.
 	LongestDeadline time.Duration
 
 	paused       bool
-	pausedAt     time.Time // the first PAUSE since the last RESUME
-	terminatedAt time.Time // the first SIGTERM; zero: none
+	pausedAt     time.Time // time of the first PAUSE since the last RESUME
+	terminatedAt time.Time // time of the first SIGTERM; zero: not received
 }
 
-// Pause starts a drain by the operator and reports whether one was on already; then its time
-// runs on from the first call.
+// Pause starts the operator's drain and reports whether it was already active. In that case the
+// admission period still counts from the first call.
 func (d *Drain) Pause(now time.Time) (wasPaused bool) {
 	if d.paused {
 		return true
@@ -55,38 +58,38 @@
 	return false
 }
 
-// Resume ends the operator's drain and reports whether one was on. It does not undo Terminate.
+// Resume ends the operator's drain and reports whether it was active. It does not undo Terminate.
 func (d *Drain) Resume() (wasPaused bool) {
 	wasPaused, d.paused = d.paused, false
 	return wasPaused
 }
 
-// Terminate starts the drain after SIGTERM, which nothing ends. A second call changes nothing.
+// Terminate starts the drain after SIGTERM, which can't be ended. Further calls have no effect.
 func (d *Drain) Terminate(now time.Time) {
 	if d.terminatedAt.IsZero() {
 		d.terminatedAt = now
 	}
 }
 
-// TerminatedAt returns when SIGTERM came; zero: it has not.
+// TerminatedAt returns the time of the first SIGTERM; zero if it was not received.
 func (d *Drain) TerminatedAt() time.Time { return d.terminatedAt }
 
-// Paused reports whether the operator's drain is on.
+// Paused reports whether the operator's drain is active.
 func (d *Drain) Paused() bool { return d.paused }
 
-// Admit reports whether a request is admitted that is complete at now and is expected to take
-// so long; otherwise it is rejected with RetryAfter. A paused coordinator admits for AdmitFor; a
-// terminated one, whatever is expected to end before AnswerAllAt.
+// Admit reports whether to admit a request that was completely received at now and is expected to
+// take the given time; otherwise it is to be rejected with RetryAfter. A paused coordinator admits
+// requests for PauseAdmissionPeriod; a terminated one admits those expected to end by AnswerAllAt.
 func (d *Drain) Admit(now time.Time, expected time.Duration) bool {
 	if !d.terminatedAt.IsZero() && now.Add(expected).After(d.AnswerAllAt()) {
 		return false
 	}
-	return !d.paused || now.Sub(d.pausedAt) < AdmitFor
+	return !d.paused || now.Sub(d.pausedAt) < PauseAdmissionPeriod
 }
 
-// ExpectedDuration is how long a request is likely to take at worst. Its estimated work is in
-// milliseconds on one core and is spread over the class's threads; without an estimate (0) it
-// is the class's latency objective, in milliseconds.
+// ExpectedDuration returns an upper estimate of the duration of a request. workMS is its estimated
+// work, in milliseconds on one core, which is divided by the class's threads. Without an estimate (0)
+// the result is objectiveMS, the class's latency objective in milliseconds.
 func ExpectedDuration(workMS float64, threads int, objectiveMS float64) time.Duration {
 	expectedMS := objectiveMS
 	if workMS > 0 {
@@ -95,18 +98,18 @@
 	return time.Duration(expectedMS * float64(time.Millisecond))
 }
 
-// Draining reports whether clients are sent away: a connection without an open request is closed.
+// Draining reports whether a drain is active, during which connections without an open request are closed.
 func (d *Drain) Draining() bool { return d.paused || !d.terminatedAt.IsZero() }
 
-// AnswerAllAfter returns when, after SIGTERM, every open request is to be answered.
+// AnswerAllAfter returns how long after SIGTERM every open request must have been answered.
 func (d *Drain) AnswerAllAfter() time.Duration {
 	if d.LongestDeadline <= 0 {
-		return AnswerAllAfter
+		return MaxAnswerAllAfter
 	}
-	return min(d.LongestDeadline, maxCountedDeadline) + killAfterDeadline - killMargin
+	return min(d.LongestDeadline, maxDeadlineBeforeKill) + killAfterDeadline - killMargin
 }
 
-// AnswerAllAt returns when every open request is to be answered; zero before SIGTERM.
+// AnswerAllAt returns the time by which every open request must have been answered; zero before SIGTERM.
 func (d *Drain) AnswerAllAt() time.Time {
 	if d.terminatedAt.IsZero() {
 		return time.Time{}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPauseAdmitsForAWhileThenRejectsUntilResume(t *testing.T) {
+func TestPauseRejectsAfterAdmissionPeriodUntilResume(t *testing.T) {
 	var d Drain
 	at := time.Unix(1000, 0)
 	require.True(t, d.Admit(at, 0))
 	require.False(t, d.Draining())
 	require.False(t, d.Pause(at))
 	require.True(t, d.Pause(at.Add(time.Second)), "a second PAUSE")
-	require.True(t, d.Admit(at.Add(AdmitFor-time.Millisecond), 0), "the second PAUSE does not restart the time")
-	require.False(t, d.Admit(at.Add(AdmitFor), 0))
+	require.True(t, d.Admit(at.Add(PauseAdmissionPeriod-time.Millisecond), 0), "the second PAUSE does not restart the admission period")
+	require.False(t, d.Admit(at.Add(PauseAdmissionPeriod), 0))
 	require.True(t, d.Draining())
 	require.True(t, d.Resume())
 	require.False(t, d.Resume(), "RESUME without PAUSE")
@@ -24,27 +24,28 @@
 	require.True(t, d.AnswerAllAt().IsZero())
 }
 
-func TestTerminateDrainsForGoodAndAnswersAllBeforeTheKill(t *testing.T) {
+func TestTerminateIsFinalAndAnswersBeforeKill(t *testing.T) {
 	var d Drain
 	at := time.Unix(1000, 0)
 	d.Pause(at)
 	d.Terminate(at.Add(time.Second))
-	d.Terminate(at.Add(2 * time.Second)) // a second one changes nothing
+	d.Terminate(at.Add(2 * time.Second)) // a second SIGTERM has no effect
 	require.False(t, d.Resume() && d.Admit(at.Add(time.Hour), 0), "RESUME does not undo SIGTERM")
 	require.True(t, d.Draining())
-	require.Equal(t, at.Add(time.Second+AnswerAllAfter), d.AnswerAllAt())
+	require.Equal(t, at.Add(time.Second+MaxAnswerAllAfter), d.AnswerAllAt())
 	quick, long := ExpectedDuration(80, 1, 500), ExpectedDuration(4000, 4, 1500)
 	require.Equal(t, 170*time.Millisecond, quick)
 	require.Equal(t, 1550*time.Millisecond, long)
 	require.Equal(t, 1500*time.Millisecond, ExpectedDuration(0, 4, 1500), "no estimate: the latency objective")
 	require.True(t, d.Admit(d.AnswerAllAt().Add(-quick), quick), "expected to end in time")
 	require.False(t, d.Admit(d.AnswerAllAt().Add(-quick), long), "not expected to end in time")
-	require.Less(t, AnswerAllAfter, 3700*time.Millisecond, "before the earliest kill")
+	require.Less(t, MaxAnswerAllAfter, 3700*time.Millisecond, "before the earliest kill")
 }
 
-// Where all deadlines are short the kill comes sooner: what is open then is lost, so it is answered before.
-func TestAnswersComeBeforeTheKillOfShortDeadlines(t *testing.T) {
-	for deadline, kill := range map[time.Duration]time.Duration{ // by the protocol
+// With short deadlines the kill comes earlier. Requests that are open at the kill get no answer, so all
+// must be answered before it.
+func TestShortDeadlinesAreAnsweredBeforeEarlierKill(t *testing.T) {
+	for deadline, kill := range map[time.Duration]time.Duration{ // the earliest kill by the protocol
 		500 * time.Millisecond: 1200 * time.Millisecond,
 		2 * time.Second:        2700 * time.Millisecond,
 		3 * time.Second:        3700 * time.Millisecond,
--- a/internal/overrides/fixture_test.go
+++ b/internal/overrides/fixture_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The old and the new process of an upgrade share the state file: its form must stay that of commit d9ce9f6.
-func TestStateFileKeepsItsForm(t *testing.T) {
+// The old and the new process of an upgrade both use the state file, so its encoding must stay that of commit d9ce9f6.
+func TestStateFileEncodingIsStable(t *testing.T) {
 	raw, err := os.ReadFile("testdata/aniseloft-state.json")
 	require.NoError(t, err)
 	s, err := Decode(raw)
--- a/internal/overrides/set.go
+++ b/internal/overrides/set.go
@@ -1,6 +1,6 @@
-// Package overrides holds the endpoints that on-call staff have suspended, whatever the endpoint
-// list says, and the state file by which suspensions outlive a process. It does no I/O and reads
-// no clock: callers bring the time, the list and the bytes of the file.
+// Package overrides tracks the endpoints that operators have suspended, independently of the
+// endpoint list, and encodes them as a state file, so that suspensions survive the process. It does
+// no I/O and does not read the clock: callers pass in the time, the list and the file content.
 package overrides
 
 import (
@@ -15,41 +15,41 @@
 // ErrUnknownEndpoint is returned for a name that is neither listed nor suspended.
 var ErrUnknownEndpoint = errors.New("no engine has that id")
 
-// Suspension is an endpoint that is suspended. It is known by its name on the endpoint list, not by
-// its decide.EndpointID.
+// Suspension describes a suspended endpoint. The endpoint is identified by its name on the endpoint
+// list, not by its decide.EndpointID.
 type Suspension struct {
 	EndpointName string        `json:"id"`
-	Calls        int           `json:"calls"`    // SUSPEND calls since the first; one RESTORE ends them all
-	Since        decide.Millis `json:"since_ms"` // Unix milliseconds of the first
+	Calls        int           `json:"calls"`    // number of SUSPEND calls; one RESTORE ends the suspension
+	Since        decide.Millis `json:"since_ms"` // time of the first SUSPEND call, in Unix milliseconds
 }
 
-// Restoration is an endpoint that was suspended and is restored. It may have been restarted
-// meanwhile, so it counts as started at the restoration, and warms up.
+// Restoration records that the suspension of an endpoint has ended. The endpoint may have been
+// restarted meanwhile, so it is treated as started at the restoration and warms up again.
 type Restoration struct {
 	EndpointName string        `json:"id"`
 	RestoredAt   decide.Millis `json:"at_ms"` // Unix milliseconds
 }
 
-// restorationTTL is how long a restoration overrides the listed start, in milliseconds: longer
-// than any endpoint warms up.
+// restorationTTL is how long a restoration overrides the start time on the endpoint list, in
+// milliseconds. It is longer than the warm-up of any endpoint.
 const restorationTTL decide.Millis = 10 * 60 * 1000
 
-// Set is the admin overrides of a coordinator, by the endpoint names of the list. A suspension
-// lasts until it is restored, whatever the list says; it outlives the process through State. A
-// Set is not safe for concurrent use.
+// Set holds the admin overrides of a coordinator by endpoint name. A suspension lasts until it is
+// restored, even if the endpoint leaves the list; State carries it over to the next process. A Set
+// is not safe for concurrent use.
 type Set struct {
 	suspensions  map[string]*Suspension
 	restorations map[string]Restoration
-	listed       map[string]bool // endpoint names on the list
-	sequence     uint64          // counts changes across processes: the state with the higher one is the later
+	listed       map[string]bool // names on the endpoint list
+	sequence     uint64          // counts changes across processes; the state with the higher sequence is the newer one
 }
 
-// New returns a Set without overrides.
+// New returns an empty Set.
 func New() *Set {
 	return &Set{suspensions: map[string]*Suspension{}, restorations: map[string]Restoration{}, listed: map[string]bool{}}
 }
 
-// SetListed notes whether the endpoint list names an endpoint.
+// SetListed records whether an endpoint is on the endpoint list.
 func (s *Set) SetListed(endpointName string, listed bool) {
 	if listed {
 		s.listed[endpointName] = true
@@ -66,8 +66,8 @@
 // Suspended reports whether an endpoint is suspended.
 func (s *Set) Suspended(endpointName string) bool { return s.suspensions[endpointName] != nil }
 
-// Suspend suspends an endpoint and returns the number of calls since it was last restored. An
-// unknown name is ErrUnknownEndpoint.
+// Suspend suspends an endpoint and returns the number of SUSPEND calls since it was last restored.
+// For an unknown name it returns ErrUnknownEndpoint.
 func (s *Set) Suspend(endpointName string, now decide.Millis) (calls int, err error) {
 	if !s.Known(endpointName) {
 		return 0, fmt.Errorf("%w: %s", ErrUnknownEndpoint, endpointName)
@@ -82,8 +82,9 @@
 	return suspension.Calls, nil
 }
 
-// Restore ends the suspension of an endpoint, however many calls made it, and reports whether
-// there was one. The endpoint counts as started now. An unknown name is ErrUnknownEndpoint.
+// Restore ends the suspension of an endpoint, regardless of the number of SUSPEND calls, and reports
+// whether the endpoint was suspended. A restored endpoint is treated as started now. For an unknown
+// name Restore returns ErrUnknownEndpoint.
 func (s *Set) Restore(endpointName string, now decide.Millis) (wasSuspended bool, err error) {
 	if !s.Known(endpointName) {
 		return false, fmt.Errorf("%w: %s", ErrUnknownEndpoint, endpointName)
@@ -98,6 +99,7 @@
 	return true, nil
 }
 
+// expireRestorations removes the restorations that are older than restorationTTL.
 func (s *Set) expireRestorations(now decide.Millis) {
 	for endpointName, restoration := range s.restorations {
 		if restoration.RestoredAt < now-restorationTTL {
@@ -106,7 +108,7 @@
 	}
 }
 
-// Suspensions returns the suspended endpoints, ordered by name.
+// Suspensions returns the suspensions, sorted by endpoint name.
 func (s *Set) Suspensions() []Suspension {
 	all := make([]Suspension, 0, len(s.suspensions))
 	for _, suspension := range s.suspensions {
@@ -116,8 +118,9 @@
 	return all
 }
 
-// Apply returns an entry of the list with the override applied: a suspended endpoint is draining,
-// a restored one started at its restoration. A removed endpoint stays removed.
+// Apply returns an entry of the endpoint list with the overrides applied: a suspended endpoint is
+// draining, and a restored endpoint started no earlier than its restoration. A removed endpoint stays
+// removed.
 func (s *Set) Apply(endpointName string, listed decide.EndpointInfo) decide.EndpointInfo {
 	if listed.State == decide.EndpointRemoved {
 		return listed
--- a/internal/overrides/set_test.go
+++ b/internal/overrides/set_test.go
@@ -9,9 +9,9 @@
 	"aniseloft/decide"
 )
 
-var active = decide.EndpointInfo{ID: 1, State: decide.EndpointReady}
+var readyEndpoint = decide.EndpointInfo{ID: 1, State: decide.EndpointReady}
 
-func TestOneRestoreEndsEverySuspendCall(t *testing.T) {
+func TestRestoreEndsAllSuspendCalls(t *testing.T) {
 	set := New()
 	set.SetListed("s-1", true)
 	calls, err := set.Suspend("s-1", 100)
@@ -19,19 +19,19 @@
 	require.Equal(t, 1, calls)
 	calls, _ = set.Suspend("s-1", 200)
 	require.Equal(t, 2, calls)
-	require.Equal(t, decide.EndpointDraining, set.Apply("s-1", active).State, "whatever the list says")
+	require.Equal(t, decide.EndpointDraining, set.Apply("s-1", readyEndpoint).State, "overrides the state on the list")
 	wasSuspended, err := set.Restore("s-1", 300)
 	require.NoError(t, err)
 	require.True(t, wasSuspended)
-	e := set.Apply("s-1", active)
-	require.Equal(t, decide.EndpointReady, e.State, "one RESTORE for two SUSPENDs")
-	require.Equal(t, decide.Millis(300), e.StartedAt, "it counts as started at the restoration")
+	e := set.Apply("s-1", readyEndpoint)
+	require.Equal(t, decide.EndpointReady, e.State, "one RESTORE ends two SUSPEND calls")
+	require.Equal(t, decide.Millis(300), e.StartedAt, "treated as started at the restoration")
 	wasSuspended, err = set.Restore("s-1", 400)
 	require.NoError(t, err)
 	require.False(t, wasSuspended)
 }
 
-func TestUnknownIDChangesNothing(t *testing.T) {
+func TestUnknownEndpointIsRejected(t *testing.T) {
 	set := New()
 	set.SetListed("s-1", true)
 	seq := set.Sequence()
@@ -43,21 +43,21 @@
 	require.Empty(t, set.Suspensions())
 }
 
-func TestSuspensionOutlivesTheListEntry(t *testing.T) {
+func TestSuspensionSurvivesRemovalFromList(t *testing.T) {
 	set := New()
 	set.SetListed("s-1", true)
 	_, _ = set.Suspend("s-1", 1)
-	set.SetListed("s-1", false) // removed from the list, it may return under its name
+	set.SetListed("s-1", false) // the endpoint may return to the list under the same name
 	require.True(t, set.Known("s-1"))
-	require.Equal(t, decide.EndpointDraining, set.Apply("s-1", active).State)
+	require.Equal(t, decide.EndpointDraining, set.Apply("s-1", readyEndpoint).State)
 	gone := decide.EndpointInfo{ID: 1, State: decide.EndpointRemoved}
-	require.Equal(t, decide.EndpointRemoved, set.Apply("s-1", gone).State, "removed stays removed")
+	require.Equal(t, decide.EndpointRemoved, set.Apply("s-1", gone).State, "a removed endpoint stays removed")
 	wasSuspended, err := set.Restore("s-1", 2)
 	require.NoError(t, err)
 	require.True(t, wasSuspended)
 }
 
-func TestStateRoundTripsAndTheLaterOneWins(t *testing.T) {
+func TestStateRoundTripAndNewerStateWins(t *testing.T) {
 	old := New()
 	old.SetListed("s-1", true)
 	old.SetListed("s-2", true)
@@ -69,8 +69,8 @@
 	fresh := New()
 	require.True(t, fresh.Adopt(s))
 	require.True(t, fresh.Suspended("s-1"))
-	require.Equal(t, decide.Millis(30), fresh.Apply("s-2", active).StartedAt)
-	require.False(t, fresh.Adopt(s), "the same state again changes nothing")
+	require.Equal(t, decide.Millis(30), fresh.Apply("s-2", readyEndpoint).StartedAt)
+	require.False(t, fresh.Adopt(s), "the same state has no effect the second time")
 
 	// An older state must not undo a later change.
 	fresh.SetListed("s-2", true)
@@ -79,15 +79,15 @@
 	require.True(t, fresh.Suspended("s-2"))
 }
 
-// Two processes change the overrides while neither holds the file's lock. Whichever wrote the file
-// last, both changes are there once each has reconciled its own with the file.
-func TestReconcileKeepsTheChangesOfBothProcesses(t *testing.T) {
+// Two processes change the overrides while neither holds the file lock. Whichever process wrote the
+// file last, both changes are in effect once each process has reconciled its own with the file.
+func TestReconcileKeepsChangesOfBothProcesses(t *testing.T) {
 	for _, lastWriter := range []int{0, 1} {
 		for _, first := range []int{0, 1} {
-			sets, changes := divergedSets()
+			sets, changes := newDivergedSets()
 			file := sets[lastWriter].Encode(4)
 			for _, i := range []int{first, 1 - first} {
-				file = reconciled(t, sets[i], changes[i], file)
+				file = reconcileFile(t, sets[i], changes[i], file)
 			}
 			s, err := Decode(file)
 			require.NoError(t, err)
@@ -100,9 +100,9 @@
 	}
 }
 
-// divergedSets returns the overrides of two processes and the changes that each made without the
-// lock. Both know of the suspension of s-3, and the first has made more changes.
-func divergedSets() (sets [2]*Set, changes [2][]Change) {
+// newDivergedSets returns the overrides of two processes and the changes that each made without the
+// file lock. Both have suspended s-3; the first process has made more changes and has restored s-3.
+func newDivergedSets() (sets [2]*Set, changes [2][]Change) {
 	for i := range sets {
 		sets[i] = New()
 		for _, id := range []string{"s-1", "s-2", "s-3"} {
@@ -120,19 +120,19 @@
 	return sets, changes
 }
 
-// reconciled returns the file after a set has reconciled its changes with it.
-func reconciled(t *testing.T, set *Set, changes []Change, file []byte) []byte {
+// reconcileFile reconciles the changes of a set with the file and returns the new file content.
+func reconcileFile(t *testing.T, set *Set, changes []Change, file []byte) []byte {
 	s, err := Decode(file)
 	require.NoError(t, err)
 	previous := set.Sequence()
 	if !set.Reconcile(s, changes, 5) {
 		return file
 	}
-	require.Greater(t, set.Sequence(), max(previous, s.Sequence), "later than all that was written before")
+	require.Greater(t, set.Sequence(), max(previous, s.Sequence), "newer than the previous states of the set and the file")
 	return set.Encode(5)
 }
 
-func TestUnusableStateFileIsATypedError(t *testing.T) {
+func TestDecodeReportsUnusableState(t *testing.T) {
 	for text, want := range map[string]error{
 		`{"version":1,"seq":3,"bans":[{"id":"s-1","ca`: ErrStateCorrupt,
 		``:                                   ErrStateCorrupt,
@@ -145,12 +145,12 @@
 	}
 }
 
-// Whatever calls come, in whatever order, an endpoint is suspended exactly while its last SUSPEND
-// has no RESTORE after it, and the file gives another process the same view.
-func TestSuspensionsFollowTheLastCall(t *testing.T) {
+// For any sequence of calls, a known endpoint is suspended exactly if its last call is SUSPEND, and
+// another process that reads the state file has the same suspensions.
+func TestSuspensionMatchesLastCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := New()
-		ids := []string{"s-1", "s-2", "s-3"} // the last is unknown
+		ids := []string{"s-1", "s-2", "s-3"} // s-3 is not listed
 		for _, id := range ids[:2] {
 			set.SetListed(id, true)
 		}
@@ -158,7 +158,7 @@
 		for i := range rapid.IntRange(0, 40).Draw(t, "calls") {
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			suspend := rapid.Bool().Draw(t, "suspend")
-			require.Equal(t, id != "s-3", call(set, id, suspend, decide.Millis(i)) == nil, id)
+			require.Equal(t, id != "s-3", applyCall(set, id, suspend, decide.Millis(i)) == nil, id)
 			want[id] = suspend && id != "s-3"
 		}
 		s, err := Decode(set.Encode(100))
@@ -167,12 +167,12 @@
 		other.Adopt(s)
 		for _, id := range ids {
 			require.Equal(t, want[id], set.Suspended(id), id)
-			require.Equal(t, want[id], other.Suspended(id), "%s, in the other process", id)
+			require.Equal(t, want[id], other.Suspended(id), "%s in the other process", id)
 		}
 	})
 }
 
-func call(set *Set, id string, suspend bool, now decide.Millis) (err error) {
+func applyCall(set *Set, id string, suspend bool, now decide.Millis) (err error) {
 	if suspend {
 		_, err = set.Suspend(id, now)
 	} else {
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -49,7 +49,7 @@
 		}, patience, time.Millisecond)
 	}
 	write()
-	p.phaseEntered = time.Now().Add(-drain.AnswerAllAfter)
+	p.phaseEntered = time.Now().Add(-drain.MaxAnswerAllAfter)
 	require.True(t, p.drained(), "the wait is bounded")
 	p.phaseEntered = time.Now().Add(-minDrain)
 	write()
