--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -10,14 +10,15 @@
 	"aniseloft/internal/millis"
 )
 
-// maxOpenRequests bounds the open requests, whatever the settings allow.
+// maxOpenRequests is the upper limit of open requests; the settings can only lower it.
 const maxOpenRequests = 12000
 
-// estimateTolerance is how many times a client's figures may exceed its class's deadline and
-// what the largest endpoint could do: estimates are rough, and some clients wait longer than their class.
+// estimateTolerance is the factor by which a client's timeout may exceed its class's deadline, and its
+// estimates the capacity of the largest endpoint: estimates are rough, and some clients wait longer
+// than the deadline of their class.
 const estimateTolerance = 4
 
-// Estimates that ValidateEstimates rejects. The texts reach clients.
+// Errors of ValidateEstimates. Their texts are sent to clients.
 var (
 	ErrDeadlineOutOfRange = errors.New("the time to wait is out of range")
 	ErrWorkOutOfRange     = errors.New("the estimated work is out of range")
@@ -25,15 +26,15 @@
 )
 
 // ValidateEstimates checks a query's time left and estimated work, in milliseconds, and its
-// estimated memory, in MB, against its class's deadline and the largest endpoint. A figure out
-// of range must not reach an endpoint.
+// estimated memory, in MB, against its class's deadline and the largest endpoint. Values out of
+// range must not reach an endpoint.
 func (d *Dispatcher) ValidateEstimates(class int, timeLeft, work, memory float64) error {
 	var maxCores, maxMemory float64
 	for _, kind := range d.settings.Kinds {
 		maxCores, maxMemory = max(maxCores, kind.Cores), max(maxMemory, kind.MemoryMB)
 	}
 	maxTimeLeft := estimateTolerance * d.settings.Classes[class].Deadline
-	switch { // conditions are negated so that NaN is out of range
+	switch { // the conditions are negated so that NaN is out of range
 	case !(timeLeft > 0 && timeLeft <= maxTimeLeft):
 		return ErrDeadlineOutOfRange
 	case !(work >= 0 && work <= maxTimeLeft*maxCores):
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// Submit starts a request. Its responder receives exactly one answer, unless Withdraw is called first.
+// Submit starts a request. The responder receives exactly one answer, unless Withdraw is called before.
 func (d *Dispatcher) Submit(query Query, responder Responder) Ticket {
 	ticket := Ticket{
 		requestID:  decide.RequestID(strconv.FormatUint(d.lastID.Add(1), 36)),
@@ -59,8 +60,8 @@
 	return ticket
 }
 
-// admit opens a request: for the first time, or again where it had waited for another one under
-// its key that ended without a result.
+// admit opens a request, makes it a follower of another one, or rejects it. It is called again for a
+// follower whose leader ended without a result.
 func (d *Dispatcher) admit(ticket Ticket, query Query, responder Responder) {
 	r := &request{Ticket: ticket, query: query, responder: responder, priority: -1}
 	if d.ending {
@@ -69,11 +70,11 @@
 		d.answer(r, answer)
 		return
 	}
-	if len(d.requests) >= d.maxOpen || len(query.Statement) > d.freeStatement {
+	if len(d.requests) >= d.maxOpen || len(query.Statement) > d.freeStatementBytes {
 		d.answer(r, Answer{Kind: Rejected, RetryAfter: millis.Duration(d.settings.MaxRetryAfter), Reason: reasonTooManyOpen})
 		return
 	}
-	// Endpoints know a request by its call ID: two under one ID would be given each other's progress and result.
+	// Endpoints identify a request by its call ID: two requests with one ID would receive each other's progress and result.
 	if _, inUse := d.callIDs[query.CallID]; inUse {
 		d.answer(r, Answer{Kind: Failed, Reason: reasonCallInUse})
 		return
@@ -84,7 +85,7 @@
 		d.answer(r, Answer{Kind: Failed, Reason: err.Error()})
 		return
 	}
-	if follows { // an endpoint would drop it as a duplicate: the result under its key is its own
+	if follows { // an endpoint would drop it as a duplicate; it gets the result of its leader
 		d.Counters.followers.Add(1)
 		d.startFollowerTimer(r)
 		return
@@ -92,10 +93,10 @@
 	d.open(r)
 }
 
-// open registers an admitted request and notifies the decisions of it.
+// open registers an admitted request and passes it to the balancer.
 func (d *Dispatcher) open(r *request) {
 	d.requests[r.requestID], d.callIDs[r.query.CallID] = r, struct{}{}
-	d.freeStatement -= len(r.query.Statement)
+	d.freeStatementBytes -= len(r.query.Statement)
 	timeLeft := time.Until(r.query.Deadline)
 	d.log.Debug("request admitted", "call", r.query.CallID, "class", r.query.Class, "time_left_ms", timeLeft.Milliseconds(), "work_ms", r.query.EstimatedWork)
 	d.startDeadlineTimer(r)
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -10,20 +10,20 @@
 
 const (
 	prioritizeTimeout = time.Second
-	// progressInterval bounds how often a streamed result is reported as progress.
+	// progressInterval is the minimum time between two progress reports of a streamed result.
 	progressInterval = 100 * time.Millisecond
 )
 
-// attempt is one execution of a request, running or ended.
+// attempt is one execution of a request at an endpoint. It is running or has ended.
 type attempt struct {
-	endpoint  *tableEntry // nil: it was no longer listed
+	endpoint  *tableEntry // nil: it was no longer on the endpoint list
 	startedAt time.Time
 	cancel    context.CancelFunc
 	ended     bool
-	outcome   decide.Outcome // once ended
+	outcome   decide.Outcome // valid once ended is true
 }
 
-// endpointName is the endpoint's name for the log.
+// endpointName returns the endpoint's name for the log.
 func (a *attempt) endpointName() string {
 	if a.endpoint == nil {
 		return "gone"
@@ -34,7 +34,7 @@
 // neverRan reports whether the attempt is known not to have run at its endpoint.
 func (a *attempt) neverRan() bool { return a.ended && a.outcome.NeverRan() }
 
-// startAttempt starts what the decisions ordered. It always ends in attemptEnded.
+// startAttempt executes a StartAttempt action. Every started attempt ends with a call of attemptEnded.
 func (d *Dispatcher) startAttempt(order decide.StartAttempt) {
 	r, e := d.requests[order.ID], d.endpoints[order.Endpoint]
 	if r == nil {
@@ -61,7 +61,7 @@
 	}()
 }
 
-// recordRun notes, for a class with idempotency keys, that a run under the request's key begins.
+// recordRun records in the run history, for a class with idempotency keys, that a run under the request's key starts.
 func (d *Dispatcher) recordRun(r *request, a *attempt) {
 	if a.endpoint == nil || d.settings.Classes[r.query.Class].Idempotency != decide.IdempotentByKey {
 		return
@@ -71,14 +71,15 @@
 	d.runHistory.record(r.key(), run, d.retriesEnd(r.query.Class, startedAt))
 }
 
-// retriesEnd is until when a client may retry under the key of an attempt that started at startedAt:
-// while endpoints drop its duplicates, and after that for as long as any client waits for an answer.
+// retriesEnd returns the time until which a client may retry under the key of an attempt that started
+// at startedAt: the end of the deduplication window plus the longest time that a client may wait for
+// an answer.
 func (d *Dispatcher) retriesEnd(class int, startedAt decide.Millis) decide.Millis {
 	c := d.settings.Classes[class]
 	return startedAt + c.DedupWindow + estimateTolerance*c.Deadline
 }
 
-// attemptSpec is the attempt as the endpoint's client executes it.
+// attemptSpec returns the description of an attempt that the endpoint's client executes.
 func (d *Dispatcher) attemptSpec(r *request, index int, order decide.StartAttempt, timeout time.Duration) AttemptSpec {
 	a := r.attempts[index]
 	e := a.endpoint
@@ -107,15 +108,15 @@
 	return spec
 }
 
-// progressSink reports the pages of a streamed result as progress: a large result takes long,
-// and its endpoint must not be mistaken for an unresponsive one.
+// progressSink reports the pages of a streamed result as progress. A large result takes long to
+// stream, and its endpoint must not be mistaken for an unresponsive one.
 type progressSink struct {
 	ResultSink
 	report     func()
 	reportedAt time.Time
 }
 
-// WritePage reports progress no more than once in progressInterval and writes the page.
+// WritePage reports progress, at most once per progressInterval, and writes the page.
 func (s *progressSink) WritePage(ctx context.Context, rows []byte) error {
 	if now := time.Now(); now.Sub(s.reportedAt) >= progressInterval {
 		s.reportedAt = now
@@ -124,7 +125,7 @@
 	return s.ResultSink.WritePage(ctx, rows)
 }
 
-// setResources sets the memory grant of the request's later attempts, and the priority of these and of the running ones.
+// setResources sets the memory grant of the request's later attempts and the priority of its running and later attempts.
 func (d *Dispatcher) setResources(order decide.SetAttemptResources) {
 	r := d.requests[order.ID]
 	if r == nil {
@@ -138,7 +139,7 @@
 	}
 }
 
-// prioritize sets an attempt's priority. One whose endpoint is no longer listed was not sent.
+// prioritize sets the priority of an attempt at its endpoint. An attempt without an endpoint was not sent and is skipped.
 func (d *Dispatcher) prioritize(a *attempt, callID string, priority int) {
 	if a.endpoint == nil {
 		return
@@ -150,7 +151,8 @@
 	}
 }
 
-// cancelAttempt cancels a running attempt, unless only followers wait for it: their run goes on.
+// cancelAttempt cancels a running attempt. It ignores the order if the request's own client no longer
+// waits but followers do, as they need the result.
 func (d *Dispatcher) cancelAttempt(order decide.CancelAttempt) {
 	r := d.requests[order.ID]
 	if r == nil || order.Attempt < 0 || order.Attempt >= len(r.attempts) {
@@ -171,7 +173,7 @@
 	}
 }
 
-// attemptEnded records an attempt's outcome, answers whoever waits for it and notifies the decisions.
+// attemptEnded records the outcome of an attempt, answers the clients that its result decides and notifies the balancer.
 func (d *Dispatcher) attemptEnded(r *request, index int, id decide.EndpointID, result Result) {
 	d.recordOutcome(r, r.attempts[index], result.Outcome)
 	d.answerOutcome(r, result)
@@ -181,11 +183,11 @@
 		ID: r.requestID, Attempt: index, Endpoint: id, Outcome: result.Outcome, Latency: latency, RequestClosed: r.closed(),
 		ActualWork: result.ActualWork, ActualMemoryMB: result.ActualMemoryMB, Load: result.Load,
 	})
-	d.forget(r)
+	d.removeIfDone(r)
 }
 
-// recordOutcome marks an attempt as ended and releases what it held. A run that never began no
-// longer counts under the request's key.
+// recordOutcome marks an attempt as ended and releases its context. An attempt that never ran at its
+// endpoint is removed from the run history of the request's key.
 func (d *Dispatcher) recordOutcome(r *request, a *attempt, outcome decide.Outcome) {
 	a.ended, a.outcome = true, outcome
 	a.cancel()
@@ -196,9 +198,9 @@
 	d.Counters.attemptEnded(r.query.Class, outcome)
 }
 
-// answerOutcome gives the answers that follow from an attempt's result. The first success is the
-// request's answer. Without one a request whose client has left is not retried, and any other
-// waits for the decisions.
+// answerOutcome sends the answers that follow directly from an attempt's result. The first success is
+// the answer of the request. After any other outcome, a request whose client has left is answered
+// and not retried; otherwise the balancer decides whether to retry.
 func (d *Dispatcher) answerOutcome(r *request, result Result) {
 	answer := Answer{Kind: Failed}
 	if result.Outcome == decide.OutcomeSucceeded {
@@ -207,7 +209,7 @@
 	} else if r.clientLeft.Load() {
 		d.answer(r, d.unservedAnswer(r, reasonClientLeft))
 	}
-	if r.closed() { // followers of a request without a client of its own
+	if r.closed() { // also the followers of a request whose own client has left
 		d.releaseFollowers(r, answer)
 	}
 }
--- a/internal/routing/coalescing.go
+++ b/internal/routing/coalescing.go
@@ -9,18 +9,19 @@
 	"aniseloft/internal/millis"
 )
 
-// maxFollowers bounds the requests that wait for one run: a client retries, it doesn't send a
-// hundred duplicates at once.
+// maxFollowers is the maximum number of requests that wait for the run of one leader. Retries of a
+// client produce few duplicates, not a hundred at once.
 const maxFollowers = 32
 
-// Reasons why a request can't wait under its key. The texts reach clients.
+// Errors of coalescer.join. Their texts are sent to clients.
 var (
 	errTooManyFollowers = errors.New("too many wait under the key")
-	// errStatementDiffers is for a key that names two statements: the result of one would answer the other.
+	// errStatementDiffers is returned where one key is used with two statements: the result of one would
+	// be the answer to the other.
 	errStatementDiffers = errors.New("the key is in use with another statement")
 )
 
-// requestKey is an idempotency key within its class.
+// requestKey is an idempotency key and its class. Equal keys of different classes are unrelated.
 type requestKey struct {
 	class int
 	key   string
@@ -28,19 +29,19 @@
 
 func (r *request) key() requestKey { return requestKey{r.query.Class, r.query.IdempotencyKey} }
 
-// coalescer makes identical requests under one idempotency key share a run: the first, the
-// leader, is sent, and the others, its followers, wait for its result. A leader may have lost its
-// own client. The dispatcher's goroutine owns it.
+// coalescer lets identical requests with one idempotency key share a run. The first request, the
+// leader, is sent; the others, its followers, wait for its result. A leader may keep
+// running after its own client has left. The coalescer is owned by the dispatcher's goroutine.
 type coalescer struct {
 	leaders   map[requestKey]*request
-	followers map[decide.RequestID]*request // by their own ID
+	followers map[decide.RequestID]*request // by the follower's request ID
 }
 
 func newCoalescer() *coalescer {
 	return &coalescer{leaders: map[requestKey]*request{}, followers: map[decide.RequestID]*request{}}
 }
 
-// join makes a request a follower of the one that runs under its key, or else the leader.
+// join makes a request a follower of the leader of its key, or the leader if there is none.
 func (c *coalescer) join(r *request, keyed bool) (follows bool, err error) {
 	if !keyed || r.query.IdempotencyKey == "" {
 		return false, nil
@@ -56,14 +57,14 @@
 	if len(leader.followers) >= maxFollowers {
 		return false, errTooManyFollowers
 	}
-	r.query.Statement = leader.query.Statement // one copy stays in memory
+	r.query.Statement = leader.query.Statement // keep a single copy in memory
 	leader.followers = append(leader.followers, r)
 	r.leader = leader
 	c.followers[r.requestID] = r
 	return true, nil
 }
 
-// leave removes a follower that no longer waits.
+// leave removes a follower that no longer waits from its leader.
 func (c *coalescer) leave(follower *request) {
 	delete(c.followers, follower.requestID)
 	leader := follower.leader
@@ -79,7 +80,7 @@
 	follower.leader = nil
 }
 
-// end frees the key of a leader that has ended and returns its followers.
+// end releases the key of a leader that has ended and returns its followers.
 func (c *coalescer) end(leader *request) []*request {
 	if c.leaders[leader.key()] != leader {
 		return nil
@@ -94,8 +95,9 @@
 	return followers
 }
 
-// releaseFollowers ends the wait of a leader's followers: a result is theirs too. Without one each is
-// admitted again under its own call ID, as the leader's client may have left.
+// releaseFollowers ends the wait of a leader's followers. If the leader succeeded they get its answer.
+// Otherwise each is admitted again under its own call ID, as the leader's client may have left; a
+// follower whose own client has left is answered instead.
 func (d *Dispatcher) releaseFollowers(leader *request, answer Answer) {
 	for _, follower := range d.coalescer.end(leader) {
 		if answer.Kind == Succeeded {
@@ -112,7 +114,7 @@
 	}
 }
 
-// leaveLeader ends the wait of one follower. A run that only followers wait for is cancelled with the last of them.
+// leaveLeader ends the wait of one follower. If it was the last one and the leader's client has left, the run is cancelled.
 func (d *Dispatcher) leaveLeader(follower *request) {
 	leader := follower.leader
 	d.coalescer.leave(follower)
@@ -131,14 +133,15 @@
 	}
 }
 
+// startFollowerTimer limits the wait of a follower to its own deadline.
 func (d *Dispatcher) startFollowerTimer(r *request) {
 	wait := max(time.Until(r.query.Deadline), 0)
 	r.timer = time.AfterFunc(wait, func() { d.post(func() { d.followerDeadlineExceeded(r) }) })
 }
 
-// followerDeadlineExceeded answers a follower whose leader has not ended in time. It was never
-// sent itself, and a retry would become a follower again or be dropped by the endpoint as a duplicate, so it
-// is rejected as retryable where the endpoints do so.
+// followerDeadlineExceeded answers a follower whose leader has not ended by the follower's deadline.
+// The follower was never sent itself. A retry would become a follower again or be dropped by the
+// endpoint as a duplicate, so the follower is rejected as retryable where endpoints deduplicate.
 func (d *Dispatcher) followerDeadlineExceeded(r *request) {
 	if r.leader == nil {
 		return
--- a/internal/routing/coalescing_test.go
+++ b/internal/routing/coalescing_test.go
@@ -9,29 +9,29 @@
 	"aniseloft/decide"
 )
 
-// A follower must not take over its leader's call: then a request whose client had left would be sent.
-func TestFollowerOfWithdrawnUnsentLeaderRunsUnderItsOwnCall(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	_, first := submit(d, "one", keyedClass, "k") // no endpoint is listed: it is queued
+// A follower must not be sent under its withdrawn leader's call ID: that would run a request whose client has left.
+func TestFollowerOfWithdrawnUnsentLeaderUsesOwnCallID(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	_, first := submit(d, "one", keyedClass, "k") // no endpoint is listed, so the request is queued
 	second, _ := submit(d, "two", keyedClass, "k")
 	third, _ := submit(d, "three", keyedClass, "k")
 	d.Withdraw(first)
 	flush(t, d)
-	list()
+	listEndpoint()
 	attempt := upstream.next(t)
 	require.Equal(t, "two", attempt.CallID)
 	attempt.end(decide.OutcomeSucceeded)
 	require.Equal(t, Succeeded, receive(t, second.answers).Kind)
-	require.Equal(t, Succeeded, receive(t, third.answers).Kind, "one run for all followers")
+	require.Equal(t, Succeeded, receive(t, third.answers).Kind, "all followers share one run")
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
 	require.Zero(t, d.OpenRequests())
 }
 
-// The run of a withdrawn leader goes on for its follower, but a retry is the follower's own.
-func TestRetryAfterWithdrawnLeaderUsesFollowersCall(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	list()
+// The run of a withdrawn leader continues for its follower, but a retry uses the follower's own call ID.
+func TestRetryAfterWithdrawnLeaderUsesFollowerCallID(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	listEndpoint()
 	first, one := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
 	second, _ := submit(d, "two", keyedClass, "k")
@@ -52,10 +52,10 @@
 	require.Zero(t, d.OpenRequests())
 }
 
-// A run whose own client has left is cancelled when its last follower leaves, not before.
-func TestRunIsCancelledWithItsLastFollower(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	list()
+// A run whose own client has left is cancelled when its last follower leaves, but not before.
+func TestRunIsCancelledWhenLastFollowerLeaves(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	listEndpoint()
 	_, one := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
 	_, two := submit(d, "two", keyedClass, "k")
@@ -71,56 +71,56 @@
 	require.Zero(t, d.OpenRequests())
 	served, _ := submit(d, "three", keyedClass, "k")
 	last := upstream.next(t)
-	require.Equal(t, "three", last.CallID, "the key is free")
+	require.Equal(t, "three", last.CallID, "the key is available again")
 	last.end(decide.OutcomeSucceeded)
 	require.Equal(t, Succeeded, receive(t, served.answers).Kind)
 }
 
-// The endpoints' deduplication window begins with the first attempt. A retry that was decided within it must not start
-// after it, at the end of a dial: it would run twice.
+// The endpoints' deduplication window begins with the first attempt. A retry that is ordered within the window must not
+// start after it, when a slow dial completes: the query would run twice.
 func TestRetryDoesNotStartAfterDedupWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
-	d, upstream, list := startDispatcher(t, true, float64(window.Milliseconds()))
-	list()
+	d, upstream, listEndpoint := startDispatcher(t, true, float64(window.Milliseconds()))
+	listEndpoint()
 	recorder, _ := submit(d, "one", keyedClass, "k")
 	first := upstream.next(t)
 	require.True(t, first.StillReady())
-	sent := time.Now() // the window began before
+	sent := time.Now() // the window began earlier
 	first.end(decide.OutcomeAnswerLost)
 	var second *fakeAttempt
 	select {
 	case second = <-upstream.attempts:
-	case a := <-recorder.answers: // the machine stalled: the window had passed before the decision
+	case a := <-recorder.answers: // the machine stalled, and the window ended before the balancer decided
 		require.Equal(t, Failed, a.Kind)
 		return
 	}
 	require.Equal(t, "one", second.CallID)
-	for time.Since(sent) < window { // the dial
+	for time.Since(sent) < window { // simulates a slow dial
 		time.Sleep(time.Millisecond)
 	}
 	require.False(t, second.StillReady())
 	second.end(decide.OutcomeNotSent)
-	require.Equal(t, Failed, receive(t, recorder.answers).Kind, "answered at once, and no longer retryable")
+	require.Equal(t, Failed, receive(t, recorder.answers).Kind, "answered immediately, and no longer retryable")
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
 }
 
-// What ran under a key and ended without a result outlives its request: a follower and a later request under the key must
-// not run once no endpoint would drop them as duplicates.
+// A run that ended without a result still counts under its key after its request has ended. Once the deduplication window
+// is over, endpoints would no longer drop duplicates, so a follower or a later request under the key must not run.
 func TestRequestAfterDedupWindowOfEarlierRunFails(t *testing.T) {
 	const window = 300 * time.Millisecond
-	d, upstream, list := startDispatcher(t, true, float64(window.Milliseconds()))
-	list()
+	d, upstream, listEndpoint := startDispatcher(t, true, float64(window.Milliseconds()))
+	listEndpoint()
 	first, _ := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
-	behind, _ := submit(d, "two", keyedClass, "k")
+	follower, _ := submit(d, "two", keyedClass, "k")
 	flush(t, d)
-	for began := time.Now(); time.Since(began) < window; { // the endpoint is working
+	for startedAt := time.Now(); time.Since(startedAt) < window; { // the endpoint is still working
 		time.Sleep(time.Millisecond)
 	}
 	attempt.end(decide.OutcomeError)
 	require.Equal(t, Failed, receive(t, first.answers).Kind)
-	require.Equal(t, Failed, receive(t, behind.answers).Kind, "a follower")
+	require.Equal(t, Failed, receive(t, follower.answers).Kind, "a follower")
 	late, _ := submit(d, "three", keyedClass, "k")
 	require.Equal(t, Failed, receive(t, late.answers).Kind, "a later request")
 	flush(t, d)
@@ -130,28 +130,29 @@
 	require.Equal(t, Succeeded, receive(t, other.answers).Kind, "another key is independent")
 }
 
-// Where only the endpoints of a zone drop duplicates, those of another zone would run a retry again.
+// With a deduplication scope of one zone, endpoints of other zones would run the query a second time. A retry must stay
+// in the zone of the first run.
 func TestRetryStaysInZoneOfEarlierRun(t *testing.T) {
 	settings := testSettings(true, 60000)
 	settings.ZoneNames, settings.Classes[keyedClass].DedupScope = []string{"a", "b"}, decide.DedupZone
 	d, upstream := startDispatcherWith(t, settings)
-	state := func(a, b decide.EndpointState) {
+	setStates := func(a, b decide.EndpointState) {
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, Zone: 0, State: a}},
 			{Name: "b", Address: "127.0.0.1:2", EndpointInfo: decide.EndpointInfo{ID: 2, Zone: 1, State: b}}})
 	}
-	state(decide.EndpointReady, decide.EndpointDraining)
+	setStates(decide.EndpointReady, decide.EndpointDraining)
 	_, one := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
 	d.Withdraw(one)
 	attempt.end(decide.OutcomeCancelled)
-	require.Eventually(t, func() bool { return attemptCount(t, d, "one") < 0 }, patience, time.Millisecond, "its end is recorded")
-	state(decide.EndpointDraining, decide.EndpointReady)
+	require.Eventually(t, func() bool { return attemptCount(t, d, "one") < 0 }, waitTimeout, time.Millisecond, "the request has ended")
+	setStates(decide.EndpointDraining, decide.EndpointReady)
 	again, _ := submit(d, "two", keyedClass, "k")
 	_, _ = submit(d, "three", keyedClass, "new")
 	require.Equal(t, 1, attemptCount(t, d, "three"))
-	require.Zero(t, attemptCount(t, d, "two"), "the retry waits for its zone")
+	require.Zero(t, attemptCount(t, d, "two"), "the retry waits for an endpoint of its zone")
 	require.Equal(t, "three", upstream.next(t).CallID)
-	state(decide.EndpointReady, decide.EndpointReady)
+	setStates(decide.EndpointReady, decide.EndpointReady)
 	attempt = upstream.next(t)
 	require.Equal(t, "two", attempt.CallID)
 	attempt.end(decide.OutcomeSucceeded)
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -8,15 +8,15 @@
 	"aniseloft/decide"
 )
 
-// Counters count requests and attempts by class, and what the dispatcher does besides. Operators and
-// package fleetlog read the names that String prints.
+// Counters counts requests and attempts by class, and other operations of the dispatcher. Operators
+// and package fleetlog rely on the names that String prints.
 type Counters struct {
 	classes        []classCounters
 	cancellations  atomic.Int64
 	probes         atomic.Int64
-	panics         atomic.Int64 // of the decisions
-	followers      atomic.Int64 // requests that waited for another one under their key
-	answeredAtExit atomic.Int64 // by AnswerAllOpen
+	panics         atomic.Int64 // of the decision module
+	followers      atomic.Int64 // requests that waited for a leader with the same key
+	answeredAtExit atomic.Int64 // requests answered by AnswerAllOpen
 }
 
 const (
@@ -33,7 +33,7 @@
 	attemptsEnded   [outcomeKinds]atomic.Int64
 }
 
-// outcomeNames are the outcomes as counters and logs print them.
+// outcomeNames are the names of the outcomes in counters and logs.
 var outcomeNames = [outcomeKinds]string{"served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "lost"}
 
 func newCounters(settings decide.Settings) *Counters {
@@ -52,7 +52,7 @@
 	c.classes[class].attemptsEnded[outcome].Add(1)
 }
 
-// String returns a line for each class and one for the rest.
+// String returns one line for each class and one with the counters that are not kept by class.
 func (c *Counters) String() string {
 	var b strings.Builder
 	for i := range c.classes {
--- a/internal/routing/describe.go
+++ b/internal/routing/describe.go
@@ -9,8 +9,8 @@
 	"aniseloft/internal/millis"
 )
 
-// DescribeEndpoints returns a line for each endpoint: the state that the decisions hold of it, and its
-// connections. It is empty once Run has ended.
+// DescribeEndpoints returns one line for each endpoint with its state in the balancer and the number
+// of its connections. The result is empty once Run has ended.
 func (d *Dispatcher) DescribeEndpoints() string {
 	text := make(chan string, 1)
 	d.post(func() {
@@ -40,7 +40,7 @@
 		status.ReportAge, status.Report.InFlight, status.Report.Utilization, status.Report.Memory, status.Report.Disk, busy, idle)
 }
 
-// logDecision logs what the balancer reports of an endpoint.
+// logDecision logs a message of the balancer about an endpoint.
 func (d *Dispatcher) logDecision(line decide.Log) {
 	name := strconv.FormatUint(uint64(line.Endpoint), 10)
 	if e := d.endpoints[line.Endpoint]; e != nil {
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -16,14 +16,14 @@
 
 // Dispatcher owns the balancer and all open requests.
 //
-// The goroutine in Run owns every field but the atomics, the overrides, which have a lock of
-// their own, and the channels. Everything else reaches the state by post. The dispatcher starts
-// one goroutine for each attempt, priority change and probe; each ends with its own timeout and
-// posts what it found. Timers post as well.
+// The goroutine of Run owns all fields except the atomics, the channels and the overrides, which have
+// their own lock. Other goroutines access the state by posting events. The dispatcher starts
+// one goroutine for each attempt, priority change and probe. Each of them is bounded by its own timeout;
+// attempts and probes post their result. Timers post events as well.
 //
-// The inbox carries closures rather than typed events: each event has one sender and one
-// handler, a method beside it, so an event type and a case for each would repeat the parameter lists
-// and name nothing new. The events of the decisions are typed, see decide.Event.
+// The inbox carries closures rather than typed events: each event has one sender and one handler,
+// so an event type and a switch case for each would only repeat the parameter lists. The events of
+// the decision module are typed, see decide.Event.
 type Dispatcher struct {
 	settings  decide.Settings
 	balancer  *decide.Balancer
@@ -32,30 +32,30 @@
 
 	inbox    chan func()
 	done     chan struct{} // closed when Run ends
-	deferred []func()      // run by Run's goroutine once the current event is done
+	deferred []func()      // events that Run handles right after the current one
 
-	requests      map[decide.RequestID]*request
-	callIDs       map[string]struct{} // of the requests, which endpoints know by these names
-	coalescer     *coalescer
-	runHistory    *runHistory
-	endpoints     map[decide.EndpointID]*tableEntry
-	maxOpen       int // requests
-	freeStatement int // bytes of statements that may still be admitted
+	requests           map[decide.RequestID]*request
+	callIDs            map[string]struct{} // call IDs of the open requests, by which endpoints identify them
+	coalescer          *coalescer
+	runHistory         *runHistory
+	endpoints          map[decide.EndpointID]*tableEntry
+	maxOpen            int // maximum number of open requests
+	freeStatementBytes int // bytes left for the statements of further requests
 
-	ending           bool // AnswerAllOpen was called: nothing more is taken
+	ending           bool // AnswerAllOpen was called: further requests are rejected
 	endingRetryAfter time.Duration
 
 	lastID        atomic.Uint64
 	openCount     atomic.Int64
-	lastSubmitted atomic.Int64 // Unix milliseconds
+	lastSubmitted atomic.Int64 // time of the latest Submit, in Unix milliseconds
 	overrides     *overrideTable
 
 	Counters   *Counters
 	PeerSender PeerSender // set before Run; nil: no gossip
 }
 
-// NewDispatcher returns a dispatcher whose event loop is not yet running. The statements of all
-// open requests together may hold statementBytes.
+// NewDispatcher returns a dispatcher whose event loop is not running yet. statementBytes limits the
+// total size of the statements of all open requests.
 func NewDispatcher(settings decide.Settings, seed uint64, upstreams UpstreamFactory, log *slog.Logger, statementBytes int) (*Dispatcher, error) {
 	balancer, err := decide.New(settings, seed)
 	if err != nil {
@@ -66,7 +66,7 @@
 		inbox: make(chan func(), inboxSize), done: make(chan struct{}),
 		requests: map[decide.RequestID]*request{}, callIDs: map[string]struct{}{},
 		coalescer: newCoalescer(), runHistory: newRunHistory(), endpoints: map[decide.EndpointID]*tableEntry{},
-		maxOpen: maxOpenRequests, freeStatement: statementBytes,
+		maxOpen: maxOpenRequests, freeStatementBytes: statementBytes,
 		overrides: newOverrideTable(), Counters: newCounters(settings),
 	}
 	if settings.MaxOpenRequests > 0 {
@@ -75,10 +75,10 @@
 	return d, nil
 }
 
-// Settings returns what the dispatcher was made with.
+// Settings returns the settings that the dispatcher was created with.
 func (d *Dispatcher) Settings() decide.Settings { return d.settings }
 
-// ClassIndex returns the index of the class of that name.
+// ClassIndex returns the index of the class with the given name.
 func (d *Dispatcher) ClassIndex(name string) (int, bool) {
 	for i, class := range d.settings.Classes {
 		if class.Name == name {
@@ -91,10 +91,10 @@
 // OpenRequests returns the number of requests without a final answer.
 func (d *Dispatcher) OpenRequests() int64 { return d.openCount.Load() }
 
-// LastSubmitted returns when the latest request was submitted.
+// LastSubmitted returns the time at which the latest request was submitted.
 func (d *Dispatcher) LastSubmitted() time.Time { return time.UnixMilli(d.lastSubmitted.Load()) }
 
-// Run handles events until ctx ends, and then cancels all attempts.
+// Run handles events until ctx is cancelled, and then cancels all attempts.
 func (d *Dispatcher) Run(ctx context.Context) {
 	defer close(d.done)
 	for {
@@ -109,7 +109,7 @@
 	}
 }
 
-// post queues an event for Run's goroutine. It blocks while the inbox is full; after the end of Run the event is dropped.
+// post queues an event for Run's goroutine. It blocks while the inbox is full. Once Run has ended, events are dropped.
 func (d *Dispatcher) post(event func()) {
 	select {
 	case d.inbox <- event:
@@ -117,8 +117,8 @@
 	}
 }
 
-// afterEvent defers an event until the current one is done. Run's goroutine uses it in place of
-// post, as it must never wait for its own inbox.
+// afterEvent defers an event until the current one has been handled. Run's goroutine uses it instead
+// of post, as it must never wait for its own inbox.
 func (d *Dispatcher) afterEvent(event func()) { d.deferred = append(d.deferred, event) }
 
 func (d *Dispatcher) runDeferred() {
@@ -129,15 +129,16 @@
 	}
 }
 
-// handle passes an event to the decisions and performs their actions.
+// handle passes an event to the balancer and performs the resulting actions.
 func (d *Dispatcher) handle(event decide.Event) {
 	for _, action := range d.decide(event) {
 		d.perform(action)
 	}
 }
 
-// decide recovers from a panic of the decisions, which must not end the process and with it every open
-// request; the deadline timer answers the request that the event was about.
+// decide returns the balancer's actions for an event. It recovers from a panic of the balancer, which
+// must not end the process and with it all open requests; the deadline timer answers the request that
+// the event was about.
 func (d *Dispatcher) decide(event decide.Event) (actions []decide.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -169,7 +170,7 @@
 	case decide.Log:
 		d.logDecision(a)
 	case decide.Subscribe:
-		// Nothing to do: the watcher of package discovery keeps its subscription up by itself.
+		// Nothing to do: the watcher of package discovery maintains the subscription itself.
 	}
 }
 
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,4 +1,4 @@
 // Package routing carries requests through their lifecycle: admission, attempts at upstream
-// endpoints, coalescing of identical keyed requests, and the one final answer. It knows no wire
-// format. The decisions are those of package decide; this package executes them.
+// endpoints, coalescing of identical requests with one idempotency key, and exactly one final answer. It is
+// independent of wire formats. Package decide makes the decisions; this package executes them.
 package routing
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -6,20 +6,20 @@
 	"aniseloft/decide"
 )
 
-// tableEntry is a listed endpoint and its client.
+// tableEntry is an endpoint of the endpoint list together with its client.
 type tableEntry struct {
-	Endpoint          // as the decisions know it: the list's entry with the admin override applied
-	listed   Endpoint // the list's entry
+	Endpoint          // as passed to the balancer: the list entry with the admin override applied
+	listed   Endpoint // the list entry without the override
 	upstream Upstream
-	ready    atomic.Bool // read by attempts before their first byte
+	ready    atomic.Bool // attempts check it before they send their first byte
 }
 
-// UpdateEndpoints delivers an update of the endpoint list.
+// UpdateEndpoints queues an update of the endpoint list.
 func (d *Dispatcher) UpdateEndpoints(kind decide.UpdateKind, entries []Endpoint) {
 	d.post(func() { d.applyUpdate(kind, entries) })
 }
 
-// applyUpdate updates the endpoint table before the decisions see the update.
+// applyUpdate updates the endpoint table and then passes the update to the balancer.
 func (d *Dispatcher) applyUpdate(kind decide.UpdateKind, entries []Endpoint) {
 	event := decide.EndpointUpdate{Kind: kind}
 	present := map[decide.EndpointID]bool{}
@@ -34,6 +34,7 @@
 	d.handle(event)
 }
 
+// removeAbsent removes the endpoints that are not part of a complete list.
 func (d *Dispatcher) removeAbsent(present map[decide.EndpointID]bool) {
 	for id, e := range d.endpoints {
 		if !present[id] {
@@ -43,7 +44,7 @@
 	}
 }
 
-// updateEndpoint applies one entry to the table and returns it as the decisions are to see it.
+// updateEndpoint applies one list entry to the table and returns it with the admin override applied, for the balancer.
 func (d *Dispatcher) updateEndpoint(entry Endpoint) decide.EndpointInfo {
 	e := d.endpoints[entry.ID]
 	listed := entry
@@ -52,7 +53,7 @@
 		d.removeEndpoint(entry.ID)
 		return entry.EndpointInfo
 	}
-	// A new address or a later start is another process: connections to the old one are of no use.
+	// A new address or a later start time means a new process, so the connections to the old one are closed.
 	if e != nil && (entry.Address != "" && e.Address != entry.Address || entry.StartedAt > e.StartedAt) {
 		if entry.Address == "" {
 			entry.Address, listed.Address = e.Address, e.Address
@@ -78,7 +79,7 @@
 	}
 }
 
-// reapplyOverrides notifies the decisions of every endpoint again, after an override has changed.
+// reapplyOverrides passes every endpoint to the balancer again, after an override has changed.
 func (d *Dispatcher) reapplyOverrides() {
 	var entries []Endpoint
 	for _, e := range d.endpoints {
--- a/internal/routing/finalanswer.go
+++ b/internal/routing/finalanswer.go
@@ -6,13 +6,13 @@
 	"aniseloft/internal/millis"
 )
 
-// unservedAnswer is the answer to a request that ends now without a result: rejected where the
-// client may retry it or no attempt has run, failed otherwise.
+// unservedAnswer returns the answer to a request that ends now without a result: rejected if the
+// client may retry it or no attempt can have run, failed otherwise.
 //
 // The balancer applies the same rule to the requests that it ends, see giveUp in decide/attempt.go.
-// The dispatcher needs its own because it also answers without the balancer: when the deadline
-// timer fires, when a client disconnects and when the process ends; and for the followers of
-// coalesced requests, of which the balancer does not know.
+// The dispatcher also needs the rule because it answers some requests without the balancer: when the
+// deadline timer fires, when a client disconnects, when the process ends, and for the followers of
+// coalesced requests, which the balancer does not know.
 func (d *Dispatcher) unservedAnswer(r *request, reason string) Answer {
 	retryable, keyUsed := d.retryable(r)
 	if !retryable && (keyUsed || r.mayHaveRun()) {
@@ -21,10 +21,10 @@
 	return Answer{Kind: Rejected, RetryAfter: millis.Duration(d.settings.MaxRetryAfter), Reason: reason}
 }
 
-// retryable reports whether the client may retry a request whatever has run, by the rule
-// of its class; keyUsed, whether anything may have run under its idempotency key.
+// retryable reports whether the client may retry a request even if an attempt has run, by the rule of
+// its class. keyUsed reports whether an attempt may have run under its idempotency key.
 func (d *Dispatcher) retryable(r *request) (retryable, keyUsed bool) {
-	windowStart := math.Inf(1) // the deduplication window of its key has not begun
+	windowStart := math.Inf(1) // the deduplication window of the key has not begun
 	now := millis.Now()
 	earlier := d.runHistory.earlierRun(r.key(), now)
 	if earlier != nil {
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -11,21 +11,21 @@
 	"aniseloft/decide"
 )
 
-// patience bounds every wait for something that must come; no result depends on how soon.
-const patience = 20 * time.Second
+// waitTimeout limits every wait for an expected event. No test result depends on how soon the event occurs.
+const waitTimeout = 20 * time.Second
 
-// fakeAttempt is an attempt at a fakeUpstream, just before its first byte.
+// fakeAttempt is an attempt at a fakeUpstream. Its first byte has not been sent.
 type fakeAttempt struct {
 	AttemptSpec
 	ctx     context.Context
 	results chan Result
 }
 
-func (a *fakeAttempt) end(o decide.Outcome) {
-	a.results <- Result{Outcome: o, Body: []byte("a\tb\tc\n")}
+func (a *fakeAttempt) end(outcome decide.Outcome) {
+	a.results <- Result{Outcome: outcome, Body: []byte("a\tb\tc\n")}
 }
 
-// fakeUpstream hands its attempts to the test, which ends them.
+// fakeUpstream passes its attempts to the test, which ends them with end.
 type fakeUpstream struct{ attempts chan *fakeAttempt }
 
 func (u *fakeUpstream) Run(ctx context.Context, a AttemptSpec) Result {
@@ -45,28 +45,29 @@
 func (u *fakeUpstream) Upstream(Endpoint) Upstream     { return u }
 func (u *fakeUpstream) next(t *testing.T) *fakeAttempt { return receive(t, u.attempts) }
 
+// receive returns the next value of c, or fails the test after waitTimeout.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
-		require.FailNow(t, "nothing came")
+	case <-time.After(waitTimeout):
+		require.FailNow(t, "nothing received within the timeout")
 	}
 	return v
 }
 
-// answerRecorder is a responder that keeps its answers.
+// answerRecorder is a Responder that records its answers.
 type answerRecorder struct{ answers chan Answer }
 
 func (a *answerRecorder) Respond(answer Answer) { a.answers <- answer }
 
-// The classes of testSettings.
+// Indexes of the classes of testSettings.
 const (
 	idempotentClass = 0
 	keyedClass      = 1
 )
 
-// testSettings has an idempotent class and one with idempotency keys and the given deduplication window.
+// testSettings returns settings with an idempotent class and one with idempotency keys and the given deduplication window.
 func testSettings(cancellation bool, window decide.Millis) decide.Settings {
 	return decide.Settings{
 		Balancers: 1, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: cancellation, MaxRetryAfter: 100,
@@ -78,8 +79,8 @@
 	}
 }
 
-// startDispatcher runs a dispatcher with testSettings over one fake endpoint, which list adds to the endpoint list.
-func startDispatcher(t *testing.T, cancellation bool, window decide.Millis) (d *Dispatcher, upstream *fakeUpstream, list func()) {
+// startDispatcher runs a dispatcher with testSettings and one fake endpoint, which listEndpoint adds to the endpoint list.
+func startDispatcher(t *testing.T, cancellation bool, window decide.Millis) (d *Dispatcher, upstream *fakeUpstream, listEndpoint func()) {
 	d, upstream = startDispatcherWith(t, testSettings(cancellation, window))
 	return d, upstream, func() {
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, State: decide.EndpointReady}}})
@@ -97,14 +98,14 @@
 	return d, upstream
 }
 
-// flush waits until the dispatcher has handled all that was posted before.
+// flush waits until the dispatcher has handled all events that were posted before.
 func flush(t *testing.T, d *Dispatcher) {
 	done := make(chan struct{})
 	d.post(func() { close(done) })
 	receive(t, done)
 }
 
-// attemptCount returns the number of attempts of an open request; below 0: it is not open.
+// attemptCount returns the number of attempts of an open request, or -1 if the request is not open.
 func attemptCount(t *testing.T, d *Dispatcher, call string) int {
 	n := make(chan int, 1)
 	d.post(func() {
@@ -119,7 +120,7 @@
 	return receive(t, n)
 }
 
-// onlyRequest returns the ID of the only open request; the dispatcher's goroutine calls it.
+// onlyRequest returns the ID of the only open request. It must be called on the dispatcher's goroutine.
 func onlyRequest(d *Dispatcher) decide.RequestID {
 	for id := range d.requests {
 		return id
@@ -129,5 +130,5 @@
 
 func submit(d *Dispatcher, call string, class int, key string) (*answerRecorder, Ticket) {
 	a := &answerRecorder{make(chan Answer, 2)}
-	return a, d.Submit(Query{CallID: call, Class: class, Statement: []byte("x"), Deadline: time.Now().Add(patience), IdempotencyKey: key}, a)
+	return a, d.Submit(Query{CallID: call, Class: class, Statement: []byte("x"), Deadline: time.Now().Add(waitTimeout), IdempotencyKey: key}, a)
 }
--- a/internal/routing/overrides.go
+++ b/internal/routing/overrides.go
@@ -10,12 +10,13 @@
 )
 
 // overrideTable shares the admin overrides between the dispatcher's goroutine and the operators'
-// calls. The names of the suspended endpoints are also published as a set that attempts read before
-// their first byte: a suspension holds from its acknowledgement, before the decisions are notified.
+// calls. The names of the suspended endpoints are also published as a set that attempts check before
+// they send their first byte, so that a suspension is in effect once it is acknowledged, even before
+// the balancer is notified.
 type overrideTable struct {
 	mu             sync.Mutex
 	overrides      *overrides.Set                  // guarded by mu
-	suspendedNames atomic.Pointer[map[string]bool] // never modified, replaced under mu
+	suspendedNames atomic.Pointer[map[string]bool] // the map is never modified, but replaced under mu
 }
 
 func newOverrideTable() *overrideTable {
@@ -24,10 +25,10 @@
 	return t
 }
 
-// suspended reports whether an endpoint is suspended; it takes no lock.
+// suspended reports whether an endpoint is suspended. It takes no lock.
 func (t *overrideTable) suspended(name string) bool { return (*t.suspendedNames.Load())[name] }
 
-// update runs f on the overrides, under the lock, and then rebuilds the set that attempts read.
+// update runs f on the overrides, under the lock, and then rebuilds the set of suspended names.
 func (t *overrideTable) update(f func(*overrides.Set)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +40,7 @@
 	t.suspendedNames.Store(&names)
 }
 
-// apply notes an entry of the list and returns it with the override applied.
+// apply records an entry of the endpoint list and returns it with the override applied.
 func (t *overrideTable) apply(entry Endpoint) decide.EndpointInfo {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,16 +48,16 @@
 	return t.overrides.Apply(entry.Name, entry.EndpointInfo)
 }
 
-// setUnlisted notes that the list no longer names an endpoint.
+// setUnlisted records that an endpoint is no longer on the endpoint list.
 func (t *overrideTable) setUnlisted(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.overrides.SetListed(name, false)
 }
 
-// Suspend suspends the endpoint of that name and returns the number of calls since it was last
-// restored. It holds for new attempts once it returns; the decisions are notified soon after. An
-// unknown name is overrides.ErrUnknownEndpoint.
+// Suspend suspends an endpoint and returns the number of SUSPEND calls since it was last restored.
+// When it returns, the suspension applies to all attempts that have not started; the balancer is notified
+// asynchronously. For an unknown name it returns overrides.ErrUnknownEndpoint.
 func (d *Dispatcher) Suspend(endpointName string) (calls int, err error) {
 	d.overrides.update(func(set *overrides.Set) { calls, err = set.Suspend(endpointName, millis.Now()) })
 	if err == nil {
@@ -65,8 +66,8 @@
 	return calls, err
 }
 
-// Restore ends the suspension of the endpoint of that name, which then counts as started now, and
-// reports whether it was suspended. An unknown name is overrides.ErrUnknownEndpoint.
+// Restore ends the suspension of an endpoint, which is then treated as started now, and reports
+// whether it was suspended. For an unknown name it returns overrides.ErrUnknownEndpoint.
 func (d *Dispatcher) Restore(endpointName string) (wasSuspended bool, err error) {
 	d.overrides.update(func(set *overrides.Set) { wasSuspended, err = set.Restore(endpointName, millis.Now()) })
 	if wasSuspended {
@@ -75,8 +76,8 @@
 	return wasSuspended, err
 }
 
-// UpdateOverrides runs f on the overrides, under their lock: to read them, encode them or take over
-// another process's. The decisions are notified where f reports a change.
+// UpdateOverrides runs f on the overrides, under their lock: to read them, to encode them or to adopt
+// those of another process. The balancer is notified if f reports a change.
 func (d *Dispatcher) UpdateOverrides(f func(*overrides.Set) (changed bool)) {
 	var changed bool
 	d.overrides.update(func(set *overrides.Set) { changed = f(set) })
--- a/internal/routing/probe.go
+++ b/internal/routing/probe.go
@@ -10,7 +10,7 @@
 
 const probeTimeout = 250 * time.Millisecond
 
-// probe requests a load report of an endpoint. It always ends in a ProbeEnded event.
+// probe requests a load report from an endpoint. Every probe results in a ProbeEnded event.
 func (d *Dispatcher) probe(id decide.EndpointID) {
 	e := d.endpoints[id]
 	if e == nil {
--- a/internal/routing/query.go
+++ b/internal/routing/query.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Query is what a client requests.
+// Query is a query as a client requests it.
 type Query struct {
-	CallID            string // the client's name for the request, passed to endpoints unchanged
+	CallID            string // the client's ID of the request, passed to endpoints unchanged
 	Class             int    // index into the settings' classes
 	Statement         []byte
 	Deadline          time.Time
@@ -15,14 +15,14 @@
 	EstimatedMemoryMB float64    // 0: no estimate
 	IdempotencyKey    string     // passed to endpoints unchanged; empty: none
 	IsRetry           bool       // the client marks the request as a retry
-	Sink              ResultSink // receives the result page by page where the endpoint can stream it; nil: one body
+	Sink              ResultSink // receives the result page by page if the endpoint can stream it; nil: the result is one body
 }
 
 // ResultSink receives a streamed result. Only one attempt writes at a time.
 type ResultSink interface {
-	// Reset discards the pages of an attempt that did not succeed.
+	// Reset discards the pages that an unsuccessful attempt has written.
 	Reset() error
-	// WritePage appends whole rows, in order. It may block for buffer space until ctx ends.
+	// WritePage appends complete rows, in order. It may block until buffer space is free or ctx ends.
 	WritePage(ctx context.Context, rows []byte) error
 }
 
@@ -32,22 +32,22 @@
 // The kinds of a final answer.
 const (
 	Succeeded AnswerKind = iota
-	Rejected             // the request may be retried without harm
+	Rejected             // the request may safely be retried
 	Failed               // the request may have run
 )
 
-// String returns the kind as counters and logs print it.
+// String returns the name of the kind in counters and logs.
 func (k AnswerKind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
 // Answer is the one final answer to a query.
 type Answer struct {
 	Kind       AnswerKind
 	Body       []byte
-	Streamed   bool          // the result went to the query's sink
-	RetryAfter time.Duration // of a rejection: how long the client is to wait
+	Streamed   bool          // the result was written to the query's sink
+	RetryAfter time.Duration // for a rejection: how long the client is to wait before it retries
 	Reason     string
 }
 
-// Responder receives the one answer to its query. The dispatcher's goroutine calls it, so it
+// Responder receives the one answer to a query. It is called on the dispatcher's goroutine, so it
 // must not block.
 type Responder interface{ Respond(Answer) }
--- a/internal/routing/reasons.go
+++ b/internal/routing/reasons.go
@@ -1,10 +1,10 @@
 package routing
 
-// Reasons of an answer without a result. The texts reach JSON-RPC clients and the log. A request that
-// can't wait under its key gets the text of an error in coalescing.go as its reason.
+// Reasons of answers without a result. The texts are sent to JSON-RPC clients and logged. A request
+// that can't become a follower has the text of an error in coalescing.go as its reason.
 const (
-	reasonRejected         = "refused" // by the decisions
-	reasonFailed           = "failed"  // by the decisions
+	reasonRejected         = "refused" // by the balancer
+	reasonFailed           = "failed"  // by the balancer
 	reasonTooManyOpen      = "too much is open"
 	reasonCallInUse        = "the call is in use"
 	reasonClientLeft       = "its client has left"
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -8,11 +8,11 @@
 	"aniseloft/decide"
 )
 
-// deadlineGrace is how long past a request's deadline the dispatcher waits for the decisions
-// before it answers by itself.
+// deadlineGrace is how long after a request's deadline the dispatcher waits for the balancer's answer
+// before it answers the request itself.
 const deadlineGrace = 15 * time.Millisecond
 
-// request is a query and what became of it.
+// request is a submitted query and its state.
 type request struct {
 	Ticket
 	query     Query
@@ -23,15 +23,15 @@
 	priority  int // -1: not set
 	attempts  []*attempt
 	running   int // attempts without an outcome
-	// Coalescing: the request that this one waits for, and those that wait for this one.
+	// Coalescing: the request whose result this one waits for, and the requests that wait for this one.
 	leader    *request
 	followers []*request
 }
 
-// closed reports whether no answer is owed any more.
+// closed reports whether the request has been answered or withdrawn.
 func (r *request) closed() bool { return r.responder == nil }
 
-// mayStart reports whether an attempt of the request may start. Attempts call it from their own goroutines.
+// mayStart reports whether an attempt of the request may still start. Attempts call it on their own goroutines.
 func (r *request) mayStart() bool { return !r.clientLeft.Load() && !r.gate.isClosed() }
 
 // mayHaveRun reports whether any attempt of the request may have run at its endpoint.
@@ -39,16 +39,16 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan() })
 }
 
-// Ticket identifies a submitted request to its submitter.
+// Ticket identifies a submitted request to the caller of Submit.
 type Ticket struct {
 	requestID decide.RequestID
-	// clientLeft is set at once when the client is known to have left: an attempt reads it before its first
+	// clientLeft is set as soon as the client is known to have left. An attempt checks it before its first
 	// byte, which may be before the dispatcher's goroutine has handled the event.
 	clientLeft *atomic.Bool
 }
 
-// Withdraw ends a request whose client no longer waits: no answer is owed, and no attempt of it
-// starts from now on.
+// Withdraw ends a request whose client no longer waits: the request gets no answer, and no further
+// attempt of it starts.
 func (d *Dispatcher) Withdraw(t Ticket) {
 	t.clientLeft.Store(true)
 	d.post(func() { d.withdraw(t.requestID) })
@@ -68,20 +68,21 @@
 	d.Counters.withdrawn(r.query.Class)
 	d.close(r)
 	d.handle(decide.ClientDisconnected{ID: r.requestID})
-	if r.running == 0 { // nothing will end for its followers to wait for
+	if r.running == 0 { // no running attempt can produce a result for the followers
 		d.releaseFollowers(r, Answer{Kind: Failed})
 	}
-	d.forget(r)
+	d.removeIfDone(r)
 }
 
-// Detach notes that the client of a request has left and may return for the result: running
-// attempts go on, and none starts from now on. The responder receives its answer all the same.
+// Detach records that the client of a request has left but may return for the result: running
+// attempts continue, and no further attempt starts. The responder still receives an answer.
 func (d *Dispatcher) Detach(t Ticket) {
 	t.clientLeft.Store(true)
 	d.post(func() { d.detach(t.requestID) })
 }
 
-// detach leaves a follower waiting: releaseFollowers finds that its client has left.
+// detach handles the event of Detach. It does nothing for a follower, which keeps waiting: releaseFollowers
+// checks whether its client has left.
 func (d *Dispatcher) detach(id decide.RequestID) {
 	r := d.requests[id]
 	if r == nil || r.closed() || r.running > 0 {
@@ -89,14 +90,14 @@
 	}
 	d.answer(r, d.unservedAnswer(r, reasonClientLeft))
 	d.handle(decide.ClientDisconnected{ID: r.requestID})
-	d.forget(r)
+	d.removeIfDone(r)
 }
 
-// AnswerAllOpen answers every open request, for a process that is about to be killed: a request
-// that may be retried is rejected with retryAfter, so that its client reaches another process;
-// one that must not run twice and may have run fails. The decisions are notified that each
-// client has left, and cancel its attempts. What is submitted after it is rejected alike: a
-// request may have been taken just before.
+// AnswerAllOpen answers every open request, for a process that is about to be killed. A request
+// that may be retried is rejected with retryAfter, so that its client reaches another process; a
+// request that must not run twice and may have run fails. The balancer is notified that each client
+// has left, and cancels the attempts. Requests submitted later are rejected in the same way, as a
+// listener may have received one just before.
 func (d *Dispatcher) AnswerAllOpen(retryAfter time.Duration) {
 	d.post(func() {
 		d.ending, d.endingRetryAfter = true, retryAfter
@@ -113,17 +114,17 @@
 	answer := d.unservedAnswer(r, reasonProcessEnds)
 	answer.RetryAfter = retryAfter
 	d.Counters.answeredAtExit.Add(1)
-	for _, follower := range d.coalescer.end(r) { // no attempt of a follower was started
+	for _, follower := range d.coalescer.end(r) { // no attempt was started for a follower
 		d.answer(follower, answer)
 	}
 	d.answer(r, answer)
 	d.handle(decide.ClientDisconnected{ID: r.requestID})
-	d.cancelRun(r) // also one that only followers waited for
-	d.forget(r)
+	d.cancelRun(r) // also cancels a run that only followers waited for
+	d.removeIfDone(r)
 }
 
-// startDeadlineTimer guards the rule of one answer: the decisions answer in time, and the timer does so
-// should they fail to.
+// startDeadlineTimer ensures that every request is answered: the timer answers it if the balancer has
+// not done so by the deadline plus deadlineGrace.
 func (d *Dispatcher) startDeadlineTimer(r *request) {
 	wait := max(time.Until(r.query.Deadline), 0) + deadlineGrace
 	r.timer = time.AfterFunc(wait, func() { d.post(func() { d.deadlineExceeded(r) }) })
@@ -135,18 +136,18 @@
 	}
 	d.answer(r, d.unservedAnswer(r, reasonDeadlineExceeded))
 	d.handle(decide.ClientDisconnected{ID: r.requestID})
-	d.forget(r)
+	d.removeIfDone(r)
 }
 
-// finish gives an open request its final answer and forgets it.
+// finish gives an open request its final answer and removes it once no attempt is running.
 func (d *Dispatcher) finish(id decide.RequestID, answer Answer) {
 	if r := d.requests[id]; r != nil {
 		d.answer(r, answer)
-		d.forget(r)
+		d.removeIfDone(r)
 	}
 }
 
-// answer gives the one final answer. A closed request has had it, and nothing happens.
+// answer gives a request its one final answer. It does nothing for a closed request.
 func (d *Dispatcher) answer(r *request, answer Answer) {
 	if r.closed() {
 		return
@@ -156,7 +157,8 @@
 	d.log.Debug("request answered", "call", r.query.CallID, "class", r.query.Class, "kind", answer.Kind.String(),
 		"attempts", len(r.attempts), "reason", answer.Reason)
 	d.close(r)
-	// An attempt that is still dialling must not start; one whose first byte is being written comes before the answer.
+	// An attempt that is still dialling must not start. If the first byte of an attempt is being written, the answer
+	// waits for it.
 	respond := func() { responder.Respond(answer) }
 	if r.gate.close(func() { d.post(respond) }) {
 		respond()
@@ -164,7 +166,7 @@
 	d.releaseFollowers(r, answer)
 }
 
-// close marks that no answer is owed to a request any more.
+// close marks a request as answered or withdrawn.
 func (d *Dispatcher) close(r *request) {
 	r.responder = nil
 	d.openCount.Add(-1)
@@ -173,10 +175,10 @@
 	}
 }
 
-// forget drops a request that is closed and has no running attempt.
-func (d *Dispatcher) forget(r *request) {
+// removeIfDone removes a request that is closed and has no running attempt.
+func (d *Dispatcher) removeIfDone(r *request) {
 	if r.closed() && r.running == 0 && d.requests[r.requestID] == r {
-		d.freeStatement += len(r.query.Statement)
+		d.freeStatementBytes += len(r.query.Statement)
 		delete(d.requests, r.requestID)
 		delete(d.callIDs, r.query.CallID)
 	}
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -9,17 +9,17 @@
 	"aniseloft/decide"
 )
 
-// A dial takes up to a second. Where the settings don't enable cancellation the decisions cancel nothing,
-// yet an attempt that had not started as its client left must not start.
+// A dial takes up to a second. If the settings don't enable cancellation the balancer does not cancel attempts, but an
+// attempt that has not started when its client leaves must still not start.
 func TestWithdrawDuringDialStartsNoAttempt(t *testing.T) {
 	for _, cancellation := range []bool{false, true} {
-		d, upstream, list := startDispatcher(t, cancellation, 5000)
-		list()
+		d, upstream, listEndpoint := startDispatcher(t, cancellation, 5000)
+		listEndpoint()
 		_, ticket := submit(d, "one", idempotentClass, "")
 		attempt := upstream.next(t)
-		require.True(t, attempt.StillReady(), "nothing forbids the start")
+		require.True(t, attempt.StillReady(), "the attempt may start")
 		d.Withdraw(ticket)
-		require.False(t, attempt.StillReady(), "at once, before the event is handled")
+		require.False(t, attempt.StillReady(), "immediately, before the event is handled")
 		attempt.end(decide.OutcomeNotSent)
 		flush(t, d)
 		require.Empty(t, upstream.attempts)
@@ -27,50 +27,50 @@
 	}
 }
 
-// A detached client may return for its result by key. Running attempts go on, but none starts for it: not from the
-// queue, not after a dial, not as a retry, and not when its turn under the key comes.
+// A detached client may return for its result with its key. Running attempts continue, but no further attempt starts:
+// not from the queue, not after a dial, not as a retry, and not when a follower is admitted again.
 func TestDetachStartsNoFurtherAttempt(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	queued, ticket := submit(d, "queued", keyedClass, "a")
-	behind, other := submit(d, "behind", keyedClass, "a")
+	follower, followerTicket := submit(d, "follower", keyedClass, "a")
 	third, _ := submit(d, "third", keyedClass, "a")
-	d.Detach(other)
+	d.Detach(followerTicket)
 	flush(t, d)
-	require.Empty(t, behind.answers, "it waits for its leader")
+	require.Empty(t, follower.answers, "the follower waits for its leader")
 	d.Detach(ticket)
 	require.Equal(t, Rejected, receive(t, queued.answers).Kind)
-	require.Equal(t, Rejected, receive(t, behind.answers).Kind)
-	list()
+	require.Equal(t, Rejected, receive(t, follower.answers).Kind)
+	listEndpoint()
 	attempt := upstream.next(t)
-	require.Equal(t, "third", attempt.CallID, "its turn")
+	require.Equal(t, "third", attempt.CallID, "the next request under the key")
 	attempt.end(decide.OutcomeSucceeded)
 	require.Equal(t, Succeeded, receive(t, third.answers).Kind)
 
-	for _, end := range []decide.Outcome{decide.OutcomeNotSent, decide.OutcomeAnswerLost, decide.OutcomeOverloaded, decide.OutcomeSucceeded} {
-		d, upstream, list := startDispatcher(t, true, 5000)
-		list()
+	for _, outcome := range []decide.Outcome{decide.OutcomeNotSent, decide.OutcomeAnswerLost, decide.OutcomeOverloaded, decide.OutcomeSucceeded} {
+		d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+		listEndpoint()
 		recorder, ticket := submit(d, "one", idempotentClass, "")
 		attempt := upstream.next(t)
 		require.True(t, attempt.StillReady())
 		d.Detach(ticket)
 		require.False(t, attempt.StillReady())
 		flush(t, d)
-		require.NoError(t, attempt.ctx.Err(), "a running attempt goes on")
+		require.NoError(t, attempt.ctx.Err(), "a running attempt continues")
 		require.Empty(t, recorder.answers)
-		attempt.end(end)
+		attempt.end(outcome)
 		a := receive(t, recorder.answers)
-		require.Equal(t, end == decide.OutcomeSucceeded, a.Kind == Succeeded)
-		require.NotEqual(t, Failed, a.Kind, "its class is idempotent")
+		require.Equal(t, outcome == decide.OutcomeSucceeded, a.Kind == Succeeded)
+		require.NotEqual(t, Failed, a.Kind, "the class is idempotent")
 		flush(t, d)
 		require.Empty(t, upstream.attempts)
 		require.Zero(t, d.OpenRequests())
 	}
 }
 
-// A request that was answered as the process ends starts no attempt, even where cancellation is not enabled.
+// A request that is answered because the process ends must not start an attempt, even if cancellation is not enabled.
 func TestAnswerAllOpenStartsNoAttempt(t *testing.T) {
-	d, upstream, list := startDispatcher(t, false, 5000)
-	list()
+	d, upstream, listEndpoint := startDispatcher(t, false, 5000)
+	listEndpoint()
 	recorder, _ := submit(d, "one", idempotentClass, "")
 	attempt := upstream.next(t)
 	require.True(t, attempt.StillReady())
@@ -82,8 +82,8 @@
 	require.Empty(t, upstream.attempts)
 }
 
-// The deadline timer races the end of an attempt that is reported late. Whichever comes first, a retryable request is
-// rejected, and one that may have run and must not run twice fails.
+// The deadline timer may fire before or after the end of an attempt is reported. In both cases a retryable request is
+// rejected, and a request that may have run and must not run twice fails.
 func TestDeadlineTimerAnswersByRetryability(t *testing.T) {
 	for class, want := range []AnswerKind{Rejected, Failed} {
 		settings := testSettings(true, 5000)
@@ -92,7 +92,7 @@
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, State: decide.EndpointReady}}})
 		var a *answerRecorder
 		var attempt *fakeAttempt
-		for left := 200 * time.Millisecond; attempt == nil; left *= 2 { // a stalled machine may leave no time to start
+		for left := 200 * time.Millisecond; attempt == nil; left *= 2 { // on a stalled machine the deadline may pass before the attempt starts
 			a = &answerRecorder{make(chan Answer, 2)}
 			d.Submit(Query{CallID: left.String(), Class: class, Statement: []byte("x"), Deadline: time.Now().Add(left)}, a)
 			select {
@@ -100,30 +100,30 @@
 			case <-a.answers:
 			}
 		}
-		require.Equal(t, want, receive(t, a.answers).Kind) // its attempt has not ended yet
+		require.Equal(t, want, receive(t, a.answers).Kind) // the attempt has not ended yet
 		attempt.end(decide.OutcomeTimeout)
 		flush(t, d)
 		require.Empty(t, a.answers, "one answer")
 	}
 }
 
-// Concurrent attempts are allowed only where the settings enable them.
-func TestAttemptIsExclusiveUnlessConcurrentAttemptsAreEnabled(t *testing.T) {
-	for _, may := range []bool{false, true} {
-		d, upstream, list := startDispatcher(t, true, 5000)
-		d.settings.ConcurrentAttemptsEnabled = may
-		list()
+// An attempt is not exclusive only if the settings enable concurrent attempts.
+func TestAttemptIsExclusiveUnlessConcurrentAttemptsEnabled(t *testing.T) {
+	for _, enabled := range []bool{false, true} {
+		d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+		d.settings.ConcurrentAttemptsEnabled = enabled
+		listEndpoint()
 		_, _ = submit(d, "one", idempotentClass, "")
 		attempt := upstream.next(t)
-		require.Equal(t, !may, attempt.Exclusive)
+		require.Equal(t, !enabled, attempt.Exclusive)
 		attempt.end(decide.OutcomeSucceeded)
 	}
 }
 
-// An attempt is cancelled as its result arrives: the result is the answer, and no second attempt starts.
-func TestResultThatCrossesItsCancellationIsTheAnswer(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	list()
+// If a result arrives after its attempt was cancelled, the result is the answer, and no second attempt starts.
+func TestResultAfterCancellationIsAnswer(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	listEndpoint()
 	recorder, _ := submit(d, "one", idempotentClass, "")
 	attempt := upstream.next(t)
 	d.post(func() { d.perform(decide.CancelAttempt{ID: onlyRequest(d), Attempt: 0}) })
@@ -136,10 +136,11 @@
 	require.Empty(t, recorder.answers, "one answer")
 }
 
-// A request that was taken in the instant of the last answers would stay open until its own deadline, past the kill.
-func TestRequestsAfterTheLastAnswersAreRejectedAtOnce(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	list()
+// A request that arrives just after AnswerAllOpen must be rejected immediately. Otherwise it would stay open until its own
+// deadline, which may be after the process is killed.
+func TestRequestAfterAnswerAllOpenIsRejected(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	listEndpoint()
 	d.AnswerAllOpen(50 * time.Millisecond)
 	late, _ := submit(d, "late", keyedClass, "a")
 	answer := receive(t, late.answers)
@@ -150,10 +151,11 @@
 	require.Zero(t, d.OpenRequests())
 }
 
-// An attempt at an endpoint that is no longer in the table has no client to prioritize it with; one event may order both.
-func TestPriorityOfAnAttemptWithoutAnEndpointIsLeft(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	list()
+// An attempt at an endpoint that is no longer in the table has no client, so its priority can't be set. One event of the
+// balancer may order both the attempt and its priority.
+func TestPriorityOfAttemptWithoutEndpointIsSkipped(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	listEndpoint()
 	recorder, _ := submit(d, "one", idempotentClass, "")
 	running := upstream.next(t)
 	d.post(func() {
@@ -166,23 +168,23 @@
 	require.Equal(t, Succeeded, receive(t, recorder.answers).Kind)
 	flush(t, d)
 	require.Zero(t, d.OpenRequests())
-	d.prioritize(&attempt{}, "one", 2) // as its goroutine does, which may outlive the test
+	d.prioritize(&attempt{}, "one", 2) // the same call as in the goroutine of setResources, which may outlive the test
 }
 
-// An attempt asks whether it may start and then writes: an answer that comes in between must not go before its first byte,
-// and none may begin after an answer.
-func TestAnswerWaitsForTheFirstByteThatIsBeingWritten(t *testing.T) {
-	d, upstream, list := startDispatcher(t, true, 5000)
-	list()
+// An attempt checks whether it may start and then writes its first byte. An answer that is given in between must wait for
+// the first byte, and no attempt may start after an answer.
+func TestAnswerWaitsForFirstByteBeingWritten(t *testing.T) {
+	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
+	listEndpoint()
 	recorder, _ := submit(d, "one", idempotentClass, "")
 	running := upstream.next(t)
 	sent, ok := running.BeginSend()
 	require.True(t, ok)
 	d.AnswerAllOpen(50 * time.Millisecond)
 	flush(t, d)
-	require.Empty(t, recorder.answers, "its first byte is being written")
+	require.Empty(t, recorder.answers, "the first byte is being written")
 	_, ok = running.BeginSend()
-	require.False(t, ok, "no other begins")
+	require.False(t, ok, "no other attempt may start")
 	sent()
 	sent()
 	require.Equal(t, Rejected, receive(t, recorder.answers).Kind)
--- a/internal/routing/runhistory.go
+++ b/internal/routing/runhistory.go
@@ -2,21 +2,23 @@
 
 import "aniseloft/decide"
 
-// maxRecordedRuns bounds the keys with a recorded run: some minutes of loads, in less than a MB.
+// maxRecordedRuns is the maximum number of keys with a recorded run. That covers some minutes of loads in less than 1 MB.
 const maxRecordedRuns = 4096
 
-// runHistory records what may have run under each idempotency key, for as long as a retry may
-// come. It reads no clock; the dispatcher's goroutine owns it.
+// runHistory records the first run of each idempotency key for as long as a retry may arrive. It does
+// not read the clock. The dispatcher's goroutine owns it.
 type runHistory struct {
 	runs  map[requestKey]recordedRun
-	order []runStart // of what is or was in runs, oldest first
+	order []runStart // the recorded runs, including removed ones, oldest first
 }
 
+// recordedRun is the first run under a key.
 type recordedRun struct {
 	decide.EarlierRun
-	until decide.Millis // no retry comes after that
+	retriesUntil decide.Millis // no retry arrives later
 }
 
+// runStart identifies a recorded run by its key and start time.
 type runStart struct {
 	key       requestKey
 	startedAt decide.Millis
@@ -24,23 +26,23 @@
 
 func newRunHistory() *runHistory { return &runHistory{runs: map[requestKey]recordedRun{}} }
 
-// record notes that a run under a key begins, and until when a retry may come. The first run
-// counts: the endpoints' deduplication window begins with it.
-func (h *runHistory) record(key requestKey, run decide.EarlierRun, until decide.Millis) {
+// record records a run that starts under a key and the time until which a retry may arrive. Further
+// runs under the key are ignored: the endpoints' deduplication window begins with the first.
+func (h *runHistory) record(key requestKey, run decide.EarlierRun, retriesUntil decide.Millis) {
 	if key.key == "" || h.earlierRun(key, run.StartedAt) != nil {
 		return
 	}
 	h.expire(run.StartedAt)
-	h.runs[key] = recordedRun{run, until}
+	h.runs[key] = recordedRun{run, retriesUntil}
 	h.order = append(h.order, runStart{key, run.StartedAt})
 }
 
-// expire drops the oldest runs while they are out of date or there are too many.
+// expire removes the oldest runs while they are expired or too many are recorded.
 func (h *runHistory) expire(now decide.Millis) {
 	for len(h.order) > 0 {
 		oldest := h.order[0]
 		run := h.runs[oldest.key]
-		if run.StartedAt == oldest.startedAt && run.until > now && len(h.order) < maxRecordedRuns {
+		if run.StartedAt == oldest.startedAt && run.retriesUntil > now && len(h.order) < maxRecordedRuns {
 			return
 		}
 		h.forget(oldest.key, oldest.startedAt)
@@ -48,16 +50,16 @@
 	}
 }
 
-// forget drops the run under a key that started at startedAt.
+// forget removes the run under a key that started at startedAt.
 func (h *runHistory) forget(key requestKey, startedAt decide.Millis) {
 	if h.runs[key].StartedAt == startedAt {
 		delete(h.runs, key)
 	}
 }
 
-// earlierRun returns what may have run under a key; nil: nothing that a retry must heed now.
+// earlierRun returns the run that may have happened under a key, or nil if no run restricts a retry at now.
 func (h *runHistory) earlierRun(key requestKey, now decide.Millis) *decide.EarlierRun {
-	if run, ok := h.runs[key]; ok && now < run.until {
+	if run, ok := h.runs[key]; ok && now < run.retriesUntil {
 		return &run.EarlierRun
 	}
 	return nil
--- a/internal/routing/sendgate.go
+++ b/internal/routing/sendgate.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// sendGate orders a request's final answer and the first bytes of its attempts: once the answer is given no attempt begins,
-// and an answer waits for the first byte that is being written. Attempts pass it on their own goroutines, the dispatcher
-// closes it; neither waits.
+// sendGate orders a request's final answer relative to the first bytes of its attempts: no attempt starts after the
+// answer, and the answer is delayed while a first byte is being written. Attempts call begin on their own goroutines, and
+// the dispatcher calls close; neither call blocks.
 type sendGate struct {
-	mu           sync.Mutex // guards the fields below
-	closed       bool
-	sending      int    // attempts whose first byte is being written
-	afterSending func() // of the close, where it has to wait
+	mu      sync.Mutex // guards the fields below
+	closed  bool
+	sending int    // number of attempts whose first byte is being written
+	onIdle  func() // set by close while sending is above 0; called when it becomes 0
 }
 
-// begin reports whether an attempt may begin. The caller then calls sent, once, as soon as its first byte is written or is
-// known not to be.
+// begin reports whether an attempt may send its first byte. If so, the caller must call sent as soon as the byte has been
+// written or can no longer be written.
 func (g *sendGate) begin() (sent func(), ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -24,29 +24,30 @@
 	return sync.OnceFunc(g.end), true
 }
 
+// end records that the first byte of an attempt has been written or can no longer be written.
 func (g *sendGate) end() {
 	g.mu.Lock()
 	g.sending--
-	var then func()
+	var onIdle func()
 	if g.sending == 0 {
-		then, g.afterSending = g.afterSending, nil
+		onIdle, g.onIdle = g.onIdle, nil
 	}
 	g.mu.Unlock()
-	if then != nil {
-		then()
+	if onIdle != nil {
+		onIdle()
 	}
 }
 
-// close lets no further attempt begin. It reports whether none is being sent; else waiting is called, on the goroutine of
-// the last of them, once that is so.
-func (g *sendGate) close(waiting func()) (idle bool) {
+// close prevents further attempts from starting. It reports whether no first byte is being written. Otherwise onIdle is
+// called once that is the case, on the goroutine of the last attempt that wrote one.
+func (g *sendGate) close(onIdle func()) (idle bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
 	if g.sending == 0 {
 		return true
 	}
-	g.afterSending = waiting
+	g.onIdle = onIdle
 	return false
 }
 
--- a/internal/routing/tablegroup.go
+++ b/internal/routing/tablegroup.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// maxGroupDigits keeps a group's number well within 64 bits.
+// maxGroupDigits limits the digits of a group number, so that it fits into 64 bits.
 const maxGroupDigits = 15
 
-// stagingSchema is the schema prefix that names no group.
+// stagingSchema is the schema prefix whose number is not a group.
 const stagingSchema = "staging"
 
-// TableGroup returns the group of tables that a statement reads or writes: the number after the
-// underscore in the name of its schema, as 17 in sales_17.orders. Strings, comments and the
-// schema staging don't count. 0 is no group.
+// TableGroup returns the group of the tables that a statement reads or writes: the number after the
+// last underscore in the first numbered schema name, for example 17 for sales_17.orders. Strings,
+// comments and schemas with the prefix staging are ignored. The result is 0 if there is no group.
 func TableGroup(statement string) uint64 {
 	tokens := tokenize(statement)
 	for i := 0; i+1 < len(tokens); i++ {
@@ -24,19 +24,20 @@
 	return 0
 }
 
-// isSchema reports whether token i, which isn't the last, is a name in the place of a schema: the last but one
-// of a qualified name, as in schema.table and catalog.schema.table.
+// isSchema reports whether token i, which must not be the last token, is a schema name: the last but one
+// identifier of a qualified name such as schema.table or catalog.schema.table.
 func isSchema(tokens []token, i int) bool {
-	if !tokens[i].name || tokens[i+1].text != "." {
+	if !tokens[i].isIdentifier || tokens[i+1].text != "." {
 		return false
 	}
 	if i > 0 && tokens[i-1].text == "." && i+2 == len(tokens) {
 		return false
 	}
-	threeNames := i+3 < len(tokens) && tokens[i+2].name && tokens[i+3].text == "."
+	threeNames := i+3 < len(tokens) && tokens[i+2].isIdentifier && tokens[i+3].text == "."
 	return !threeNames
 }
 
+// schemaNumber returns the number after the last underscore of a schema name, if that is a group number.
 func schemaNumber(name string) (uint64, bool) {
 	underscore := strings.LastIndexByte(name, '_')
 	digits := name[underscore+1:]
--- a/internal/routing/tablegroup_test.go
+++ b/internal/routing/tablegroup_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTableGroupIsTheNumberOfTheSchema(t *testing.T) {
+func TestTableGroup(t *testing.T) {
 	for statement, group := range map[string]uint64{
 		"select * from sales_17.orders":              17,
 		"select * from catalog.sales_17.orders":      17,
@@ -16,7 +16,7 @@
 		"select 'sales_17.orders' -- sales_18.t":     0,
 		"/* sales_1.t /* sales_2.t */ */ sales_3.t":  3,
 		"select sales_17 from orders":                0,
-		"select * from sales_1234567890123456.t":     0, // more digits than a group has
+		"select * from sales_1234567890123456.t":     0, // more than maxGroupDigits digits
 		"select * from sales_x1.t, _5.t, sales_06.t": 6,
 	} {
 		require.Equal(t, group, TableGroup(statement), statement)
--- a/internal/routing/tokenize.go
+++ b/internal/routing/tokenize.go
@@ -2,18 +2,19 @@
 
 import "strings"
 
+// token is a lexical token of a statement.
 type token struct {
-	text string
-	name bool // an identifier
+	text         string
+	isIdentifier bool
 }
 
-// typicalTokens is as many tokens as most statements have.
-const typicalTokens = 32
+// initialTokenCapacity is the number of tokens that suffices for most statements.
+const initialTokenCapacity = 32
 
-// tokenize splits a statement into identifiers, dots and other characters, in order. Comments are
-// skipped, a string is one token without its text, a quoted identifier is a name.
+// tokenize splits a statement into identifiers and single characters, in order. Comments are skipped,
+// a string is one token without its content, and a quoted identifier is an identifier.
 func tokenize(s string) []token {
-	tokens := make([]token, 0, typicalTokens)
+	tokens := make([]token, 0, initialTokenCapacity)
 	for i := 0; i < len(s); {
 		c := s[i]
 		switch {
@@ -48,7 +49,7 @@
 	return tokens
 }
 
-// skipBlockComment returns the index after the block comment at i; such comments nest.
+// skipBlockComment returns the index after the block comment at i. Block comments nest.
 func skipBlockComment(s string, i int) int {
 	for depth := 0; i < len(s); {
 		switch {
@@ -66,7 +67,7 @@
 	return i
 }
 
-// readQuoted returns the index after the quoted text at i, and the text; a doubled quote stands for one.
+// readQuoted returns the index after the quoted text at i, and the text. Doubled quotes are unescaped.
 func readQuoted(s string, i int) (end int, text string) {
 	quote := s[i]
 	var b []byte
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -7,7 +7,7 @@
 	"aniseloft/decide"
 )
 
-// AttemptSpec is what an Upstream needs to execute one attempt of a query at its endpoint.
+// AttemptSpec describes one attempt of a query for the Upstream that executes it.
 type AttemptSpec struct {
 	CallID         string
 	Class          string
@@ -17,17 +17,17 @@
 	Priority       int    // -1: not set
 	IdempotencyKey string // empty: none
 	Sink           ResultSink
-	// Exclusive forbids any other attempt of the query beside this one: Run returns only once the
-	// endpoint can't be working on it any more.
+	// Exclusive is set if the query must not have another attempt while this one may run: Run then
+	// returns only once the endpoint can no longer be working on the attempt.
 	Exclusive bool
-	// OnProgress receives what the endpoint reports while the attempt runs.
+	// OnProgress receives the progress that the endpoint reports while the attempt runs.
 	OnProgress func(decide.ProgressKind, float64)
-	// StillReady reports, just before the first byte is written, whether the attempt may still
-	// start: the endpoint may have begun to drain while the connection was dialled.
+	// StillReady is called just before the first byte is written and reports whether the attempt may still
+	// start: the endpoint may have started to drain while the connection was dialled.
 	StillReady func() bool
-	// BeginSend is called right before the first byte is written. Where it returns false the attempt must not start: its request
-	// has been answered. Else sent must be called as soon as the byte is written, or is known not to be: an answer waits for it.
-	// Nil: nothing is to be ordered.
+	// BeginSend is called right before the first byte is written. If ok is false, the request has been answered and the
+	// attempt must not start. Otherwise sent must be called as soon as the byte has been written or can no longer be
+	// written, as the answer waits for it. Nil: the attempt need not be ordered relative to an answer.
 	BeginSend func() (sent func(), ok bool)
 }
 
@@ -35,30 +35,30 @@
 type Result struct {
 	Outcome        decide.Outcome
 	Body           []byte
-	Streamed       bool    // the result went to the attempt's sink
+	Streamed       bool    // the result was written to the attempt's sink
 	ActualWork     float64 // milliseconds on one core
 	ActualMemoryMB float64
-	Load           *decide.LoadReport // nil: the endpoint sent none
+	Load           *decide.LoadReport // nil: the endpoint sent no report
 	Reason         string
 }
 
-// Upstream is the client of one endpoint, whatever protocol the endpoint speaks.
+// Upstream is the client of one endpoint, independent of the protocol.
 type Upstream interface {
-	// Run executes an attempt. When the deadline of ctx passes, it returns at once and cancels the
+	// Run executes an attempt. When the deadline of ctx passes, it returns immediately and cancels the
 	// attempt at the endpoint in the background. When ctx is cancelled, or the answer to an exclusive
-	// attempt is lost, it returns after that cancellation.
+	// attempt is lost, it cancels the attempt at the endpoint before it returns.
 	Run(ctx context.Context, spec AttemptSpec) Result
 	// Prioritize changes the priority of a running attempt.
 	Prioritize(ctx context.Context, call string, priority int) error
-	// Probe requests a load report.
+	// Probe requests a load report from the endpoint.
 	Probe(ctx context.Context) (decide.Outcome, *decide.LoadReport)
-	// Connections returns how many connections carry a call and how many are idle.
+	// Connections returns the number of connections that carry a call and of idle ones.
 	Connections() (busy, idle int)
 	// Close releases the endpoint's connections.
 	Close()
 }
 
-// UpstreamFactory makes the client of an endpoint.
+// UpstreamFactory creates the clients of endpoints.
 type UpstreamFactory interface{ Upstream(Endpoint) Upstream }
 
 // Endpoint is an entry of the endpoint list.
