--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -8,24 +8,24 @@
 	"aniseloft/internal/protocol/admin"
 )
 
-// call executes an operators' call and returns its answer.
-func (p *Program) call(c admin.Command) []byte {
-	switch c.Verb {
+// executeCommand executes an operator's command and returns the answer.
+func (p *Program) executeCommand(command admin.Command) []byte {
+	switch command.Verb {
 	case admin.Status:
-		return p.callStatus()
+		return p.executeStatus()
 	case admin.Suspend:
-		return p.callSuspend(c.EndpointID)
+		return p.executeSuspend(command.EndpointID)
 	case admin.Restore:
-		return p.callRestore(c.EndpointID)
+		return p.executeRestore(command.EndpointID)
 	case admin.Pause:
-		return p.callPause()
+		return p.executePause()
 	case admin.Resume:
-		return p.callResume()
+		return p.executeResume()
 	}
 	return admin.Nak("unknown call")
 }
 
-func (p *Program) callStatus() []byte {
+func (p *Program) executeStatus() []byte {
 	switch {
 	case p.ready():
 		return admin.Ack("serving")
@@ -35,7 +35,7 @@
 	return admin.Nak(p.Phase().String())
 }
 
-func (p *Program) callSuspend(endpointName string) []byte {
+func (p *Program) executeSuspend(endpointName string) []byte {
 	var calls int
 	err := p.overrides.change(overrides.Change{EndpointName: endpointName}, func() (err error) {
 		calls, err = p.dispatcher.Suspend(endpointName)
@@ -50,7 +50,7 @@
 	return admin.Ack(endpointName + " out")
 }
 
-func (p *Program) callRestore(endpointName string) []byte {
+func (p *Program) executeRestore(endpointName string) []byte {
 	var wasSuspended bool
 	err := p.overrides.change(overrides.Change{EndpointName: endpointName, Restore: true}, func() (err error) {
 		wasSuspended, err = p.dispatcher.Restore(endpointName)
@@ -65,7 +65,7 @@
 	return admin.Ack(endpointName + " back, cold")
 }
 
-func (p *Program) callPause() []byte {
+func (p *Program) executePause() []byte {
 	if p.ending() {
 		return admin.Ack("ending already")
 	}
@@ -76,7 +76,7 @@
 	return admin.Ack("paused")
 }
 
-func (p *Program) callResume() []byte {
+func (p *Program) executeResume() []byte {
 	if p.ending() {
 		return admin.Nak("the process is ending: a drain that SIGTERM began is not undone")
 	}
@@ -86,5 +86,5 @@
 	return admin.Ack("resumed")
 }
 
-// ending reports whether SIGTERM came.
+// ending reports whether the process is draining after SIGTERM or has stopped.
 func (p *Program) ending() bool { return p.Phase() != Serving && p.Phase() != Starting }
--- a/internal/program/budget.go
+++ b/internal/program/budget.go
@@ -13,63 +13,66 @@
 	"aniseloft/internal/transport/clients"
 )
 
-// Fractions of the memory limit. The rest is the program's own, and garbage not yet collected.
+// Fractions of the memory limit. The rest is for the program's other memory and garbage that is not yet collected.
 const (
-	runtimeMemoryFraction   = 0.75     // the Go runtime's limit
+	runtimeMemoryFraction   = 0.75     // memory limit of the Go runtime
 	inputMemoryFraction     = 1.0 / 16 // incomplete messages of all clients of a listener
 	statementMemoryFraction = 1.0 / 8  // statements of open requests
 	answerMemoryFraction    = 1.0 / 8  // answers that clients have yet to read
-	resultMemoryFraction    = 1.0 / 4  // results in flight, were each as large as allowed
-	spoolMemoryFraction     = 1.0 / 4  // at most, of a spool in memory
+	resultMemoryFraction    = 1.0 / 4  // results in flight, assuming that each has the maximum size
+	spoolMemoryFraction     = 1.0 / 4  // maximum size of a spool in memory
 )
 
 const (
-	// nonRuntimeMB is memory that the Go runtime does not manage: mapped pages of the binary, the C
-	// library and threads.
+	// nonRuntimeMB is the memory that the Go runtime does not manage, in MB: mapped pages of the binary,
+	// the C library and threads.
 	nonRuntimeMB = 16
-	// gcPercent is high because the live heap is small beside the limit: a collection at each
-	// doubling would cost a good part of one core. The runtime's limit makes them frequent when needed.
+	// gcPercent is high because the live heap is small compared to the limit: collecting each time the
+	// heap doubles would use a considerable part of one core. Near the memory limit the runtime
+	// collects more often.
 	gcPercent = 400
 )
 
-// Parts of the descriptor limit.
+// Division of the descriptor limit.
 const (
-	// ownDescriptors are the standard streams, poller, listeners, the journal connection, the store, the
-	// files in $TMPDIR, some spare ones and ownAdminConnections.
-	ownDescriptors      = 24
-	ownAdminConnections = 4
-	clientDivisor       = 3 // a third of the descriptors
-	restClientDivisor   = 4 // a fourth of the clients' connections
-	adminDivisor        = 48
-	// nonRequestConnections are upstream connections for cancellations, priorities and probes.
+	// reservedDescriptors is the number of descriptors for the standard streams, poller, listeners, journal
+	// connection, store, files in $TMPDIR, reservedAdminConnections and some spare ones.
+	reservedDescriptors      = 24
+	reservedAdminConnections = 4
+	clientDivisor            = 3 // clients get a third of the descriptors
+	restClientDivisor        = 4 // REST clients get a fourth of the clients' connections
+	adminDivisor             = 48
+	// nonRequestConnections is the number of upstream connections for cancellations, priorities and probes.
 	nonRequestConnections = 16
-	// inFlightFraction leaves some upstream connections idle: with all in use, each attempt would
-	// close one endpoint's idle connection to dial another.
+	// inFlightFraction is the fraction of upstream connections that attempts may use. The others stay
+	// idle: if all were in use, each attempt would have to close an idle connection to one endpoint
+	// before it could dial another.
 	inFlightFraction = 0.88
 )
 
 const (
-	defaultConnectTimeout  = 250 * time.Millisecond
-	defaultIdleTimeout     = 10 * time.Second
-	idleTimeoutOfEndpoints = 0.8 // of the endpoints' own idle timeout: close before they do
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultIdleTimeout    = 10 * time.Second
+	idleTimeoutFraction   = 0.8 // of the endpoints' idle timeout, so that connections are closed before endpoints close them
 )
 
-// connectionBudget divides the descriptor limit.
+// connectionBudget is the maximum number of connections of each kind.
 type connectionBudget struct {
-	clients     int // of the JSON-RPC protocol
+	clients     int // JSON-RPC clients
 	restClients int
 	admin       int
 	upstream    int
 }
 
+// divideSockets divides the descriptor limit among the kinds of connections.
 func divideSockets(sockets int, gossip, rest bool) connectionBudget {
 	clientSockets := sockets / clientDivisor
 	admin := min(max(sockets/adminDivisor, 1), clients.MaxAdminConnections)
-	own := ownDescriptors + max(admin-ownAdminConnections, 0)
+	reserved := reservedDescriptors + max(admin-reservedAdminConnections, 0)
 	if gossip {
-		own++
+		reserved++
 	}
-	b := connectionBudget{clients: clientSockets, admin: admin, upstream: sockets - clientSockets - own}
+	b := connectionBudget{clients: clientSockets, admin: admin, upstream: sockets - clientSockets - reserved}
 	if rest {
 		b.restClients = clientSockets / restClientDivisor
 		b.clients -= b.restClients
@@ -77,17 +80,18 @@
 	return b
 }
 
-// maxInFlight bounds the attempts in flight by connections and by the memory for their results.
+// maxInFlight returns the maximum number of attempts in flight, limited by connections and by the memory for their results.
 func (p *Program) maxInFlight(upstreamConnections int) int {
 	byConnections := int(float64(upstreamConnections-nonRequestConnections) * inFlightFraction)
 	return min(byConnections, int(p.memoryFraction(resultMemoryFraction)/engine.MaxResultBytes))
 }
 
 // memoryFraction returns a fraction of the memory limit, in bytes.
-func (p *Program) memoryFraction(share float64) int64 {
-	return int64(float64(p.config.Limits.MemoryMB<<20) * share)
+func (p *Program) memoryFraction(fraction float64) int64 {
+	return int64(float64(p.config.Limits.MemoryMB<<20) * fraction)
 }
 
+// applyRuntimeLimits sets the memory limit, garbage collection target and processor count of the Go runtime.
 func (p *Program) applyRuntimeLimits() {
 	limits := p.config.Limits
 	debug.SetMemoryLimit(min(p.memoryFraction(runtimeMemoryFraction), (limits.MemoryMB-nonRuntimeMB)<<20))
@@ -97,19 +101,19 @@
 	}
 }
 
-// upstreamTimeouts returns the connect timeout and how long a connection stays idle.
+// upstreamTimeouts returns the connect timeout and the idle timeout of upstream connections.
 func upstreamTimeouts(settings decide.Settings) (connect, idle time.Duration) {
 	connect, idle = defaultConnectTimeout, defaultIdleTimeout
 	if settings.ConnectTimeout > 0 {
 		connect = millis.Duration(settings.ConnectTimeout)
 	}
 	if settings.IdleConnectionTimeout > 0 {
-		idle = millis.Duration(settings.IdleConnectionTimeout * idleTimeoutOfEndpoints)
+		idle = millis.Duration(settings.IdleConnectionTimeout * idleTimeoutFraction)
 	}
 	return connect, idle
 }
 
-// gossips reports whether this coordinator exchanges gossip with others.
-func gossips(coordinator *config.Coordinator) bool {
+// gossipEnabled reports whether this coordinator exchanges gossip with others.
+func gossipEnabled(coordinator *config.Coordinator) bool {
 	return coordinator.Settings.GossipEnabled && coordinator.PeerListen != ""
 }
--- a/internal/program/budget_test.go
+++ b/internal/program/budget_test.go
@@ -11,7 +11,7 @@
 	"aniseloft/internal/protocol/engine"
 )
 
-func TestDescriptorsAreDividedWithinTheLimit(t *testing.T) {
+func TestDivideSockets(t *testing.T) {
 	for _, c := range []struct {
 		sockets      int
 		gossip, rest bool
@@ -27,15 +27,15 @@
 	}
 }
 
-func TestAttemptsInFlightAreBoundedByConnectionsAndByMemory(t *testing.T) {
+func TestMaxInFlightIsLimitedByConnectionsAndMemory(t *testing.T) {
 	p := &Program{config: &config.Coordinator{Limits: config.Limits{MemoryMB: 4096}}}
-	require.Equal(t, 555, p.maxInFlight(647), "0.88 of the connections that carry requests")
+	require.Equal(t, 555, p.maxInFlight(647), "0.88 of the connections that may carry requests")
 	p.config.Limits.MemoryMB = 32
 	require.Equal(t, int(p.memoryFraction(resultMemoryFraction)/engine.MaxResultBytes), p.maxInFlight(647))
 	require.Less(t, p.maxInFlight(647), 555)
 }
 
-func TestIdleConnectionsCloseBeforeTheEndpointsDo(t *testing.T) {
+func TestUpstreamIdleTimeoutIsShorterThanEndpoints(t *testing.T) {
 	connect, idle := upstreamTimeouts(decide.Settings{})
 	require.Equal(t, defaultConnectTimeout, connect)
 	require.Equal(t, defaultIdleTimeout, idle)
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -6,35 +6,35 @@
 	"runtime/debug"
 )
 
-const help = `aniseloft is one coordinator between clients and query engines. Without arguments it serves.
+const help = `aniseloft runs one coordinator between clients and query engines. It takes no arguments to serve.
 
 Usage:
   LB_CONFIG=config.json aniseloft
 
 Environment:
-  LB_CONFIG   the configuration, JSON (docs/settings.md); needed
-  LB_NAME     the coordinator's name, over the file's
-  LB_LISTEN   the clients' address, over the file's
-  LB_ADMIN    the operators' second address, over the file's
-  TMPDIR      where it keeps what an upgrade must know
+  LB_CONFIG   path of the configuration file, JSON (docs/settings.md); required
+  LB_NAME     name of the coordinator; overrides "name" in the file
+  LB_LISTEN   address for clients; overrides "listen" in the file
+  LB_ADMIN    address for operators' commands; overrides "admin" in the file
+  TMPDIR      directory of the state and lock files shared with the next process at an upgrade
 
-Files below the folder it is started in, each of which may be absent:
-  deploy/rest.json   the paged REST front, its record and its spool
-  deploy/log.json    what is logged
+Optional files, relative to the working directory:
+  deploy/rest.json   paged REST protocol, its record and its spool
+  deploy/log.json    log settings
 
 Signals:
-  SIGTERM, SIGINT   drain: take and answer a little longer, then exit with 0
-  SIGHUP            read the configuration again, and move to the journal service that it names
-  SIGUSR1           print the counters and what is held true of each engine
+  SIGTERM, SIGINT   drain: admit requests for a short time, answer all open ones, then exit with 0
+  SIGHUP            reload the configuration and connect to the journal service that it names
+  SIGUSR1           print the counters and the state of each engine
 
 Examples:
   LB_CONFIG=example/config.json aniseloft
   aniseloftctl check config example/config.json
 
-Exit codes: 0 it ended as it was told, 1 it could not start, 2 the command line is wrong.
+Exit codes: 0 regular exit, 1 startup failed, 2 invalid command line.
 `
 
-// Main is the command: without arguments it serves.
+// Main runs the aniseloft command and returns its exit code. Without arguments it serves.
 func Main(args []string, out, errOut io.Writer) int {
 	if len(args) == 0 {
 		return Run(errOut)
@@ -45,13 +45,13 @@
 	case "--version", "version":
 		_, _ = fmt.Fprintln(out, "aniseloft", version())
 	default:
-		_, _ = fmt.Fprintf(errOut, "aniseloft: %q is not understood; it takes no arguments to serve, see aniseloft --help\n", args[0])
+		_, _ = fmt.Fprintf(errOut, "aniseloft: %q is not understood; run aniseloft without arguments to serve, or see aniseloft --help\n", args[0])
 		return 2
 	}
 	return 0
 }
 
-// version is what the build knows of itself.
+// version returns the module version, VCS revision and Go version from the build information.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/program/drainstate.go
+++ b/internal/program/drainstate.go
@@ -7,7 +7,7 @@
 	"aniseloft/internal/drain"
 )
 
-// drainState shares the drain between listeners, operators' calls and the shutdown.
+// drainState makes drain.Drain safe for concurrent use by listeners, operators' calls and the shutdown.
 type drainState struct {
 	mu    sync.Mutex
 	state drain.Drain // guarded by mu
@@ -31,28 +31,29 @@
 	return d.state.Paused()
 }
 
-// setLongestDeadline tells when the kill may come; before the drain.
+// setLongestDeadline sets the longest deadline of all classes, which determines the time of the kill. It must be
+// called before the drain starts.
 func (d *drainState) setLongestDeadline(deadline time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.state.LongestDeadline = deadline
 }
 
-// answerAllAfter returns when, after SIGTERM, every open request is to be answered.
+// answerAllAfter returns how long after SIGTERM every open request must have been answered.
 func (d *drainState) answerAllAfter() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.AnswerAllAfter()
 }
 
-// terminatedAt returns when SIGTERM came; zero: it has not.
+// terminatedAt returns the time of the first SIGTERM; zero if it was not received.
 func (d *drainState) terminatedAt() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.TerminatedAt()
 }
 
-// terminate starts the drain after SIGTERM and returns when every open request is to be answered.
+// terminate starts the drain after SIGTERM and returns the time by which every open request must be answered.
 func (d *drainState) terminate(now time.Time) (answerAllAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,8 +73,8 @@
 	return d.state.Draining()
 }
 
-// closeConnectionsAt returns when connections are closed after SIGTERM, whatever is open on them: all
-// open requests have been answered a moment before.
+// closeConnectionsAt returns the time after SIGTERM at which all connections are closed. All open
+// requests have been answered closeAfterAnswers earlier.
 func (d *drainState) closeConnectionsAt() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/program/drillfaults.go
+++ b/internal/program/drillfaults.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// drillClockVariable names the environment variable by which a drill gives this process a wrong clock: its
-	// rate, and jumps in milliseconds, each at a time since the start, as "1.1 3600000@5000". It is
-	// absent in a normal run.
+	// drillClockVariable is the environment variable by which a drill gives this process a wrong clock. The
+	// value is the clock's rate, followed by jumps in milliseconds, each with the time since the start, in
+	// milliseconds: "1.1 3600000@5000". It is not set in a normal run.
 	drillClockVariable = "ANISELOFT_DRILL_CLOCK"
-	// drillDiskVariable does so for the disk of a consensus replica, as "slow:5000@4000 full:3000@9000": from 4 s on
-	// the next save takes 5 s; from 9 s on no save succeeds for 3 s.
+	// drillDiskVariable is the environment variable by which a drill injects faults into the disk of a consensus
+	// replica. With "slow:5000@4000 full:3000@9000" the next save after 4 s takes 5 s; from 9 s on no save
+	// succeeds for 3 s.
 	drillDiskVariable = "ANISELOFT_DRILL_DISK"
 )
 
 var (
-	errClockForm = errors.New("a rate comes first, then jumps as 1000@5000")
-	errDiskForm  = errors.New("write it as slow:5000@4000 or full:3000@9000")
+	errClockSyntax = errors.New("expected a rate followed by jumps such as 1000@5000")
+	errDiskSyntax  = errors.New("expected faults such as slow:5000@4000 or full:3000@9000")
 )
 
-// clockJump sets the clock forward by byMS, atMS after the start.
+// clockJump moves the clock forward by byMS, at atMS after the start. A negative byMS moves it back.
 type clockJump struct{ atMS, byMS float64 }
 
-// fleetClock returns the clock for leases, in milliseconds. It begins with the process and is monotonic, but as
-// the drill says.
+// fleetClock returns the clock for leases, in milliseconds. It starts at 0 when fleetClock is called and is
+// monotonic, apart from the rate and the jumps that the drill configures.
 func fleetClock(drill string) (func() lease.Millis, error) {
 	start, rate := time.Now(), 1.0
 	var jumps []clockJump
-	for i, word := range strings.Fields(drill) {
-		jump, isJump, err := parseClockSetting(word)
+	for i, field := range strings.Fields(drill) {
+		jump, isJump, err := parseClockSetting(field)
 		switch {
 		case err != nil:
 		case isJump:
@@ -43,10 +44,10 @@
 		case i == 0:
 			rate = jump.byMS
 		default:
-			err = errClockForm
+			err = errClockSyntax
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %q: %w", drillClockVariable, word, err)
+			return nil, fmt.Errorf("%s: %q: %w", drillClockVariable, field, err)
 		}
 	}
 	return func() lease.Millis {
@@ -61,31 +62,31 @@
 	}, nil
 }
 
-// parseClockSetting parses a jump such as 1000@5000, or a rate, which is returned as byMS.
-func parseClockSetting(word string) (jump clockJump, isJump bool, err error) {
-	by, at, isJump := strings.Cut(word, "@")
+// parseClockSetting parses a jump such as 1000@5000 or a rate, which is returned as the jump's byMS.
+func parseClockSetting(field string) (jump clockJump, isJump bool, err error) {
+	by, at, isJump := strings.Cut(field, "@")
 	if jump.byMS, err = strconv.ParseFloat(by, 64); err == nil && isJump {
 		jump.atMS, err = strconv.ParseFloat(at, 64)
 	}
 	return jump, isJump, err
 }
 
-// diskFault is a full disk for a time, or one slow save.
+// diskFault is a disk that is full for some time, or a single slow save.
 type diskFault struct {
 	full     bool
-	startsAt time.Duration // since the start
+	startsAt time.Duration // time since the start
 	duration time.Duration
-	done     bool // a slow save happens once
+	done     bool // set after the slow save, which happens once
 }
 
-// drillDiskFaults returns what a drill inflicts on each save of a consensus replica; nil: nothing.
-// The function is for one goroutine.
+// drillDiskFaults returns a function that injects the drill's faults into a save of a consensus replica.
+// It is to be called before each save, by one goroutine only. It is nil if there are no faults.
 func drillDiskFaults(drill string) (func() error, error) {
 	var faults []diskFault
-	for _, word := range strings.Fields(drill) {
-		fault, err := parseDiskFault(word)
+	for _, field := range strings.Fields(drill) {
+		fault, err := parseDiskFault(field)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %q: %w", drillDiskVariable, word, err)
+			return nil, fmt.Errorf("%s: %q: %w", drillDiskVariable, field, err)
 		}
 		faults = append(faults, fault)
 	}
@@ -95,7 +96,7 @@
 	start := time.Now()
 	return func() error {
 		for i := range faults {
-			if err := faults[i].inflict(start); err != nil {
+			if err := faults[i].inject(start); err != nil {
 				return err
 			}
 		}
@@ -103,13 +104,13 @@
 	}, nil
 }
 
-func parseDiskFault(word string) (diskFault, error) {
-	kind, times, _ := strings.Cut(word, ":")
+func parseDiskFault(field string) (diskFault, error) {
+	kind, times, _ := strings.Cut(field, ":")
 	duration, at, timed := strings.Cut(times, "@")
 	durationMS, durationErr := strconv.ParseFloat(duration, 64)
 	atMS, atErr := strconv.ParseFloat(at, 64)
 	if durationErr != nil || atErr != nil || !timed || kind != "slow" && kind != "full" {
-		return diskFault{}, errDiskForm
+		return diskFault{}, errDiskSyntax
 	}
 	return diskFault{
 		full:     kind == "full",
@@ -118,8 +119,8 @@
 	}, nil
 }
 
-// inflict returns an error while the disk is full, and blocks for a slow save.
-func (f *diskFault) inflict(start time.Time) error {
+// inject returns an error while the disk is full, and blocks for a slow save.
+func (f *diskFault) inject(start time.Time) error {
 	elapsed := time.Since(start)
 	if elapsed < f.startsAt {
 		return nil
--- a/internal/program/drillfaults_test.go
+++ b/internal/program/drillfaults_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFleetClockRunsAsTheDrillSays(t *testing.T) {
+func TestFleetClockFollowsDrillSettings(t *testing.T) {
 	clock, err := fleetClock("")
 	require.NoError(t, err)
 	first, started := clock(), time.Now()
@@ -19,13 +19,13 @@
 	clock, err = fleetClock("0.5 3600000@0 -1000@60000")
 	require.NoError(t, err)
 	require.InDelta(t, 3600000, clock(), 10000, "the first jump has happened, the second has not")
-	for _, bad := range []string{"fast", "1 2", "1 x@5", "1 5@"} {
-		_, err = fleetClock(bad)
-		require.ErrorContains(t, err, drillClockVariable, bad)
+	for _, invalid := range []string{"fast", "1 2", "1 x@5", "1 5@"} {
+		_, err = fleetClock(invalid)
+		require.ErrorContains(t, err, drillClockVariable, invalid)
 	}
 }
 
-func TestDiskFaultsFollowTheDrill(t *testing.T) {
+func TestDiskFaultsFollowDrillSettings(t *testing.T) {
 	fault, err := drillDiskFaults("")
 	require.NoError(t, err)
 	require.Nil(t, fault)
@@ -34,8 +34,8 @@
 	started := time.Now()
 	require.ErrorIs(t, fault(), syscall.ENOSPC)
 	require.GreaterOrEqual(t, time.Since(started), 30*time.Millisecond)
-	for _, bad := range []string{"slow", "slow:5", "late:5@5", "slow:x@5"} {
-		_, err = drillDiskFaults(bad)
-		require.ErrorContains(t, err, drillDiskVariable, bad)
+	for _, invalid := range []string{"slow", "slow:5", "late:5@5", "slow:x@5"} {
+		_, err = drillDiskFaults(invalid)
+		require.ErrorContains(t, err, drillDiskVariable, invalid)
 	}
 }
--- a/internal/program/filelock.go
+++ b/internal/program/filelock.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// lockRetryInterval is the pause between two tries to take a file lock.
+// lockRetryInterval is the time between two attempts to take a file lock.
 const lockRetryInterval = 5 * time.Millisecond
 
-// lockFile takes an exclusive advisory lock on path, in at most that many tries. The caller calls
-// unlock in any case; where locked is false there is nothing to release, and the caller goes on without the lock.
+// lockFile takes an exclusive advisory lock on path, trying at most the given number of times. The caller
+// must call unlock in any case. If locked is false, the lock is not held and the caller continues without it.
 func lockFile(path string, tries int) (unlock func(), locked bool) {
 	fd, err := syscall.Open(path, syscall.O_CREAT|syscall.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -34,8 +34,8 @@
 	}, err == nil
 }
 
-// replaceFile writes a file as a whole or not at all: a process that is killed meanwhile leaves the old file and a
-// temporary one that nobody reads. It does not sync, as the file need not survive the machine.
+// replaceFile replaces a file atomically: a process that is killed meanwhile leaves the old file and a temporary one
+// that is never read. It does not sync, as the file need not survive a crash of the machine.
 func replaceFile(path string, content []byte) error {
 	temporary := path + ".tmp-" + strconv.Itoa(os.Getpid())
 	if err := os.WriteFile(temporary, content, 0o600); err != nil {
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -9,15 +9,15 @@
 	"aniseloft/internal/transport/leasetable"
 )
 
-// fleetMember is this coordinator's part in the coordination with others, as newFleet makes it; a
-// lean build has none.
+// fleetMember coordinates this coordinator with the others through leases. It is a member of the consensus
+// group, which a lean build does not support, or a client of the record.
 type fleetMember interface {
 	leasebackend.Backend
-	// Reload applies a new fleet file as far as that is possible while running.
+	// Reload applies a new fleet file as far as this is possible at run time.
 	Reload(config fleetconf.Config) error
 }
 
-// joinFleet makes this coordinator a member of the consensus group, where the file configures one.
+// joinFleet joins the consensus group if the fleet file configures one.
 func (p *Program) joinFleet(config fleetconf.Config) error {
 	if !config.Enabled() || config.Backend == fleetconf.BackendRecord {
 		return nil
@@ -34,7 +34,7 @@
 	return err
 }
 
-// joinFleetByRecord has the record grant the leases, where the file configures that.
+// joinFleetByRecord uses leases that the record grants if the fleet file configures that.
 func (p *Program) joinFleetByRecord(ctx context.Context, config fleetconf.Config) error {
 	if !config.Enabled() || config.Backend != fleetconf.BackendRecord {
 		return nil
--- a/internal/program/fleet_lean.go
+++ b/internal/program/fleet_lean.go
@@ -10,8 +10,8 @@
 	"aniseloft/internal/lease"
 )
 
-// newFleet fails: the consensus libraries are left out of a lean build, whose memory at rest is bounded.
+// newFleet fails: a lean build omits the consensus libraries, as its idle memory is limited.
 func newFleet(fleetconf.Config, string, func() lease.Millis, func() error, *slog.Logger) (fleetMember, error) {
-	return nil, errors.New(fleetconf.File + ": /installation: this build has no council (it was built with -tags lean); " +
-		"build without that tag, or leave the installation empty")
+	return nil, errors.New(fleetconf.File + ": /installation: this build does not support a consensus group (\"by\": \"council\"), as it was built with -tags lean; " +
+		"build without that tag, or leave /installation empty")
 }
--- a/internal/program/instancelock.go
+++ b/internal/program/instancelock.go
@@ -9,21 +9,22 @@
 	"syscall"
 )
 
-// instanceFilePrefix begins the names of the files in $TMPDIR by which processes of one coordinator
-// find each other. Each holds a lock on its own, which the kernel releases when the process ends.
+// instanceFilePrefix is the name prefix of the instance files in $TMPDIR, by which processes of one
+// coordinator detect each other. Each process locks its own file; the kernel releases the lock when the
+// process ends.
 const instanceFilePrefix = "aniseloft-live-"
 
-// noDescriptor marks an instance file that could not be made.
+// noDescriptor is the descriptor of an instance file that could not be created or locked.
 const noDescriptor = -1
 
-// instanceLock is this process's file, locked until the process ends.
+// instanceLock is this process's instance file, which stays locked until the process ends.
 type instanceLock struct {
 	dir        string
 	descriptor int
 }
 
-// lockInstance makes and locks this process's file. Where that fails a later process does not find
-// this one, and behaves as the only one.
+// lockInstance creates and locks this process's instance file. If that fails, a later process does not
+// detect this one and behaves as if it were the only process.
 func lockInstance(dir string) *instanceLock {
 	l := &instanceLock{dir: dir, descriptor: noDescriptor}
 	fd, err := syscall.Open(l.path(), syscall.O_CREAT|syscall.O_RDWR|syscall.O_CLOEXEC, 0o600)
@@ -42,8 +43,8 @@
 	return filepath.Join(l.dir, instanceFilePrefix+strconv.Itoa(os.Getpid()))
 }
 
-// othersRunning reports whether another process of this coordinator runs: after SIGTERM that is the
-// successor of an upgrade. It removes the files of processes that have ended.
+// othersRunning reports whether another process of this coordinator is running; after SIGTERM that is the
+// successor in an upgrade. It removes the instance files of processes that have ended.
 func (l *instanceLock) othersRunning() bool {
 	entries, err := os.ReadDir(l.dir)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return found
 }
 
-// probeInstance reports whether the process of an instance file runs, and removes the file otherwise.
+// probeInstance reports whether the process of an instance file is running, and removes the file otherwise.
 func probeInstance(path string) (running bool) {
 	fd, err := syscall.Open(path, syscall.O_RDWR|syscall.O_CLOEXEC, 0)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return errors.Is(err, syscall.EWOULDBLOCK)
 }
 
-// release removes this process's file at a clean exit.
+// release removes this process's instance file at a regular exit.
 func (l *instanceLock) release() {
 	if l.descriptor == noDescriptor {
 		return
--- a/internal/program/overridestore.go
+++ b/internal/program/overridestore.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// stateFileName is the state file's name in $TMPDIR, which the old and the new process of an upgrade share.
+	// stateFileName is the name of the state file in $TMPDIR, which the old and the new process of an upgrade share.
 	stateFileName = "aniseloft-state.json"
-	// statePollInterval is how often a process looks for changes by the other one.
+	// statePollInterval is how often a process checks the file for changes by the other process.
 	statePollInterval = 100 * time.Millisecond
-	// stateLockTries bounds the wait for the file's lock: an operator's call must be answered in time.
+	// stateLockTries limits the wait for the file lock, as an operator's call must be answered in time.
 	stateLockTries = 20
 )
 
-// logStateUnreadable is logged where the state file's status or content can't be read.
+// logStateUnreadable is the log message if the state file's status or content can't be read.
 const logStateUnreadable = "state file unreadable"
 
-// errStateUnreadable is returned where the state file can't be read now; it may be readable at the next look.
+// errStateUnreadable is returned if the state file can't be read now; a later attempt may succeed.
 var errStateUnreadable = errors.New("state file unreadable")
 
-// overrideStore keeps the admin overrides of this process and the state file in step. Its lock
-// orders changes within the process, the file's lock those of both processes of an upgrade.
+// overrideStore synchronizes the admin overrides of this process with the state file. Its mutex orders
+// changes within the process; the file lock orders the changes of both processes of an upgrade.
 type overrideStore struct {
 	path   string
 	update func(func(*overrides.Set) (changed bool)) // runs on the dispatcher's overrides, under their lock
 	log    *slog.Logger
 
-	mu         sync.Mutex
-	modTime    time.Time          // of the file when it was last read or written
-	size       int64              // likewise
-	unrecorded []overrides.Change // made without the file's lock: the file may lack them
+	mu       sync.Mutex
+	modTime  time.Time          // modification time of the file when it was last read or written
+	size     int64              // size of the file at that time, in bytes
+	unsynced []overrides.Change // made without the file lock, so the file may lack them
 }
 
 func newOverrideStore(dir string, update func(func(*overrides.Set) (changed bool)), log *slog.Logger) *overrideStore {
 	return &overrideStore{path: filepath.Join(dir, stateFileName), update: update, log: log}
 }
 
-// load takes over, at the start, what an earlier process wrote.
+// load adopts the overrides of an earlier process at startup.
 func (s *overrideStore) load() {
 	if _, err := os.Stat(s.path); errors.Is(err, fs.ErrNotExist) {
 		s.log.Info("no state file: no endpoint is suspended", "path", s.path)
@@ -56,7 +56,7 @@
 	s.readFile()
 }
 
-// watch takes over, until ctx ends, what the other process of an upgrade writes.
+// watch adopts the changes that the other process of an upgrade writes, until ctx ends.
 func (s *overrideStore) watch(ctx context.Context) {
 	ticker := time.NewTicker(statePollInterval)
 	defer ticker.Stop()
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	locked := false
-	if len(s.unrecorded) > 0 {
+	if len(s.unsynced) > 0 {
 		var unlock func()
 		unlock, locked = lockFile(s.lockPath(), 1)
 		defer unlock()
@@ -82,9 +82,9 @@
 	s.synchronize(locked)
 }
 
-// change makes a change by apply on top of what the other process wrote, and writes the file.
-// Without the file's lock it does so all the same, as an operator's call must not wait, and the change
-// is reconciled with the file later.
+// change adopts what the other process wrote, makes a change with apply and writes the file. If the
+// file lock is not available it does so without the lock, as an operator's call must not wait, and
+// the change is reconciled with the file later.
 func (s *overrideStore) change(change overrides.Change, apply func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,13 +100,13 @@
 		return nil
 	}
 	if !locked {
-		s.unrecorded = append(s.unrecorded, change)
+		s.unsynced = append(s.unsynced, change)
 	}
 	s.writeFile(content)
 	return nil
 }
 
-// snapshot returns the sequence of the overrides and the file's content for them.
+// snapshot returns the sequence of the overrides and their encoding for the state file.
 func (s *overrideStore) snapshot() (sequence uint64, content []byte) {
 	s.update(func(set *overrides.Set) bool {
 		sequence, content = set.Sequence(), set.Encode(millis.Now())
@@ -115,10 +115,10 @@
 	return sequence, content
 }
 
-// synchronize takes over what the other process wrote. While the file may lack changes of this
-// process, it waits for the file's lock, and then reconciles both.
+// synchronize adopts what the other process wrote. If the file may lack changes of this process, it
+// instead reconciles them with the file, or does nothing unless the file lock is held.
 func (s *overrideStore) synchronize(locked bool) {
-	if len(s.unrecorded) == 0 {
+	if len(s.unsynced) == 0 {
 		s.readFile()
 		return
 	}
@@ -127,31 +127,31 @@
 	}
 }
 
-// reconcile joins the file's state and the unrecorded changes; the file's lock is held.
+// reconcile merges the unsynced changes with the state in the file. The file lock must be held.
 func (s *overrideStore) reconcile() {
 	state, err := s.decodeFile()
 	if errors.Is(err, errStateUnreadable) {
-		return // until the next look
+		return // retried at the next poll
 	}
 	fileOutdated := err != nil
 	var content []byte
 	s.update(func(set *overrides.Set) bool {
 		now := millis.Now()
 		if err == nil {
-			fileOutdated = set.Reconcile(state, s.unrecorded, now)
+			fileOutdated = set.Reconcile(state, s.unsynced, now)
 		}
 		content = set.Encode(now)
 		return true
 	})
-	s.unrecorded = nil
+	s.unsynced = nil
 	if fileOutdated {
 		s.log.Info("state file reconciled", "path", s.path)
 		s.writeFile(content)
 	}
 }
 
-// readFile takes over the file's state where the file has changed and its state is the later one. A
-// missing file changes nothing.
+// readFile adopts the state in the file if the file has changed and its state is newer. A missing file
+// has no effect.
 func (s *overrideStore) readFile() {
 	info, err := os.Stat(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -185,7 +185,7 @@
 	})
 }
 
-// decodeFile reads the file. An unusable one is reported and renamed, and the process goes on with the overrides it has.
+// decodeFile reads and decodes the file. An invalid file is logged and renamed, and the overrides of this process stay.
 func (s *overrideStore) decodeFile() (overrides.State, error) {
 	content, err := os.ReadFile(s.path)
 	if err != nil {
@@ -194,14 +194,14 @@
 	}
 	state, err := overrides.Decode(content)
 	if err != nil {
-		aside := s.path + ".bad-" + strconv.FormatInt(time.Now().UnixMilli(), 10)
-		s.log.Error("state file not used; kept aside", "path", s.path, "aside", aside, "err", err)
-		_ = os.Rename(s.path, aside)
+		renamedPath := s.path + ".bad-" + strconv.FormatInt(time.Now().UnixMilli(), 10)
+		s.log.Error("state file not used; kept aside", "path", s.path, "aside", renamedPath, "err", err)
+		_ = os.Rename(s.path, renamedPath)
 	}
 	return state, err
 }
 
-// writeFile replaces the file. On an error the overrides hold in this process all the same; an upgrade would lose them.
+// writeFile replaces the file. On an error the overrides stay in effect in this process, but an upgrade would lose them.
 func (s *overrideStore) writeFile(content []byte) {
 	if err := replaceFile(s.path, content); err != nil {
 		s.log.Error("state file not written", "path", s.path, "err", err)
--- a/internal/program/phase.go
+++ b/internal/program/phase.go
@@ -9,7 +9,7 @@
 // Phase is the lifecycle phase of the program.
 type Phase int32
 
-// The phases, in their order.
+// The phases, in the order in which they occur.
 const (
 	Starting Phase = iota
 	Serving
@@ -17,22 +17,23 @@
 	Stopped
 )
 
-// String returns the name of the phase as the log and the operators' calls print it.
+// String returns the name of the phase in the log and in answers to operators.
 func (p Phase) String() string { return [...]string{"starting", "serving", "draining", "stopped"}[p] }
 
 // Phase returns the program's current phase.
 func (p *Program) Phase() Phase { return Phase(p.phase.Load()) }
 
-func (p *Program) enter(to Phase) {
-	p.phase.Store(int32(to))
+// enter changes the phase and logs it.
+func (p *Program) enter(phase Phase) {
+	p.phase.Store(int32(phase))
 	p.phaseEntered = time.Now()
-	p.log.Info("phase", "now", to.String())
+	p.log.Info("phase", "now", phase.String())
 }
 
-// ready reports whether this process can serve and new clients are welcome.
+// ready reports whether this process serves and accepts new clients.
 func (p *Program) ready() bool { return p.Phase() == Serving && !p.drain.paused() }
 
-// drainPolicy returns by which rules the servers of clients admit and drain.
+// drainPolicy returns the rules by which the client servers admit requests and drain.
 func (p *Program) drainPolicy() clients.DrainPolicy {
 	return clients.DrainPolicy{Ready: p.ready, Admit: p.drain.admit, Draining: p.drain.draining}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,4 +1,4 @@
-// Package program starts the coordinator, takes it through its lifecycle phases and ends it.
+// Package program starts the coordinator, runs it through its lifecycle phases and shuts it down.
 package program
 
 import (
@@ -26,9 +26,9 @@
 // drainCheckInterval is how often a draining program checks whether it may end.
 const drainCheckInterval = 10 * time.Millisecond
 
-// Program is one coordinator process. Run's goroutine owns it; what listeners and operators' calls
-// read is atomic or has a lock of its own. The parts' goroutines end with the context of stop, the
-// listeners' with their Close.
+// Program is one coordinator process. Run's goroutine owns it; fields that listeners and operators'
+// calls read are atomic or have their own lock. stop ends the goroutines of the components, except
+// those of the listeners, which end with Close.
 type Program struct {
 	phase        atomic.Int32
 	phaseEntered time.Time
@@ -43,31 +43,31 @@
 	discovery  *discovery.Watcher
 	pool       *upstream.Pool
 	clients    *listener.Listener
-	admin      *listener.Listener // nil without an address for operators' calls
-	peers      *gossip.Transport  // nil without gossip
-	fleet      fleetMember        // nil without coordination with other coordinators
+	admin      *listener.Listener // nil if no address for operators' calls is configured
+	peers      *gossip.Transport  // nil if gossip is off
+	fleet      fleetMember        // nil if coordination with other coordinators is off
 
 	drain     drainState
 	overrides *overrideStore
 	instance  *instanceLock
 
-	// The paged REST protocol; nil where it is off.
+	// Components of the paged REST protocol; nil if it is off.
 	rest        *clients.RESTServer
 	restClients *listener.Listener
 	store       *store.Store
-	spool       *spool.Store // also nil without a spool
+	spool       *spool.Store // also nil if the spool is off
 }
 
-// Run runs the program from start to end and returns the exit code.
+// Run starts the program, serves until it is shut down, and returns the exit code.
 func Run(errOut io.Writer) int {
 	p := &Program{errOut: errOut, logLevel: new(slog.LevelVar)}
 	p.log = slog.New(slog.NewTextHandler(errOut, &slog.HandlerOptions{Level: p.logLevel}))
-	// From before the start, so that an early signal waits; a channel for each kind, so that a burst
-	// of one kind can't crowd out another.
+	// Signals are registered before the start, so that an early one is not lost. Each kind has its own
+	// channel, so that a burst of one kind can't displace another.
 	signals := signalChannels{
-		terminate: notifyOf(syscall.SIGTERM, syscall.SIGINT),
-		reload:    notifyOf(syscall.SIGHUP),
-		print:     notifyOf(syscall.SIGUSR1),
+		terminate: notifyChannel(syscall.SIGTERM, syscall.SIGINT),
+		reload:    notifyChannel(syscall.SIGHUP),
+		print:     notifyChannel(syscall.SIGUSR1),
 	}
 	if err := p.start(); err != nil {
 		_, _ = fmt.Fprintln(errOut, "aniseloft:", err)
@@ -80,9 +80,11 @@
 	return 0
 }
 
+// signalChannels receive the signals of each kind.
 type signalChannels struct{ terminate, reload, print <-chan os.Signal }
 
-func notifyOf(signals ...os.Signal) <-chan os.Signal {
+// notifyChannel returns a channel that receives the given signals.
+func notifyChannel(signals ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, signals...)
 	return c
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -6,17 +6,17 @@
 	"aniseloft/internal/config"
 )
 
-// reload reads the configuration again and connects to the journal service that it names. An
-// unusable file changes nothing, as it must not end a process that serves.
+// reload reads the configuration again and connects to the journal service that it names. An invalid
+// file is logged and otherwise ignored, as it must not end a process that serves.
 func (p *Program) reload() {
 	loaded, _, err := config.LoadCoordinator()
 	if err != nil {
-		p.log.Error("configuration not reloaded, the old one stays", "err", err)
+		p.log.Error("configuration not reloaded; the previous one stays in effect", "err", err)
 		return
 	}
 	old := p.config
 	if !reflect.DeepEqual(loaded.Settings, old.Settings) || loaded.Limits != old.Limits || loaded.Listen != old.Listen {
-		p.log.Warn("only the journal's address is reloaded: other changes need a restart")
+		p.log.Warn("only the address of the journal service is reloaded; other changes need a restart")
 	}
 	p.reloadFleet()
 	p.config.Journal = loaded.Journal
@@ -24,12 +24,13 @@
 	p.log.Info("configuration reloaded", "journal", loaded.Journal)
 }
 
+// reloadFleet reads the fleet file again and applies it as far as this is possible at run time.
 func (p *Program) reloadFleet() {
 	fleet, err := config.LoadFleet()
 	if err == nil && p.fleet != nil {
 		err = p.fleet.Reload(fleet)
 	}
 	if err != nil {
-		p.log.Error("the fleet's file not reloaded, the old one stays", "err", err)
+		p.log.Error("fleet file not reloaded; the previous one stays in effect", "err", err)
 	}
 }
--- a/internal/program/rest.go
+++ b/internal/program/rest.go
@@ -13,8 +13,9 @@
 
 const storeOpenTimeout = 10 * time.Second
 
-// openRest opens the record, the spool and the address of the paged REST protocol. Queries that an
-// earlier process left unfinished end here, before any client can read them.
+// openRest opens the record, the spool and the listener of the paged REST protocol. Queries that an
+// earlier process left unfinished are ended before the listener opens, so that no client can read them
+// in that state.
 func (p *Program) openRest(ctx context.Context, settings config.REST, connections int, fleet fleetconf.Config) error {
 	openCtx, cancel := context.WithTimeout(ctx, storeOpenTimeout)
 	defer cancel()
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -9,43 +9,45 @@
 )
 
 const (
-	// minDrain is the time after SIGTERM before which the process does not end: new connections come for up to
-	// 0.4 s, and requests on open ones for 0.2 s more. drain.Admit rejects those that would end too late.
-	minDrain = 900 * time.Millisecond
-	// quietFor is how long no request must have been submitted before the program ends.
-	quietFor = 300 * time.Millisecond
-	// secondWakeAfter is when listeners are woken again, for connections that were between two reads.
-	secondWakeAfter = 100 * time.Millisecond
-	// closeAfterAnswers is how long after the answers to all open requests their connections are closed.
+	// minDrainDuration is the minimum time between SIGTERM and the end of the process: new connections arrive for
+	// up to 0.4 s, and requests on open connections for another 0.2 s. Drain.Admit rejects requests that would end
+	// too late.
+	minDrainDuration = 900 * time.Millisecond
+	// quietPeriod is how long no request must have been submitted before the program may end.
+	quietPeriod = 300 * time.Millisecond
+	// secondWakeDelay is the time after which listeners are woken again, for connections that were between two reads
+	// at the first time.
+	secondWakeDelay = 100 * time.Millisecond
+	// closeAfterAnswers is the time from the answers to all open requests until the connections are closed.
 	closeAfterAnswers = 100 * time.Millisecond
-	// leaseReleaseTimeout is how long the program waits to release its leases; later they expire.
+	// leaseReleaseTimeout is how long the program waits for the release of its leases. Leases not released by then expire.
 	leaseReleaseTimeout = time.Second
 )
 
-// shutdownStep is a step of the graceful shutdown, as the log names it.
+// shutdownStep is a step of the graceful shutdown, by its name in the log.
 type shutdownStep string
 
-// The steps, in their order.
+// The steps, in the order in which they occur.
 const (
-	stepOpenAnswered    shutdownStep = "open requests answered" // only where some were left
-	stepDrained         shutdownStep = "drained"
-	stepListenersClosed shutdownStep = "listeners closed"
-	stepPartsStopped    shutdownStep = "parts stopped"
-	stepFilesClosed     shutdownStep = "files closed"
+	stepOpenAnswered      shutdownStep = "open requests answered" // only if the process still runs at drain.Drain.AnswerAllAt
+	stepDrained           shutdownStep = "drained"
+	stepListenersClosed   shutdownStep = "listeners closed"
+	stepComponentsStopped shutdownStep = "components stopped"
+	stepFilesClosed       shutdownStep = "files closed"
 )
 
-// logStep logs when, after SIGTERM, a step of the shutdown was done: what a late end has waited for.
+// logStep logs a completed step of the shutdown and the time since SIGTERM, so that the cause of a late end can be found.
 func (p *Program) logStep(step shutdownStep) {
 	p.log.Info("shutdown", "step", string(step), "after_ms", time.Since(p.drain.terminatedAt()).Milliseconds())
 }
 
-// terminate starts the graceful shutdown after SIGTERM: clients are sent away, and every open request
-// is answered before the process may be killed. Where another process of this coordinator runs, no
-// connection is accepted any more: an upgrade's successor listens at the clients' address. Without
-// one, connections are accepted until minDrain, longer than the platform sends them; a crowd that
-// goes on connecting finds no listener then.
+// terminate starts the graceful shutdown after SIGTERM: clients are drained, and every open request is
+// answered before the process may be killed. If another process of this coordinator is running, no
+// further connections are accepted, as it is the successor in an upgrade and listens at the same
+// address. Otherwise connections are accepted for minDrainDuration, which is longer than the platform
+// sends new ones. After that the listeners are closed, even if clients keep connecting.
 func (p *Program) terminate() {
-	if p.Phase() != Serving { // a second signal changes nothing
+	if p.Phase() != Serving { // a second signal has no effect
 		return
 	}
 	p.enter(Draining)
@@ -60,13 +62,14 @@
 		p.stopAccepting()
 		p.log.Info("a successor serves at the clients' address: no new connections here")
 	} else {
-		time.AfterFunc(minDrain, p.stopAccepting)
+		time.AfterFunc(minDrainDuration, p.stopAccepting)
 	}
 	if p.fleet != nil {
 		p.fleet.Drain()
 	}
 }
 
+// stopAccepting closes the client listeners for new connections.
 func (p *Program) stopAccepting() {
 	for _, l := range p.clientListeners() {
 		l.StopAccepting()
@@ -84,35 +87,35 @@
 func (p *Program) wakeListeners() {
 	for _, l := range p.clientListeners() {
 		l.WakeReaders()
-		time.AfterFunc(secondWakeAfter, l.WakeReaders)
+		time.AfterFunc(secondWakeDelay, l.WakeReaders)
 	}
 }
 
-// drained reports whether a draining program may end: the platform sends nothing more, and what was open has ended.
+// drained reports whether a draining program may end: no further requests are expected, and all open ones have ended.
 func (p *Program) drained() bool {
-	return p.Phase() == Draining && time.Since(p.phaseEntered) >= minDrain && p.idle() && p.quiet() && p.leasesReleased()
+	return p.Phase() == Draining && time.Since(p.phaseEntered) >= minDrainDuration && p.idle() && p.noNewRequests() && p.leasesReleased()
 }
 
-// idle reports whether no request is open and none waits to be recorded.
+// idle reports whether no request is open and the end of every REST query is in the record.
 func (p *Program) idle() bool {
 	return p.dispatcher.OpenRequests() == 0 && (p.rest == nil || p.rest.Live() == 0)
 }
 
-// quiet reports whether no request was submitted for a while and no client is writing one. Once every open request has
-// been answered nothing more is taken, so that neither counts.
-func (p *Program) quiet() bool {
+// noNewRequests reports whether no request was submitted within quietPeriod and no client is sending one. It is always
+// true once every open request must have been answered, as further requests are rejected from then on.
+func (p *Program) noNewRequests() bool {
 	if time.Since(p.phaseEntered) >= p.drain.answerAllAfter() {
 		return true
 	}
-	return time.Since(p.dispatcher.LastSubmitted()) >= quietFor && !slices.ContainsFunc(p.clientListeners(), (*listener.Listener).ReceivingMessage)
+	return time.Since(p.dispatcher.LastSubmitted()) >= quietPeriod && !slices.ContainsFunc(p.clientListeners(), (*listener.Listener).ReceivingMessage)
 }
 
-// leasesReleased reports whether this coordinator's leases are released, or the time for that is over.
+// leasesReleased reports whether this coordinator's leases are released or leaseReleaseTimeout has passed.
 func (p *Program) leasesReleased() bool {
 	return p.fleet == nil || p.fleet.Idle() || time.Since(p.phaseEntered) > leaseReleaseTimeout
 }
 
-// close ends the parts in the order in which they feed each other: a request that arrives as the
+// close stops the components in the order of the data flow, so that a request that arrives while the
 // listeners close is answered before the dispatcher ends.
 func (p *Program) close() {
 	p.logStep(stepDrained)
@@ -120,7 +123,7 @@
 	for _, l := range p.clientListeners() {
 		l.Close(deadline)
 	}
-	for !p.idle() && time.Now().Before(deadline) { // a REST query is bound to no connection
+	for !p.idle() && time.Now().Before(deadline) { // a REST query may still run after its connection is closed
 		time.Sleep(drainCheckInterval)
 	}
 	p.logStep(stepListenersClosed)
@@ -128,7 +131,7 @@
 	if p.admin != nil {
 		p.admin.Close(deadline)
 	}
-	p.logStep(stepPartsStopped)
+	p.logStep(stepComponentsStopped)
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
 			p.log.Warn("record not closed", "err", err)
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -16,12 +16,12 @@
 	"aniseloft/internal/transport/listener"
 )
 
-// patience bounds every wait for something that must come; no result depends on how soon.
-const patience = 20 * time.Second
+// waitTimeout limits every wait for an expected event. No test result depends on how soon the event occurs.
+const waitTimeout = 20 * time.Second
 
-// After SIGTERM, with no request open, the program waits for a client that is writing one, but no longer than until
-// every open request would have been answered.
-func TestShutdownWaitsForAClientThatIsWriting(t *testing.T) {
+// After SIGTERM, with no open request, the program must wait for a client that is sending a request, but not after the
+// time by which every open request must have been answered.
+func TestShutdownWaitsForClientSendingRequest(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	dispatcher, err := routing.NewDispatcher(decide.Settings{Balancers: 1, TickInterval: 5, MaxAttempts: 1, Kinds: []decide.EndpointKind{{Cores: 16}},
 		Classes: []decide.Class{{Name: "look", LatencyObjective: 8000, Deadline: 10000, Threads: 1, PriorityWeight: 1}}}, 1, nil, log, 1<<20)
@@ -34,26 +34,26 @@
 	go p.clients.Run()
 	t.Cleanup(func() { p.clients.Close(time.Now()) })
 	p.enter(Draining)
-	require.False(t, p.drained(), "clients still connect")
-	p.phaseEntered = time.Now().Add(-minDrain)
+	require.False(t, p.drained(), "clients may still connect")
+	p.phaseEntered = time.Now().Add(-minDrainDuration)
 	require.True(t, p.drained())
 
 	c, err := net.Dial("tcp4", p.clients.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	write := func() {
-		require.Eventually(t, func() bool { // a client that pauses counts as one that stopped until its next byte
+	writePartially := func() {
+		require.Eventually(t, func() bool { // a client that pauses is not seen as sending until its next byte
 			_, err := io.WriteString(c, " ")
 			require.NoError(t, err)
-			return !p.quiet()
-		}, patience, time.Millisecond)
+			return !p.noNewRequests()
+		}, waitTimeout, time.Millisecond)
 	}
-	write()
+	writePartially()
 	p.phaseEntered = time.Now().Add(-drain.MaxAnswerAllAfter)
 	require.True(t, p.drained(), "the wait is bounded")
-	p.phaseEntered = time.Now().Add(-minDrain)
-	write()
+	p.phaseEntered = time.Now().Add(-minDrainDuration)
+	writePartially()
 	_, err = io.WriteString(c, `{"jsonrpc":"2.0","id":1,"method":"alive"}`+"\n")
 	require.NoError(t, err)
-	require.Eventually(t, p.drained, patience, time.Millisecond, "its message is complete")
+	require.Eventually(t, p.drained, waitTimeout, time.Millisecond, "the message is complete")
 }
--- a/internal/program/spool.go
+++ b/internal/program/spool.go
@@ -12,11 +12,11 @@
 
 const (
 	spoolSegmentBytes = 16 << 20
-	// memorySpoolSegments is how many segments a spool in memory has.
+	// memorySpoolSegments is the number of segments of a spool in memory.
 	memorySpoolSegments = 16
 )
 
-// openSpool opens the spool of results; nil where it is off.
+// openSpool opens the spool of results. It returns nil if the spool is off.
 func (p *Program) openSpool(settings config.REST) (*spool.Store, error) {
 	if settings.Spool.Bytes() == 0 {
 		return nil, nil
@@ -29,20 +29,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", config.RESTFile, err)
 	}
-	p.log.Info("spool", "sealed", found.Sealed, "cleared", found.Discarded, "damaged", len(found.Damage))
+	p.log.Info("spool opened", "sealed", found.Sealed, "cleared", found.Discarded, "damaged", len(found.Damage))
 	for _, damage := range found.Damage {
 		p.log.Error("spool damaged", "at", damage.String())
 	}
 	return opened, nil
 }
 
-// spoolMedium returns where the spool keeps its results: a directory, or memory up to a fraction of the limit.
+// spoolMedium returns the storage of the spool: a directory, or memory up to a fraction of the memory limit.
 func (p *Program) spoolMedium(settings config.REST) (spool.Medium, spool.Options, error) {
 	options := p.spoolOptions(settings)
 	if settings.Spool.Directory == "" {
 		bytes, limit := settings.Spool.Bytes(), p.memoryFraction(spoolMemoryFraction)
 		if bytes > limit {
-			return nil, options, fmt.Errorf("spool: total_mb: in memory at most %d is allowed; name a directory for more", limit>>20)
+			return nil, options, fmt.Errorf("spool: total_mb: at most %d is allowed for a spool in memory; set spool: directory for a larger one", limit>>20)
 		}
 		options.SegmentBytes = max(bytes/memorySpoolSegments, 1)
 		return spool.NewMemory(), options, nil
@@ -65,8 +65,8 @@
 	}
 }
 
-// spoolCollector returns the job that collects, for all coordinators, what coordinators that are
-// removed from the installation have left in a shared spool; nil where there is no such job.
+// spoolCollector returns the job that removes, on behalf of all coordinators, the expired results of
+// removed coordinators from a shared spool. It returns nil if there is no such job.
 func (p *Program) spoolCollector(settings config.REST) func() error {
 	if !settings.Spool.Shared || p.fleet == nil || !p.fleet.HasJob(lease.JobCollectSpool) {
 		return nil
@@ -81,6 +81,7 @@
 	}
 }
 
+// collectSpool runs the spool collection under a fencing token and logs its result.
 func (p *Program) collectSpool(settings config.REST, fence lease.Fence, holder string) error {
 	root := settings.Spool.Directory
 	var collected spool.Collection
@@ -88,9 +89,9 @@
 		collected, err = spool.CollectUnowned(root, p.config.Name, p.spoolOptions(settings))
 		return err
 	})
-	var refused lease.StaleFenceError
-	if errors.As(err, &refused) {
-		p.fleet.ReportStaleFence(lease.JobCollectSpool, refused)
+	var staleFence lease.StaleFenceError
+	if errors.As(err, &staleFence) {
+		p.fleet.ReportStaleFence(lease.JobCollectSpool, staleFence)
 	} else if collected.Expired+collected.Removed > 0 {
 		p.log.Info("spool collected", "expired", collected.Expired, "removed", collected.Removed, "fence", fence)
 	}
--- a/internal/program/start.go
+++ b/internal/program/start.go
@@ -19,8 +19,8 @@
 	"aniseloft/internal/transport/upstream"
 )
 
-// start brings all parts up, each before those that rely on it. On an error the process exits, so
-// nothing is closed.
+// start starts all components, each before those that depend on it. Nothing is closed on an error, as
+// the process exits.
 func (p *Program) start() error {
 	if err := p.loadConfig(); err != nil {
 		return err
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	budget := divideSockets(p.config.Limits.Sockets, gossips(p.config), rest.Listen != "")
+	budget := divideSockets(p.config.Limits.Sockets, gossipEnabled(p.config), rest.Listen != "")
 	if err := p.startDispatcher(budget, rest); err != nil {
 		return err
 	}
@@ -52,13 +52,14 @@
 	if err := p.startRest(ctx, rest, budget.restClients, fleet); err != nil {
 		return err
 	}
-	// Another process of this coordinator that sees this one ends its listener, so this one's must be open.
+	// Another process of this coordinator that detects this one may close its listeners, so those of this process
+	// must be open before.
 	p.instance = lockInstance(os.TempDir())
-	p.runParts(ctx)
+	p.startGoroutines(ctx)
 	return nil
 }
 
-// loadConfig reads the configuration and the log settings, and logs what is questionable in them.
+// loadConfig reads the configuration and the log settings, and logs warnings about questionable settings.
 func (p *Program) loadConfig() error {
 	coordinator, findings, err := config.LoadCoordinator()
 	if err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// startDispatcher makes the dispatcher, the upstream pool and the gossip socket.
+// startDispatcher creates the dispatcher, the upstream pool and the gossip socket.
 func (p *Program) startDispatcher(budget connectionBudget, rest config.REST) error {
 	settings, err := p.startGossip()
 	if err != nil {
@@ -96,6 +97,7 @@
 	return nil
 }
 
+// longestDeadline returns the longest deadline of the classes.
 func longestDeadline(classes []decide.Class) time.Duration {
 	longest := decide.Millis(0)
 	for _, class := range classes {
@@ -104,11 +106,11 @@
 	return millis.Duration(longest)
 }
 
-// startGossip opens the gossip socket and returns the settings, with gossip off where there is none.
+// startGossip opens the gossip socket and returns the settings. If no socket is configured, gossip is disabled in them.
 func (p *Program) startGossip() (decide.Settings, error) {
 	settings := p.config.Settings
-	if !gossips(p.config) {
-		settings.GossipEnabled = false // the decisions would spend their budget on messages that nobody receives
+	if !gossipEnabled(p.config) {
+		settings.GossipEnabled = false // the balancer would spend its budget on messages that no coordinator receives
 		return settings, nil
 	}
 	var err error
@@ -126,7 +128,7 @@
 	}
 }
 
-// listen opens the address of the clients and that of the operators' calls.
+// listen opens the listeners for clients and, if configured, for operators' calls.
 func (p *Program) listen(budget connectionBudget) error {
 	server := &clients.JSONRPCServer{
 		Dispatcher: p.dispatcher, Log: p.log, Drain: p.drainPolicy(),
@@ -140,26 +142,26 @@
 	if p.config.Admin == "" {
 		return nil
 	}
-	admin := &clients.AdminServer{Execute: p.call, Log: p.log}
+	admin := &clients.AdminServer{Execute: p.executeCommand, Log: p.log}
 	if p.admin, err = listener.Listen(p.config.Admin, budget.admin, p.log, admin.Serve); err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
 	return nil
 }
 
-// startRest starts the paged REST protocol where it is configured. Leases that the record grants depend on it.
+// startRest starts the paged REST protocol if it is configured. Leases that the record grants require it.
 func (p *Program) startRest(ctx context.Context, rest config.REST, connections int, fleet fleetconf.Config) error {
 	if rest.Listen != "" {
 		return p.openRest(ctx, rest, connections, fleet)
 	}
 	if fleet.Backend == fleetconf.BackendRecord {
-		return fleetconf.FieldError{Pointer: "/by", Problem: "there is no record", Remedy: "name one in " + config.RESTFile + ", or let a council deal out the jobs"}
+		return fleetconf.FieldError{Pointer: "/by", Problem: "no record is configured", Remedy: "configure one in " + config.RESTFile + ", or use a consensus group (\"by\": \"council\")"}
 	}
 	return nil
 }
 
-// runParts starts the parts' goroutines. They end with ctx or, the listeners', with Close.
-func (p *Program) runParts(ctx context.Context) {
+// startGoroutines starts the goroutines of the components. They end with ctx, those of the listeners with Close.
+func (p *Program) startGoroutines(ctx context.Context) {
 	if p.fleet != nil {
 		go p.fleet.Run(ctx)
 	}
--- a/internal/program/status.go
+++ b/internal/program/status.go
@@ -8,12 +8,13 @@
 	"aniseloft/internal/overrides"
 )
 
-// printStatus prints the endpoints as the decisions see them, and the counters.
+// printStatus prints the state of the endpoints in the balancer, and the counters.
 func (p *Program) printStatus() {
 	_, _ = io.WriteString(p.errOut, p.dispatcher.DescribeEndpoints())
 	p.printCounters()
 }
 
+// printCounters prints the counters of all components.
 func (p *Program) printCounters() {
 	text := p.dispatcher.Counters.String() + p.pool.String() + p.clients.String() + p.describeOverrides() +
 		fmt.Sprintf("counters journal calls=%d\n", p.discovery.Calls.Load())
@@ -29,7 +30,7 @@
 	_, _ = io.WriteString(p.errOut, text)
 }
 
-// describeOverrides returns the line of what operators have set: the pause, and suspended endpoints with their SUSPEND calls.
+// describeOverrides returns a line with the pause and the suspended endpoints, each with its number of SUSPEND calls.
 func (p *Program) describeOverrides() string {
 	var suspended []string
 	p.dispatcher.UpdateOverrides(func(set *overrides.Set) bool {
