--- a/internal/routing/coalescing.go
+++ b/internal/routing/coalescing.go
@@ -9,8 +9,8 @@
 	"aniseloft/internal/millis"
 )
 
-// maxFollowers is the maximum number of requests that wait for the run of one leader. Retries of a
-// client produce few duplicates, not a hundred at once.
+// maxFollowers is the maximum number of requests that wait for the run of one leader. Followers are
+// retries of a client, which does not send a hundred duplicates at once.
 const maxFollowers = 32
 
 // Errors of coalescer.join. Their texts are sent to clients.
