--- a/internal/program/phase.go
+++ b/internal/program/phase.go
@@ -24,10 +24,10 @@
 func (p *Program) Phase() Phase { return Phase(p.phase.Load()) }
 
 // enter changes the phase and logs it.
-func (p *Program) enter(phase Phase) {
-	p.phase.Store(int32(phase))
+func (p *Program) enter(next Phase) {
+	p.phase.Store(int32(next))
 	p.phaseEntered = time.Now()
-	p.log.Info("phase", "now", phase.String())
+	p.log.Info("phase", "now", next.String())
 }
 
 // ready reports whether this process serves and accepts new clients.
--- a/internal/routing/sendgate.go
+++ b/internal/routing/sendgate.go
@@ -28,26 +28,26 @@
 func (g *sendGate) end() {
 	g.mu.Lock()
 	g.sending--
-	var onIdle func()
+	var notify func()
 	if g.sending == 0 {
-		onIdle, g.onIdle = g.onIdle, nil
+		notify, g.onIdle = g.onIdle, nil
 	}
 	g.mu.Unlock()
-	if onIdle != nil {
-		onIdle()
+	if notify != nil {
+		notify()
 	}
 }
 
-// close prevents further attempts from starting. It reports whether no first byte is being written. Otherwise onIdle is
+// close prevents further attempts from starting. It reports whether no first byte is being written. Otherwise notify is
 // called once that is the case, on the goroutine of the last attempt that wrote one.
-func (g *sendGate) close(onIdle func()) (idle bool) {
+func (g *sendGate) close(notify func()) (idle bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
 	if g.sending == 0 {
 		return true
 	}
-	g.onIdle = onIdle
+	g.onIdle = notify
 	return false
 }
 
