--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -15,8 +15,8 @@
 	minDrainDuration = 900 * time.Millisecond
 	// quietPeriod is how long no request must have been submitted before the program may end.
 	quietPeriod = 300 * time.Millisecond
-	// secondWakeDelay is the time after which listeners are woken again, for connections that were between two reads
-	// at the first time.
+	// secondWakeDelay is the time after which listeners are woken a second time, for connections that were between two
+	// reads the first time.
 	secondWakeDelay = 100 * time.Millisecond
 	// closeAfterAnswers is the time from the answers to all open requests until the connections are closed.
 	closeAfterAnswers = 100 * time.Millisecond
@@ -60,7 +60,7 @@
 	p.wakeListeners()
 	if p.instance.othersRunning() {
 		p.stopAccepting()
-		p.log.Info("a successor serves at the clients' address: no new connections here")
+		p.log.Info("a successor serves at the clients' address; this process accepts no new connections")
 	} else {
 		time.AfterFunc(minDrainDuration, p.stopAccepting)
 	}
