--- a/decide/actions.go
+++ b/decide/actions.go
@@ -1,19 +1,19 @@
 package decide
 
-// AllPeers is the receiver of a SendGossip that goes to every other balancer.
+// AllPeers is the value of SendGossip.To that addresses every other balancer.
 const AllPeers = -1
 
-// Action is something that the caller has to do; the types below are all of them.
+// Action is an operation that the caller of Handle must carry out. The types below are the only actions.
 type Action interface{ action() }
 
 type (
-	// StartAttempt starts the request's next attempt.
+	// StartAttempt starts the request's next attempt at an endpoint.
 	StartAttempt struct {
 		ID       RequestID
 		Endpoint EndpointID
 		Timeout  Millis
-		// StartBefore is the time before which the first byte must be written, or the attempt is not
-		// sent: afterwards endpoints may no longer deduplicate it. 0: any time.
+		// StartBefore is the latest time at which the caller may write the first byte. After it the
+		// attempt must not be sent, because endpoints may no longer deduplicate it. 0: no limit.
 		StartBefore Millis
 	}
 	// CancelAttempt stops waiting for an attempt.
@@ -21,42 +21,42 @@
 		ID      RequestID
 		Attempt int
 	}
-	// Reject is a final answer: the client may safely retry.
+	// Reject answers the request finally with a rejection; the client may safely retry.
 	Reject struct {
 		ID         RequestID
 		RetryAfter Millis
 	}
-	// Fail is a final answer that promises nothing: the request may have run.
+	// Fail answers the request finally with a failure. The request may have run, so a retry may not be safe.
 	Fail struct{ ID RequestID }
-	// SetAttemptResources names memory and priority of the request's attempts.
+	// SetAttemptResources sets the memory grant and the priority of the request's attempts.
 	SetAttemptResources struct {
 		ID       RequestID
-		GrantMB  float64 // 0: no grant is named
+		GrantMB  float64 // 0: no grant is requested
 		Priority int
 	}
-	// StartTimer asks for a TimerFired.
+	// StartTimer requests a TimerFired event with the same token after the given time.
 	StartTimer struct {
 		After Millis
 		Token string
 	}
-	// Probe asks an endpoint for its load.
+	// Probe requests a load report from an endpoint.
 	Probe struct{ Endpoint EndpointID }
 	// SendGossip sends a message to another balancer, or to AllPeers.
 	SendGossip struct {
 		To   int
 		Data []byte
 	}
-	// Log is a line for on-call staff.
+	// Log reports an event to operators.
 	Log struct {
 		Message  LogMessage
 		Endpoint EndpointID
-		Reason   EjectionReason // of LogEndpointEjected
+		Reason   EjectionReason // set for LogEndpointEjected only
 	}
-	// Subscribe asks discovery for updates of the endpoint list.
+	// Subscribe requests a subscription to updates of the endpoint list.
 	Subscribe struct{}
 )
 
-// LogMessage is what a Log reports.
+// LogMessage is the event that a Log reports.
 type LogMessage int
 
 // The log messages.
@@ -65,10 +65,10 @@
 	LogEndpointRestored
 )
 
-// EjectionReason is why an endpoint was ejected.
+// EjectionReason is the reason for which an endpoint was ejected.
 type EjectionReason int
 
-// The reasons for an ejection. The first two are proof that the endpoint's process is gone.
+// The reasons for an ejection. The first two count as proof that the endpoint's process is down.
 const (
 	EjectedConnectFailed EjectionReason = iota
 	EjectedDomainUnreachable
@@ -78,7 +78,7 @@
 	EjectedProbeTimeout
 )
 
-// String names the reason for on-call staff.
+// String returns the text of the reason in log lines.
 func (r EjectionReason) String() string {
 	return [...]string{
 		"connections failed", "failure domain unreachable", "consecutive errors",
@@ -97,7 +97,7 @@
 func (Log) action()                 {}
 func (Subscribe) action()           {}
 
-// outbox collects the actions of the event in hand, in order.
+// outbox collects, in order, the actions for the event that is being handled.
 type outbox struct{ actions []Action }
 
 func (o *outbox) add(a Action) { o.actions = append(o.actions, a) }
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	defaultPriority       = 1.0 // of an attempt that names none
-	maxPriority           = 3.0 // that runs before all else; 0 is the lowest
-	prioritiesPerDoubling = 2.0 // of the weight for work
-	// Housekeeping periods before its deadline in which a request gets its answer.
-	closingHousekeepings = 2.0
-	arrivalMeanRate      = 0.01 // of one arrival, in the means of weight and work
+	defaultPriority       = 1.0 // priority of an attempt that specifies none
+	maxPriority           = 3.0 // highest priority; 0 is the lowest
+	prioritiesPerDoubling = 2.0 // priority levels added when the relative value doubles
+	// A request with less than this many housekeeping periods left is answered instead of waiting longer.
+	nearDeadlinePeriods = 2.0
+	arrivalMeanRate     = 0.01 // weight of one arrival in the means of weight and work
 )
 
-// admission ranks requests by what they earn for their work and keeps those that wait.
+// admission ranks requests by weight per ms of expected work and holds the queue of pending requests.
 type admission struct {
 	clock     *clock
 	settings  *Settings
 	estimates *estimator
 	endpoints *endpointSet
 	pending   []*request
-	// atLimit is set once as many attempts are in flight as this balancer can carry. All arrivals wait then
-	// until housekeeping sorts the queue: to sort a long queue for each end would fill the core.
+	// atLimit is set when pending requests find MaxInFlight attempts in flight. All requests then wait until
+	// the next housekeeping: sorting a long queue after each attempt would keep the core fully busy.
 	atLimit bool
-	// Means over the arrivals, of the weight that one earns and of its work, whose ratio is the usual value.
+	// Means of the weight and of the expected work of arrivals. Their ratio is the mean value.
 	meanWeight, meanWork float64
 }
 
-// value is the weight that the request earns now, for each ms of its work.
+// value is the weight that the request earns if it starts now, per ms of its expected work.
 func (a *admission) value(r *request) float64 {
 	c := a.estimates.class(r)
 	weight := c.PriorityWeight
@@ -42,20 +42,20 @@
 	return weight / a.estimates.expectedWork(r)
 }
 
-// relativeValue is the request's value over that of what arrives in the mean, a ratio.
+// relativeValue is the ratio of the request's value to the mean value of arrivals.
 func (a *admission) relativeValue(r *request) float64 {
 	return a.value(r) * a.meanWork / max(a.meanWeight, math.SmallestNonzeroFloat64)
 }
 
-// observeArrival takes a new request into the means.
+// observeArrival updates the means with a new request.
 func (a *admission) observeArrival(r *request) {
 	rate := max(arrivalMeanRate, 1/float64(r.sequence))
-	blend(&a.meanWeight, a.value(r)*a.estimates.expectedWork(r), rate)
-	blend(&a.meanWork, a.estimates.expectedWork(r), rate)
+	moveMean(&a.meanWeight, a.value(r)*a.estimates.expectedWork(r), rate)
+	moveMean(&a.meanWork, a.estimates.expectedWork(r), rate)
 }
 
-// priority is the priority that an attempt names, 0 to 3: what earns more for its work than the mean passes
-// the rest at an endpoint that is overloaded.
+// priority is the priority of the request's attempts, 0 to 3. It lets requests of more than mean value run
+// before the others at an overloaded endpoint.
 func (a *admission) priority(r *request) int {
 	if !a.settings.PrioritiesEnabled {
 		return defaultPriority
@@ -64,29 +64,30 @@
 	return int(min(max(math.Round(priority), 0), maxPriority))
 }
 
-// full reports whether as many attempts are in flight as this balancer can carry: one that finds no
-// descriptor would be used up for nothing.
+// full reports whether MaxInFlight attempts are in flight. A further attempt would get no file descriptor,
+// fail unsent and still count against the request's MaxAttempts.
 func (a *admission) full() bool {
 	return a.settings.MaxInFlight > 0 && a.endpoints.attemptsInFlight >= a.settings.MaxInFlight
 }
 
-// closing reports whether the client leaves before housekeeping has come twice: it is answered now.
-func (a *admission) closing(r *request) bool {
-	return r.deadline-a.clock.now < a.clock.ticks(closingHousekeepings*housekeepingTicks)
+// nearDeadline reports whether the client stops waiting before two more housekeeping periods have passed.
+// Such a request is answered now.
+func (a *admission) nearDeadline(r *request) bool {
+	return r.deadline-a.clock.now < a.clock.ticks(nearDeadlinePeriods*housekeepingTicks)
 }
 
-// hopeless reports whether a waiting request can no longer meet its objective.
-func (a *admission) hopeless(r *request) bool {
+// missesObjective reports whether a waiting request can no longer meet its latency objective.
+func (a *admission) missesObjective(r *request) bool {
 	late := a.clock.now+a.estimates.unloadedLatency(r) > a.estimates.objectiveAt(r)
 	return late && a.clock.now > r.arrivedAt
 }
 
-// enqueue lets a request wait.
+// enqueue adds a request to the pending queue.
 func (a *admission) enqueue(r *request) { a.pending = append(a.pending, r) }
 
-// takeSorted empties the queue and returns its requests by value, highest first. Those whose group is locked
-// at all endpoints stay. byOccupancy ranks by the weight for the time that a request takes a descriptor, as
-// descriptors are what is scarce then.
+// takeSorted removes the pending requests from the queue and returns them by value, highest first. Requests
+// whose group is locked at all endpoints stay queued. byOccupancy ranks by weight per ms that a request
+// occupies a file descriptor, for times at which descriptors are the scarce resource.
 func (a *admission) takeSorted(byOccupancy bool) []*request {
 	sorted, waiting := make([]*request, 0, len(a.pending)), a.pending[:0:0]
 	for _, r := range a.pending {
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -3,13 +3,14 @@
 import "math"
 
 const (
-	slowPlanRatio = 5.0   // a pace this many times slower than expected is a bad plan
-	minProgress   = 0.001 // ratio that a progress notice counts as at least
-	hopelessAt    = 0.5   // ratio of progress below which an attempt that ends past its deadline is given up
-	minTimeout    = 0.001 // ms
+	slowPlanRatio = 5.0   // an attempt that is this many times slower than usual has a bad query plan
+	minProgress   = 0.001 // lower bound on the progress ratio in projections
+	// Progress ratio below which an attempt that is projected to end past its deadline is given up.
+	maxGiveUpProgress = 0.5
+	minTimeout        = 0.001 // ms
 )
 
-// startAttempt starts an attempt at an endpoint.
+// startAttempt starts an attempt at an endpoint and counts it in all components.
 func (b *Balancer) startAttempt(r *request, e *endpoint) {
 	if r.attemptsStarted > 0 {
 		b.retries.recordRetry()
@@ -27,7 +28,7 @@
 	if !r.firstRun.mayHaveRun() {
 		r.firstRun = firstRun{now, e.EndpointInfo}
 	} else if c.Idempotency == IdempotentByKey {
-		startBefore = r.firstRun.startedAt + c.DedupWindow // a connection still has to come up
+		startBefore = r.firstRun.startedAt + c.DedupWindow // connecting may delay the first byte past it
 	}
 	b.endpoints.attach(r, e, c)
 	b.outliers.attemptStarted(e)
@@ -40,8 +41,8 @@
 	b.outbox.add(StartAttempt{r.ID, e.ID, max(r.deadline-now, minTimeout), startBefore})
 }
 
-// countInReport adds an attempt to the load report until the next one has it. What no report says stays
-// unknown.
+// countInReport adds an attempt to the endpoint's last load report, until the next report includes it. Absent
+// values stay absent.
 func (e *endpoint) countInReport(memoryMB float64) {
 	if e.report.InFlight >= 0 {
 		e.report.InFlight++
@@ -51,9 +52,9 @@
 	}
 }
 
-// resources are the memory grant and the priority of an attempt. The grant is the estimate corrected by the
-// class's learned need: too little spills to disk, too much is lost to others. It is 0 while that need is
-// unknown.
+// resources returns the memory grant and the priority of an attempt. The grant is the estimate corrected by
+// the class's learned need: with too small a grant the query spills to disk, and memory granted beyond the
+// need is not available to other queries. The grant is 0 while the class's need is unknown.
 func (b *Balancer) resources(r *request, e *endpoint) SetAttemptResources {
 	c := b.estimates.class(r)
 	needKnown := c.samples > 0 && (b.settings.ActualCostReported || c.spillNotices > 0)
@@ -64,9 +65,10 @@
 	return SetAttemptResources{r.ID, grant, b.admission.priority(r)}
 }
 
-// progressed judges the pace of a running attempt. One far slower than the other work of its endpoint has a
-// bad plan and is tried elsewhere, within the replan budget: where many are slow the endpoint is the cause,
-// and the work so far would be lost. One that can't end in time is given up.
+// progressed handles a progress notice of a running attempt. An attempt far slower than the other work of
+// its endpoint has a bad query plan and is retried elsewhere, within the replan budget: if many attempts are
+// slow, the endpoint is the cause, and a retry would only lose the work done so far. An attempt that can't
+// end before its deadline is given up.
 func (b *Balancer) progressed(ev AttemptProgress) {
 	r := b.requests[ev.ID]
 	if !r.isCurrent(ev.Attempt) || r.answered {
@@ -85,18 +87,18 @@
 	unloaded := b.estimates.unloadedLatency(r)
 	projected := (b.clock.now - a.startedAt) / max(ev.Value, minProgress)
 	usual := unloaded * max(1, math.Exp(b.estimates.pressure(a.endpoint)))
-	if firstNotice { // overload shows in what runs long before it shows in what has ended
+	if firstNotice { // running attempts show overload long before completed ones
 		b.estimates.observePressure(a.endpoint, math.Log(min(projected, maxSampleRatio*usual)/unloaded))
 	}
 	if projected > slowPlanRatio*usual && !r.replanned && b.retries.takeReplan() {
 		b.tryElsewhere(r)
 	}
-	if !a.cancelled && projected > r.deadline-a.startedAt && ev.Value < hopelessAt {
+	if !a.cancelled && projected > r.deadline-a.startedAt && ev.Value < maxGiveUpProgress {
 		b.giveUp(r)
 	}
 }
 
-// attemptEnded takes an attempt's outcome and decides what follows.
+// attemptEnded records an attempt's outcome, then finishes, answers or requeues its request.
 func (b *Balancer) attemptEnded(ev AttemptEnded) {
 	r := b.requests[ev.ID]
 	if !r.isCurrent(ev.Attempt) {
@@ -115,7 +117,7 @@
 		return
 	}
 	r.lastAttemptedOn, r.probed = e.ID, nil
-	if b.admission.closing(r) || !b.retries.mayRetry(r) {
+	if b.admission.nearDeadline(r) || !b.retries.mayRetry(r) {
 		b.giveUp(r)
 	} else {
 		b.admission.enqueue(r)
@@ -123,8 +125,8 @@
 	b.dispatchPending(false)
 }
 
-// observeOutcome lets all components learn from an outcome. The estimator comes before the outlier detector,
-// which forgets an endpoint's latency when it returns it to rotation.
+// observeOutcome passes an outcome to the components that learn from it. The estimator comes before the
+// outlier detector, which discards an endpoint's latency statistics when it returns it to rotation.
 func (b *Balancer) observeOutcome(r *request, e *endpoint, ev AttemptEnded) {
 	if ev.Outcome.NeverRan() {
 		r.forgetRun()
@@ -136,7 +138,7 @@
 	b.outliers.observe(e, ev.Outcome)
 }
 
-// tryElsewhere cancels a request's attempt, once, if the request may have another.
+// tryElsewhere cancels a request's attempt, at most once, if the request may have another attempt.
 func (b *Balancer) tryElsewhere(r *request) {
 	if !r.answered && !r.replanned && b.settings.CancellationEnabled && b.retries.mayRetry(r) {
 		r.replanned = true
@@ -151,9 +153,9 @@
 	}
 }
 
-// giveUp answers a request at once: it is rejected where the client may safely retry, and else fails. The
-// program's dispatcher has a twin of this rule (internal/routing) for the answers that it gives without a
-// decision, from its own record of what ran.
+// giveUp answers a request at once: with a rejection if the client may safely retry, else with a failure. The
+// dispatcher in internal/routing applies the same rule, from its own record of attempts, to the requests that
+// it answers without a decision of this package.
 func (b *Balancer) giveUp(r *request) {
 	if !r.firstRun.mayHaveRun() || b.estimates.class(r).ClientMayRetry(r.firstRun.startedAt, b.clock.now) {
 		b.outbox.add(Reject{r.ID, b.settings.MaxRetryAfter})
@@ -164,7 +166,7 @@
 	b.cancelAttempt(r)
 }
 
-// finish ends a request without a further answer. It is forgotten once no attempt is in flight.
+// finish marks a request as answered. It is removed once it has no attempt in flight.
 func (b *Balancer) finish(r *request) {
 	r.answered = true
 	b.keyOrder.leave(r)
@@ -173,7 +175,7 @@
 	}
 }
 
-// disconnected ends a request whose client is gone.
+// disconnected ends a request whose client has disconnected.
 func (b *Balancer) disconnected(ev ClientDisconnected) {
 	if r := b.requests[ev.ID]; r != nil && !r.answered {
 		b.finish(r)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// Balancer makes the decisions of one load balancer. It owns the clock of the event in hand, the requests and
-// the list of actions, and calls the components in order; each component owns its state. It is not safe for
-// concurrent use.
+// Balancer makes the decisions of one load balancer. It owns the clock, the open requests and the list of
+// actions for the current event, and calls the components in order; each component owns its state. It is not
+// safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	clock    *clock
-	rng      *rand.Rand // one generator: the order of draws decides what is drawn
+	rng      *rand.Rand // shared by all components: the order of draws affects all results
 	outbox   *outbox
 	requests map[RequestID]*request
-	sequence int // of the last arrival
+	sequence int // sequence number of the last arrival
 
 	endpoints    *endpointSet
 	subscription *subscription
@@ -32,7 +32,7 @@
 	timerDue     Millis
 }
 
-// New returns a balancer that knows nothing but its settings. Its error is a *SettingsError.
+// New returns a balancer that has no endpoints or requests yet. Its error is a *SettingsError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := checkSettings(&s); err != nil {
 		return nil, err
@@ -45,12 +45,13 @@
 		requests:  map[RequestID]*request{},
 		endpoints: newEndpointSet(),
 	}
-	b.connect()
+	b.createComponents()
 	return b, nil
 }
 
-// connect makes the components. Each is given what it reads; it owns the rest.
-func (b *Balancer) connect() {
+// createComponents creates the components. Each gets references to the state that it reads and owns all its
+// other state.
+func (b *Balancer) createComponents() {
 	set, c := &b.settings, b.clock
 	b.subscription = &subscription{
 		clock: c, rng: b.rng, outbox: b.outbox,
@@ -100,8 +101,8 @@
 	return shortest
 }
 
-// Handle takes one event that happened at now, in ms, and returns what is to be done, in order. Times never
-// go back.
+// Handle processes one event that happened at now, in ms, and returns the actions to carry out, in order. now
+// must not decrease from call to call.
 func (b *Balancer) Handle(now Millis, ev Event) []Action {
 	b.clock.now, b.outbox.actions = now, nil
 	period := b.clock.ticks(housekeepingTicks)
@@ -134,7 +135,7 @@
 	return b.outbox.actions
 }
 
-// endpointsUpdated follows discovery.
+// endpointsUpdated applies an update of the endpoint list.
 func (b *Balancer) endpointsUpdated(ev EndpointUpdate) {
 	b.subscription.updated(ev.Kind)
 	if ev.Kind == UpdateFailed {
@@ -147,7 +148,7 @@
 	b.dispatchPending(false)
 }
 
-// probeEnded takes the answer to a probe, and starts what waited for it.
+// probeEnded records the outcome of a probe and dispatches the requests that waited for it.
 func (b *Balancer) probeEnded(ev ProbeEnded) {
 	e := b.endpoints.byID[ev.Endpoint]
 	if e == nil || !e.probe.inFlight {
@@ -172,7 +173,7 @@
 	b.dispatchPending(false)
 }
 
-// housekeeping does what time alone asks for, once in a period.
+// housekeeping does the periodic work that no other event triggers.
 func (b *Balancer) housekeeping() {
 	b.subscription.renew()
 	for _, e := range b.endpoints.sorted {
@@ -189,7 +190,7 @@
 	b.gossip.send(b.arrivals.perSecond)
 }
 
-// checkOverdue tries overdue attempts elsewhere and ejects an endpoint that is unresponsive.
+// checkOverdue retries an endpoint's overdue attempts elsewhere and ejects an endpoint that is unresponsive.
 func (b *Balancer) checkOverdue(e *endpoint) {
 	overdue, unresponsive := b.outliers.overdueAttempts(e)
 	for _, r := range overdue {
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -3,32 +3,33 @@
 import "math"
 
 const (
-	longThreadsPerCore  = 1.25 // bound of the queue of long classes, near where endpoints do most
-	shortThreadsPerCore = 2.0  // bound of the queue of short classes, whose queries leave soon
-	saturatedThreads    = 1.75 // threads a core past which endpoints do less
-	saturatedLatency    = 3.5  // latency over its best that means saturation
-	idleThreadsPerCore  = 0.75 // that answers at their best latency stand for
+	longThreadsPerCore  = 1.25 // queue bound of long classes, near the highest throughput
+	shortThreadsPerCore = 2.0  // queue bound of short classes, whose queries end soon
+	saturatedThreads    = 1.75 // threads per core above which throughput falls
+	saturatedLatency    = 3.5  // ratio of latency to best latency that indicates saturation
+	idleThreadsPerCore  = 0.75 // threads per core assumed where latency is at its best
 
-	overloadedPause  = 4.0 // housekeeping periods without new work after a rejection for overload
-	overloadedMemory = 3.0 // shortest latency objectives for which such a rejection means saturation
+	overloadedPause = 4.0 // housekeeping periods without new requests after a rejection for overload
+	overloadMaxAge  = 3.0 // shortest latency objectives for which such a rejection indicates saturation
 
 	// Time constant of the fleet's mean load, in shortest latency objectives. It is long because balancers
-	// that resume together send bursts.
-	fleetMeanSpan = 8.0
-	// Ratio of that mean that counts at each endpoint. All of it would hide endpoints that are idle.
+	// that resume at the same time send bursts.
+	fleetMeanTimeConstant = 8.0
+	// Weight of the fleet's mean load in the estimate for each endpoint. The whole mean would hide idle
+	// endpoints.
 	fleetMeanWeight = 0.5
-	// Multiple of the queue bound up to which a part of sparse traffic still enters. All balancers see load
-	// late and would else fill and leave an endpoint together.
+	// Multiple of the queue bound up to which a share of sparse traffic is still admitted. Load information
+	// is late at all balancers: with a sharp bound, all would fill an endpoint and avoid it at the same time.
 	admissionRamp = 3.0
-	memoryDraw    = 0.4 // width of the random factor on expected memory, 0.8 to 1.2, for the same reason
+	memoryJitter  = 0.4 // width of the random factor on expected memory, 0.8 to 1.2, for the same reason
 
-	// Of the estimate, that an endpoint grants where no grant can be named (protocol page).
-	ownGrantRatio = 1.25
-	// Of a named grant over the learned need: what is granted beyond it is lost to others.
+	// Ratio of the estimate that an endpoint grants where requests can't specify one, by the engine protocol.
+	defaultGrantRatio = 1.25
+	// Ratio of a requested grant to the learned need. Memory granted beyond the need is lost to others.
 	grantMargin = 1.2
 )
 
-// fleetLoad is the mean load of the fleet by load reports, over a while.
+// fleetLoad is a moving average of the fleet's load, from load reports.
 type fleetLoad struct {
 	requestsPerCore float64
 	memoryRatio     float64
@@ -37,11 +38,12 @@
 
 // capacity decides whether an endpoint's class queue and memory admit one more request.
 //
-// Where this balancer has enough in flight to infer load, its part of the bound holds, and only under
-// saturation. Where traffic is sparse, a part would hold no request and one from each of hundreds of
-// balancers would overload the fleet, so the bound is the fleet's, against the endpoint's report and the
-// fleet's mean. An overloaded endpoint answers seldom and is hardly known, so a part of the mean counts at
-// each.
+// Where this balancer has enough attempts in flight to infer load, it applies its share of the bound, and
+// only under saturation. Where its traffic is sparse, such a share would not admit a single request, and one
+// request from each of hundreds of balancers would overload the fleet. The complete bound then applies to an
+// estimate of the endpoint's load from its report and the fleet's mean. An overloaded endpoint answers
+// seldom, so little is known of its load; therefore the mean counts, with a weight below 1, at every
+// endpoint.
 type capacity struct {
 	clock     *clock
 	settings  *Settings
@@ -51,8 +53,8 @@
 	fleet     fleetLoad
 }
 
-// saturated reports whether the class bounds apply at the endpoint: by the threads of all balancers, by
-// latency well over its best, or after a rejection for overload. Latency alone reports a burst too late.
+// saturated reports whether the queue bounds apply at the endpoint: because of the threads of all balancers,
+// a latency far above the best, or a recent rejection for overload. Latency alone shows a burst too late.
 func (c *capacity) saturated(e *endpoint) bool {
 	threads := e.inFlight.threads[shortClass] + e.inFlight.threads[longClass]
 	if c.gossip.hasPeers() {
@@ -62,17 +64,17 @@
 	}
 	return threads >= e.cores*saturatedThreads ||
 		c.estimates.pressure(e) > math.Log(saturatedLatency) ||
-		c.clock.now-e.overloadedAt < c.clock.objectives(overloadedMemory)
+		c.clock.now-e.overloadedAt < c.clock.objectives(overloadMaxAge)
 }
 
-// memoryNeed is the memory in MB that a request takes at an endpoint: its need or, where no grant can be
-// named, what endpoints grant by themselves; never more than one grant may be, as no endpoint ever has that
-// free.
+// memoryNeed is the memory in MB that a request takes at an endpoint: its estimated need or, where requests
+// can't specify a grant, the default grant of endpoints. It is at most the largest permitted grant, since no
+// endpoint ever has more free for one request.
 func (c *capacity) memoryNeed(r *request, e *endpoint) float64 {
 	class := c.estimates.class(r)
 	need := r.EstimatedMemoryMB * class.memoryBias
 	if !c.settings.MemoryGrantsEnabled {
-		need = r.EstimatedMemoryMB * ownGrantRatio * (1 + class.spillRatio) / 2
+		need = r.EstimatedMemoryMB * defaultGrantRatio * (1 + class.spillRatio) / 2
 	}
 	if limit := c.settings.MaxGrantRatio * e.memoryMB; limit > 0 {
 		need = min(need, limit)
@@ -80,12 +82,12 @@
 	return need
 }
 
-// admits reports whether the endpoint has capacity for the request. At least one request of a class always
-// fits.
+// admits reports whether the endpoint has capacity for the request. The share of a queue bound always leaves
+// room for one request.
 func (c *capacity) admits(e *endpoint, r *request, sparse bool) bool {
 	class, need := c.estimates.class(r), c.memoryNeed(r, e)
 	if class.LocksGroup && e.inFlight.locksByGroup[r.Group] > 0 {
-		return false // it would wait there for the other's lock, and keep its grant meanwhile
+		return false // the request would hold its grant while it waits for the lock
 	}
 	if c.clock.now-e.overloadedAt < c.clock.ticks(overloadedPause*housekeepingTicks) {
 		return false
@@ -100,40 +102,40 @@
 	return !c.saturated(e) || c.withinQueueBound(e, class)
 }
 
-// queueBound is the bound of a class queue over all balancers, in threads.
+// queueBound is the bound of the class's queue at an endpoint over all balancers, in threads.
 func queueBound(e *endpoint, c *classStats) float64 {
 	return e.cores * [classSizes]float64{shortThreadsPerCore, longThreadsPerCore}[c.size()]
 }
 
-// withinQueueBound holds this balancer's part of a class queue's bound, or the bound itself where the
-// balancers know of each other's long queries.
+// withinQueueBound reports whether a request of the class keeps to this balancer's share of the queue bound
+// or, for long classes whose load the balancers report to each other, to the complete bound.
 func (c *capacity) withinQueueBound(e *endpoint, class *classStats) bool {
-	bound, part, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
+	bound, share, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
 	if (c.settings.Balancers == 1 || c.gossip.hasPeers()) && class.long {
 		own := e.inFlight.threads[longClass]
-		// Twice its threads: one more balancer sees the same capacity at this moment.
-		return own == 0 || e.peers.threads+own+2*threads <= bound || own+threads <= bound*part
+		// The request counts twice because another balancer may see the same free capacity now.
+		return own == 0 || e.peers.threads+own+2*threads <= bound || own+threads <= bound*share
 	}
-	return e.inFlight.threads[class.size()]+threads <= max(bound*part, threads)
+	return e.inFlight.threads[class.size()]+threads <= max(bound*share, threads)
 }
 
-// admitsSparse decides where too little is in flight to infer load. The part of the flow that the bound
-// leaves enters by each request's random draw, so that balancers that see the same neither fill nor leave an
-// endpoint together.
+// admitsSparse reports whether the endpoint has capacity where too little is in flight to infer load. Above
+// the bound, each request's random draw selects the share of traffic that is still admitted, so that
+// balancers with the same information neither fill nor avoid an endpoint at the same time.
 func (c *capacity) admitsSparse(e *endpoint, r *request, class *classStats, needMB float64) bool {
 	if e.memoryMB > 0 && needMB > 0 && c.expectedMemory(e, r)+needMB > e.memoryMB {
-		return false // what is granted beyond an endpoint's memory slows or stops all that it runs
+		return false // overcommitted memory slows or stops all queries at the endpoint
 	}
-	bound, part, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
+	bound, share, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
 	ramp := (1 + r.draw*(admissionRamp-1)) / admissionRamp
-	return ramp*c.expectedThreads(e, threads) <= bound || threads <= bound*part
+	return ramp*c.expectedThreads(e, threads) <= bound || threads <= bound*share
 }
 
-// expectedThreads estimates the threads that run at an endpoint from its latency, the fleet's mean load and
-// its report, with one request of so many threads more.
+// expectedThreads estimates the threads in use at an endpoint from its latency, the fleet's mean load and its
+// load report. To a fresh report it adds threads, those of the request that is to be admitted.
 func (c *capacity) expectedThreads(e *endpoint, threads float64) float64 {
 	expected := math.Exp(c.estimates.pressure(e)) * e.cores * idleThreadsPerCore
-	// One that has just started has none of the fleet's load.
+	// An endpoint that has just started doesn't yet carry the mean load.
 	if c.fleet.requestsPerCore > 0 && !c.slowStart.warming(e) {
 		expected = e.cores * c.fleet.requestsPerCore * c.estimates.meanThreads * fleetMeanWeight
 	}
@@ -147,15 +149,15 @@
 func (c *capacity) expectedMemory(e *endpoint, r *request) float64 {
 	ratio := c.fleet.memoryRatio * fleetMeanWeight
 	if e.report.Memory > ratio {
-		// One that pages does so for long and answers seldom, so its report fades instead of ending.
-		fade := math.Exp((e.report.receivedAt - c.clock.now) / c.clock.objectives(fleetMeanSpan))
+		// An endpoint that pages does so for long and answers seldom, so its report fades out gradually.
+		fade := math.Exp((e.report.receivedAt - c.clock.now) / c.clock.objectives(fleetMeanTimeConstant))
 		ratio = max(ratio, e.report.Memory*fade)
 	}
-	return ratio * (e.memoryMB / grantMargin * (1 + memoryDraw*(r.draw-0.5)))
+	return ratio * (e.memoryMB / grantMargin * (1 + memoryJitter*(r.draw-0.5)))
 }
 
-// observeFleet takes the fresh reports of a request's candidates into the fleet's mean load and returns their
-// own mean, in requests a core.
+// observeFleet updates the fleet's mean load with the fresh load reports of a request's candidates. It
+// returns the mean of these reports, in requests per core.
 func (c *capacity) observeFleet(candidates []*endpoint) (requestsPerCore float64) {
 	var requests, memory, cores float64
 	for _, e := range candidates {
@@ -167,9 +169,9 @@
 	}
 	requestsPerCore = requests / max(cores, 1)
 	if cores > 0 {
-		rate := 1 - math.Exp((c.fleet.observedAt-c.clock.now)/c.clock.objectives(fleetMeanSpan))
-		blend(&c.fleet.requestsPerCore, requestsPerCore, rate)
-		blend(&c.fleet.memoryRatio, memory/cores, rate)
+		rate := 1 - math.Exp((c.fleet.observedAt-c.clock.now)/c.clock.objectives(fleetMeanTimeConstant))
+		moveMean(&c.fleet.requestsPerCore, requestsPerCore, rate)
+		moveMean(&c.fleet.memoryRatio, memory/cores, rate)
 		c.fleet.observedAt = c.clock.now
 	}
 	return requestsPerCore
--- a/decide/clock.go
+++ b/decide/clock.go
@@ -3,19 +3,19 @@
 // Millis is a time or a duration on the caller's clock, in milliseconds.
 type Millis = float64
 
-// never is a time before all others.
+// never is earlier than any event: the time of something that has not happened.
 const never = Millis(-1e18)
 
-// housekeepingTicks is the period of housekeeping, in ticks of the settings.
+// housekeepingTicks is the period of housekeeping, in units of Settings.TickInterval.
 const housekeepingTicks = 10.0
 
-// clock is the time of the event in hand and the units of all other times. The Balancer alone writes it;
-// every component reads it.
+// clock holds the time of the current event and the units of durations. Only the Balancer writes it; all
+// components read it.
 type clock struct {
 	now       Millis
 	tick      Millis
-	objective Millis // the shortest latency objective of all classes: the unit of health's times
-	resumedAt Millis // end of the process's own last pause
+	objective Millis // the shortest latency objective of all classes: a unit of durations
+	resumedAt Millis // end of the last pause of this process
 }
 
 // ticks returns a duration of n ticks.
@@ -24,6 +24,6 @@
 // objectives returns a duration of n shortest latency objectives.
 func (c *clock) objectives(n float64) Millis { return n * c.objective }
 
-// justResumed reports whether the process itself stood still a moment ago. What is late then is late through
-// no fault of an endpoint.
+// justResumed reports whether this process resumed from a pause less than one housekeeping period ago. Delays
+// seen then are not caused by endpoints.
 func (c *clock) justResumed() bool { return c.now-c.resumedAt < c.ticks(housekeepingTicks) }
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// arrived takes a new request: it is sent, waits, or is answered at once.
+// arrived handles a new request: it is sent, queued, or answered at once.
 func (b *Balancer) arrived(ev RequestArrived) {
 	if ev.Class < 0 || ev.Class >= len(b.estimates.classes) {
 		b.outbox.add(Fail{ev.ID})
@@ -25,7 +25,7 @@
 		return
 	}
 	b.admission.enqueue(r)
-	if b.admission.closing(r) || b.retries.forbidden(r) {
+	if b.admission.nearDeadline(r) || b.retries.forbidden(r) {
 		b.giveUp(r)
 	}
 }
@@ -46,17 +46,17 @@
 	return r
 }
 
-// dispatch starts an attempt if the request may run now and an endpoint has capacity; it reports whether one
-// was started.
+// dispatch starts an attempt if the request may run now and an endpoint has capacity. It reports whether it
+// started one.
 func (b *Balancer) dispatch(r *request) bool {
 	if !b.keyOrder.mayRun(r) || r.attemptsStarted > 0 && !b.retries.mayRetry(r) {
 		return false
 	}
-	if b.prober.awaiting(r) || b.admission.full() {
+	if b.prober.awaitsAnswer(r) || b.admission.full() {
 		return false
 	}
 	accepted := b.placement.inBand(r)
-	if !b.admission.closing(r) && b.prober.probeFor(r, accepted) {
+	if !b.admission.nearDeadline(r) && b.prober.probeFor(r, accepted) {
 		return false
 	}
 	e := b.placement.choose(r, accepted)
@@ -67,14 +67,14 @@
 	return true
 }
 
-// dispatchPending starts what waits, highest value first. Once a class has no capacity for a request, only
-// those with a lower random draw are tried: they enter first.
+// dispatchPending starts pending requests, highest value first. Once no endpoint has capacity for a request,
+// only requests of its class with a lower random draw are tried, because those are admitted first.
 func (b *Balancer) dispatchPending(byOccupancy bool) {
 	if len(b.admission.pending) == 0 || b.admission.atLimit {
 		return
 	}
 	sorted := b.admission.takeSorted(byOccupancy)
-	// By class: 1 less the draw from which on requests wait.
+	// 1 minus the lowest draw at which a request of the class found no capacity, by class; 0: none yet.
 	blockedDraw := make([]float64, len(b.estimates.classes))
 	blockedGroups := map[uint64]bool{}
 	for i, r := range sorted {
@@ -92,8 +92,8 @@
 				continue
 			}
 			if locks {
-				blockedGroups[r.Group] = true // another group may still have capacity
-			} else if r.attemptsStarted == 0 && !b.prober.awaiting(r) {
+				blockedGroups[r.Group] = true // requests of other groups may still find capacity
+			} else if r.attemptsStarted == 0 && !b.prober.awaitsAnswer(r) {
 				blockedDraw[r.Class] = 1 - r.draw
 			}
 		}
@@ -101,13 +101,14 @@
 	}
 }
 
-// expirePending answers what waits and can no longer be served for its weight.
+// expirePending answers the pending requests that can no longer meet their objective, are near their deadline
+// or may have no further attempt.
 func (b *Balancer) expirePending() {
 	for _, r := range b.admission.pending {
 		if r.answered {
 			continue
 		}
-		if b.admission.hopeless(r) || b.admission.closing(r) || b.retries.forbidden(r) ||
+		if b.admission.missesObjective(r) || b.admission.nearDeadline(r) || b.retries.forbidden(r) ||
 			r.attemptsStarted > 0 && !b.retries.mayRetry(r) {
 			b.giveUp(r)
 		}
--- a/decide/endpointset.go
+++ b/decide/endpointset.go
@@ -9,18 +9,18 @@
 // maxCachedOrders bounds the groups whose rendezvous order is cached.
 const maxCachedOrders = 4096
 
-// endpointSet is the endpoint list as discovery gave it, with what this balancer has in flight there.
+// endpointSet holds the endpoints of the endpoint list and this balancer's attempts in flight at them.
 type endpointSet struct {
 	byID       map[EndpointID]*endpoint
-	sorted     []*endpoint            // by ID, so that no decision depends on map order
-	orders     map[uint64][]*endpoint // rendezvous order by group, until the list changes
-	byTag      map[uint16]*endpoint   // by gossip tag; nil where two share one
+	sorted     []*endpoint            // by ID, so that decisions don't depend on map order
+	orders     map[uint64][]*endpoint // cache of the rendezvous order by group, for the current list
+	byTag      map[uint16]*endpoint   // by gossip tag; nil if endpoints share the tag
 	readyCount int
-	cores      float64 // of all in sorted
+	cores      float64 // sum over sorted
 
 	attemptsStarted  int
 	attemptsInFlight int
-	locksByGroup     map[uint64]int // attempts in flight that lock their group, at all endpoints
+	locksByGroup     map[uint64]int // number of attempts in flight, at all endpoints, that lock the group
 }
 
 func newEndpointSet() *endpointSet {
@@ -28,8 +28,8 @@
 		locksByGroup: map[uint64]int{}}
 }
 
-// update applies an update of the endpoint list. An endpoint that a complete list leaves out is removed; one
-// with a later start is a new process: what was known of it is dropped, and it is warming up.
+// update applies an update of the endpoint list. Endpoints missing from a complete list are removed. An
+// endpoint with a later start time is a new process: its observations are dropped, and it is warming up.
 func (s *endpointSet) update(u EndpointUpdate, kinds []EndpointKind) {
 	if u.Kind != UpdateIncremental {
 		for _, e := range s.sorted {
@@ -51,14 +51,14 @@
 	}
 	s.reindex()
 	for _, e := range s.sorted {
-		if !e.recent.known { // else all balancers would send to a new endpoint at once
+		if !e.recent.initialized { // otherwise all balancers would send to a new endpoint at once
 			s.creditFairShare(e)
 		}
 	}
 }
 
-// replace puts a new endpoint in the place of one of that ID. Attempts in flight at the old process still end
-// here.
+// replace resets the endpoint with the given ID, or adds it. Attempts in flight at the old process stay,
+// since their ends are still to be counted.
 func (s *endpointSet) replace(id EndpointID) *endpoint {
 	e, fresh := s.byID[id], newEndpoint(s.attemptsStarted)
 	if e == nil {
@@ -70,7 +70,7 @@
 	return e
 }
 
-// reindex drops removed endpoints without attempts in flight and renews what is derived from the list.
+// reindex drops removed endpoints without attempts in flight and recomputes the data derived from the list.
 func (s *endpointSet) reindex() {
 	sort.Slice(s.sorted, func(i, j int) bool { return s.sorted[i].ID < s.sorted[j].ID })
 	s.sorted = slices.DeleteFunc(s.sorted, func(e *endpoint) bool {
@@ -95,9 +95,9 @@
 	}
 }
 
-// rendezvousOrder returns all endpoints in the group's order, best first. All balancers agree on it. An
-// endpoint is first for as many groups as its part of the cores: at low traffic the band never corrects an
-// uneven spread.
+// rendezvousOrder returns all endpoints in the group's rendezvous order, best first. All balancers compute
+// the same order. An endpoint comes first for a share of groups equal to its share of the cores, because at
+// low traffic the band never corrects an uneven spread.
 func (s *endpointSet) rendezvousOrder(group uint64) []*endpoint {
 	order := s.orders[group]
 	if order != nil {
@@ -115,13 +115,13 @@
 	return order
 }
 
-// What stands in the place of a group in hashes of other uses.
+// Values used in place of a group where rendezvousHash serves another purpose.
 const (
 	gossipTagSalt     = 0
 	rotationPhaseSalt = 1
 )
 
-// rendezvousHash is the hash of an endpoint for a group. All balancers of an installation compute the same.
+// rendezvousHash is the hash of an endpoint for a group. All balancers must compute the same value.
 func rendezvousHash(group uint64, id EndpointID) uint64 {
 	x := group*0x9E3779B97F4A7C15 ^ uint64(id)*0xD6E8FEB86659FD93
 	x ^= x >> 30
@@ -131,10 +131,10 @@
 	return x ^ x>>31
 }
 
-// sparse reports whether less than one attempt for each endpoint is in flight: too little to infer load from.
+// sparse reports whether fewer attempts than endpoints are in flight, which is too little to infer load from.
 func (s *endpointSet) sparse() bool { return s.attemptsInFlight < len(s.sorted) }
 
-// attach counts an attempt that starts at an endpoint.
+// attach adds an attempt that starts to the load in flight at its endpoint.
 func (s *endpointSet) attach(r *request, e *endpoint, c *classStats) {
 	s.attemptsStarted++
 	s.attemptsInFlight++
@@ -149,7 +149,7 @@
 	}
 }
 
-// detach counts the end of an attempt.
+// detach removes an attempt that has ended from the load in flight at its endpoint.
 func (s *endpointSet) detach(r *request, e *endpoint, c *classStats) {
 	r.current.endpoint = nil
 	s.attemptsInFlight--
@@ -163,43 +163,44 @@
 	}
 }
 
-// decrement takes one off a count and drops it at 0, so that past groups take no memory.
+// decrement decreases a count by one and deletes it at 0, so that unused groups take no memory.
 func decrement(counts map[uint64]int, key uint64) {
 	if counts[key]--; counts[key] <= 0 {
 		delete(counts, key)
 	}
 }
 
-// lockedEverywhere reports whether this balancer's attempts lock the group at every ready endpoint. Locking
-// requests of a group run one by one anyway: in the queue they use no memory, session or connection, can
-// still be rejected, and the first endpoint that is free gets the next.
+// lockedEverywhere reports whether this balancer has an attempt that locks the request's group at every ready
+// endpoint. Locking requests of a group run one by one at an endpoint anyway. While they wait in the pending
+// queue, they use no memory, session or connection, can still be rejected, and can go to the first endpoint
+// that is free.
 func (s *endpointSet) lockedEverywhere(r *request, c *classStats) bool {
 	return c.LocksGroup && s.locksByGroup[r.Group] >= s.readyCount
 }
 
-// recentSendsPerEndpoint is the number of attempts for each endpoint that count as recent.
+// recentSendsPerEndpoint is the decay constant of recentSends, in attempts per endpoint.
 const recentSendsPerEndpoint = 2.0
 
-// recentLoad estimates load where too little is in flight to tell: attempts there now, and recent ones.
+// recentLoad estimates an endpoint's load where traffic is sparse: attempts in flight plus recent attempts.
 func (s *endpointSet) recentLoad(e *endpoint) float64 {
 	age := float64(s.attemptsStarted-e.recent.countedAt) / (recentSendsPerEndpoint * float64(len(s.sorted)))
 	return float64(len(e.inFlight.attempts)) + e.recent.count*math.Exp(-age)
 }
 
-// creditFairShare counts the endpoint as if it had recently got its part of the traffic.
+// creditFairShare counts the endpoint as if it had recently received its share of the traffic.
 func (s *endpointSet) creditFairShare(e *endpoint) {
-	e.recent.known = true
+	e.recent.initialized = true
 	e.recent.count = recentSendsPerEndpoint * e.cores * float64(len(s.sorted)) / s.cores
 	e.recent.countedAt = s.attemptsStarted
 }
 
-// countSend counts an attempt that has just been attached among the recent ones.
+// countSend adds an attempt that has just been attached to the recent ones.
 func (s *endpointSet) countSend(e *endpoint) {
 	e.recent.count = s.recentLoad(e) - float64(len(e.inFlight.attempts)) + 1
 	e.recent.countedAt = s.attemptsStarted
 }
 
-// contains reports whether an index is allowed by a list of indexes; nil allows any.
-func contains(indexes []int, index int) bool {
+// allowsIndex reports whether a list of allowed indexes contains index; nil allows any index.
+func allowsIndex(indexes []int, index int) bool {
 	return indexes == nil || slices.Contains(indexes, index)
 }
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// classSize tells short classes from long ones: their queues have different bounds.
+// classSize separates short classes from long ones, whose queues have different bounds.
 type classSize int
 
 const (
@@ -17,32 +17,33 @@
 
 const (
 	longWorkRatio = 4.0  // a class is long if its usual work is this many times the smallest of any class
-	learnRate     = 0.05 // of one sample, in class means
-	// That the prior counts as: objective times threads, large for the sake of slow start.
+	learnRate     = 0.05 // weight of one sample in class means
+	// Samples that the prior of a class's work counts as. The prior, objective times threads, is high, which
+	// is the safe side for slow start.
 	priorSamples   = 1
-	latencyRate    = 0.01 // of one sample, in the mean log latency whose lowest is the class's best
-	forgetRate     = 1e-4 // of a class's best latency: a long overload must not pass for normal
+	latencyRate    = 0.01 // weight of one sample in the mean log latency, whose minimum is the best latency
+	forgetRate     = 1e-4 // low, so that a long overload is not learned as a class's best latency
 	maxSampleRatio = 8.0  // a sample counts as at most this many times the mean
-	minLatency     = 0.1  // ms that a latency counts as at least
+	minLatency     = 0.1  // lower bound on latencies, in ms
 
-	pressureRate    = 0.1  // of one sample, in the evidence of latency pressure
-	pressureSpan    = 16.0 // over which that evidence fades, in shortest latency objectives
-	fleetPoolWeight = 4.0  // samples of the fleet's evidence that fill up an endpoint's own
+	pressureRate         = 0.1  // weight of one sample in the mean latency pressure
+	pressureTimeConstant = 16.0 // decay of that mean, in shortest latency objectives
+	fleetPoolWeight      = 4.0  // number of samples as which the fleet's mean counts in an endpoint's mean
 )
 
-// classStats is a class with what was learned of it.
+// classStats is a class with its learned statistics.
 type classStats struct {
 	Class
-	samples        int     // attempts that succeeded
-	estimates      float64 // requests that came with an estimate of work
-	work           float64 // mean, ms on one core
-	usualWork      float64 // mean of what its requests are expected to need, ms on one core
-	workBias       float64 // actual over estimated work, ratio
-	memoryBias     float64 // actual over estimated memory, ratio
+	samples        int     // number of attempts that succeeded
+	estimates      float64 // number of requests with an estimate of work
+	work           float64 // mean work, ms on one core
+	usualWork      float64 // mean expected work of its requests, ms on one core
+	workBias       float64 // ratio of actual to estimated work
+	memoryBias     float64 // ratio of actual to estimated memory
 	spillNotices   float64
-	spillRatio     float64 // of the attempts that ran long enough for a notice, those that spilled
-	logLatency     float64 // mean log of latency (over estimated work, where there is an estimate)
-	bestLogLatency float64 // the lowest that logLatency has been, slowly forgotten
+	spillRatio     float64 // ratio of attempts that spilled, among those long enough to report it
+	logLatency     float64 // mean log of latency (relative to the estimate, if there is one)
+	bestLogLatency float64 // lowest logLatency so far, slowly forgotten
 	long           bool
 }
 
@@ -53,16 +54,17 @@
 	return shortClass
 }
 
-// estimator learns work, memory and latency by class, and how far endpoints are above their best latency.
+// estimator learns work, memory and latency by class, and the ratio of endpoints' latency to the best
+// latency.
 type estimator struct {
 	clock    *clock
 	settings *Settings
 	classes  []*classStats
-	// fleetLatency is the evidence of all endpoints together.
+	// fleetLatency is the mean log ratio of latency to unloaded latency over all endpoints.
 	fleetLatency decayingMean
-	// Recent latencies, summed, and the same times threads, whose ratio is meanThreads.
+	// Decaying sums of latency and of latency times threads. Their ratio is meanThreads.
 	latencySum, threadLatencySum float64
-	meanThreads                  float64 // of what runs at a moment
+	meanThreads                  float64 // mean threads of the queries running at one time
 }
 
 func newEstimator(c *clock, s *Settings) *estimator {
@@ -78,8 +80,8 @@
 
 func (m *estimator) class(r *request) *classStats { return m.classes[r.Class] }
 
-// expectedWork is a request's work in ms on one core: its estimate corrected by the class's bias, or the
-// mean.
+// expectedWork is a request's work in ms on one core: its estimate corrected by the class's bias or, without
+// an estimate, the class's mean.
 func (m *estimator) expectedWork(r *request) float64 {
 	c := m.class(r)
 	if r.EstimatedWork > 0 {
@@ -97,15 +99,15 @@
 	return m.expectedWork(r) / float64(c.Threads)
 }
 
-// objectiveAt is the time from which on the answer no longer earns its complete weight.
+// objectiveAt is the time after which an answer no longer earns the complete weight.
 func (m *estimator) objectiveAt(r *request) Millis {
 	c := m.class(r)
 	objective := c.LatencyObjective + c.ObjectivePerWork*m.expectedWork(r)/float64(c.Threads)
 	return r.arrivedAt + min(objective, r.TimeLeft)
 }
 
-// classifySizes tells long classes by the work that their requests are expected to need: a class's objective
-// may be short and grow with the work.
+// classifySizes sets which classes are long, by the mean expected work of their requests. Latency objectives
+// would not do, because a short objective may grow with the work.
 func (m *estimator) classifySizes() {
 	byUsualWork := func(a, b *classStats) int { return cmp.Compare(a.usualWork, b.usualWork) }
 	smallest := slices.MinFunc(m.classes, byUsualWork).usualWork
@@ -114,7 +116,8 @@
 	}
 }
 
-// cheapestLongWork is the mean work of the cheapest long class, or of the most expensive where none is long.
+// cheapestLongWork is the mean work of the cheapest long class or, if no class is long, of the most
+// expensive.
 func (m *estimator) cheapestLongWork() float64 {
 	smallest, largest := math.Inf(1), 0.0
 	for _, c := range m.classes {
@@ -125,18 +128,18 @@
 	return min(smallest, largest)
 }
 
-// observeArrival learns from the estimate that a request came with.
+// observeArrival updates the class's usual work with the estimate of a new request.
 func (m *estimator) observeArrival(r *request) {
 	if r.EstimatedWork <= 0 {
 		return
 	}
 	c := m.class(r)
 	c.estimates++
-	blend(&c.usualWork, m.expectedWork(r), max(learnRate, 1/(c.estimates+priorSamples)))
+	moveMean(&c.usualWork, m.expectedWork(r), max(learnRate, 1/(c.estimates+priorSamples)))
 	m.classifySizes()
 }
 
-// observeSuccess learns from an attempt that succeeded at an endpoint.
+// observeSuccess updates the statistics with an attempt that succeeded at an endpoint.
 func (m *estimator) observeSuccess(r *request, e *endpoint, ev AttemptEnded) {
 	c := m.class(r)
 	c.samples++
@@ -149,46 +152,46 @@
 	if work > 0 {
 		logUnloaded = math.Log(work / threads)
 	} else {
-		work = ev.Latency * threads // too much under load, which is the safe side for slow start
+		work = ev.Latency * threads // too high under load, which is the safe side for slow start
 	}
-	blend(&c.work, min(work, maxSampleRatio*c.work), max(learnRate, 1/float64(c.samples+priorSamples)))
+	moveMean(&c.work, min(work, maxSampleRatio*c.work), max(learnRate, 1/float64(c.samples+priorSamples)))
 	m.latencySum = m.latencySum*(1-learnRate) + ev.Latency
 	m.threadLatencySum = m.threadLatencySum*(1-learnRate) + ev.Latency*threads
 	m.meanThreads = m.threadLatencySum / max(m.latencySum, 1)
 	m.observePressure(e, logLatency-logUnloaded)
 }
 
-// learnBias compares estimates with reported work and memory.
+// learnBias updates the ratios of reported to estimated work and memory.
 func (m *estimator) learnBias(c *classStats, r *request, ev AttemptEnded) {
 	if ev.ActualWork <= 0 || r.EstimatedWork <= 0 {
 		return
 	}
 	rate := max(learnRate, 1/float64(c.samples))
-	blend(&c.workBias, min(ev.ActualWork/r.EstimatedWork, maxSampleRatio*c.workBias), rate)
+	moveMean(&c.workBias, min(ev.ActualWork/r.EstimatedWork, maxSampleRatio*c.workBias), rate)
 	if ev.ActualMemoryMB > 0 && r.EstimatedMemoryMB > 0 {
-		blend(&c.memoryBias, min(ev.ActualMemoryMB/r.EstimatedMemoryMB, maxSampleRatio*c.memoryBias), rate)
+		moveMean(&c.memoryBias, min(ev.ActualMemoryMB/r.EstimatedMemoryMB, maxSampleRatio*c.memoryBias), rate)
 	}
 }
 
-// learnLatency keeps the class's best latency. Where no answer reports its work, the best latency over
-// estimates stands in for the bias.
+// learnLatency updates the class's best latency. Where answers don't report actual work, the best ratio of
+// latency to estimated latency serves as the work bias.
 func (m *estimator) learnLatency(c *classStats, r *request, logLatency float64) {
 	relative := r.EstimatedWork > 0 && !m.settings.ActualCostReported
 	logEstimate := 0.0
 	if relative {
 		logEstimate = math.Log(r.EstimatedWork / float64(c.Threads))
 	}
-	blend(&c.logLatency, logLatency-logEstimate, max(latencyRate, 1/float64(c.samples)))
+	moveMean(&c.logLatency, logLatency-logEstimate, max(latencyRate, 1/float64(c.samples)))
 	if float64(c.samples) < 1/learnRate || c.logLatency < c.bestLogLatency {
 		c.bestLogLatency = c.logLatency
 	}
-	blend(&c.bestLogLatency, c.logLatency, forgetRate)
+	moveMean(&c.bestLogLatency, c.logLatency, forgetRate)
 	if relative {
 		c.workBias = math.Exp(c.bestLogLatency)
 	}
 }
 
-// learnSpills counts the attempts that spilled among those that ran long enough to report it.
+// learnSpills updates the ratio of spilled attempts with an attempt that ran long enough to report a spill.
 func (m *estimator) learnSpills(c *classStats, r *request, ev AttemptEnded) {
 	if m.settings.ProgressInterval <= 0 || ev.Latency < m.settings.ProgressInterval {
 		return
@@ -197,11 +200,11 @@
 	if r.current.spilled {
 		spilled = 1
 	}
-	blend(&c.spillRatio, spilled, learnRate)
+	moveMean(&c.spillRatio, spilled, learnRate)
 }
 
-// learnMemory learns the need of a class from a spill: no answer reports it, but a spill says what is
-// missing.
+// learnMemory learns the memory need of a class from a spill notice, which reports the missing memory, where
+// answers don't report actual memory.
 func (m *estimator) learnMemory(r *request, missingMB float64) {
 	if !m.settings.MemoryGrantsEnabled || m.settings.ActualCostReported || r.EstimatedMemoryMB <= 0 {
 		return
@@ -210,24 +213,25 @@
 	c.spillNotices++
 	need := (r.current.memoryMB*grantMargin + missingMB) / r.EstimatedMemoryMB
 	rate := max(learnRate, 1/(c.spillNotices+priorSamples))
-	blend(&c.memoryBias, min(need, maxSampleRatio*c.memoryBias), rate)
+	moveMean(&c.memoryBias, min(need, maxSampleRatio*c.memoryBias), rate)
 }
 
-// observePressure takes one log ratio of latency over unloaded latency.
+// observePressure adds a sample of the log ratio of latency to unloaded latency.
 func (m *estimator) observePressure(e *endpoint, logRatio float64) {
 	if m.clock.justResumed() {
 		return
 	}
-	span := m.clock.objectives(pressureSpan)
-	e.latency.add(logRatio, pressureRate, m.clock.now, span)
-	m.fleetLatency.add(logRatio, pressureRate, m.clock.now, span)
+	timeConstant := m.clock.objectives(pressureTimeConstant)
+	e.latency.add(logRatio, pressureRate, m.clock.now, timeConstant)
+	m.fleetLatency.add(logRatio, pressureRate, m.clock.now, timeConstant)
 }
 
-// pressure is the endpoint's log latency over its best, fading with age. Too few samples are filled up with
-// the fleet's, and these with none.
+// pressure is the mean log ratio of the endpoint's latency to its unloaded latency, decaying with age. The
+// fleet's mean is added with a weight of fleetPoolWeight samples; that mean, in turn, tends to 0 if its
+// samples are few.
 func (m *estimator) pressure(e *endpoint) float64 {
-	span := m.clock.objectives(pressureSpan)
-	fleet, fleetCount := m.fleetLatency.remaining(m.clock.now, span)
-	own, ownCount := e.latency.remaining(m.clock.now, span)
+	timeConstant := m.clock.objectives(pressureTimeConstant)
+	fleet, fleetCount := m.fleetLatency.remaining(m.clock.now, timeConstant)
+	own, ownCount := e.latency.remaining(m.clock.now, timeConstant)
 	return (own + fleetPoolWeight*fleet/(fleetCount+fleetPoolWeight)) / (ownCount + fleetPoolWeight)
 }
--- a/decide/events.go
+++ b/decide/events.go
@@ -1,12 +1,12 @@
 package decide
 
-// EndpointID identifies an endpoint; it says nothing else about it.
+// EndpointID identifies an endpoint. It has no further meaning.
 type EndpointID uint64
 
-// RequestID identifies a request; an ID is never used twice.
+// RequestID identifies a request. IDs are never reused.
 type RequestID string
 
-// EndpointState is the state of an endpoint in discovery.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
@@ -23,18 +23,18 @@
 	Kind      int // index into Settings.Kinds
 	Cell      int
 	State     EndpointState
-	StartedAt Millis // start of its process; 0: long ago
+	StartedAt Millis // start time of its process; 0: long ago
 }
 
-// UpdateKind is how the entries of an EndpointUpdate are to be read.
+// UpdateKind says what the entries of an EndpointUpdate contain.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
 	UpdateIncremental UpdateKind = iota // the entries that changed
 	UpdateSnapshot                      // the complete list
-	UpdateCached                        // the complete list as known at the start, possibly stale
-	UpdateFailed                        // discovery could not be read
+	UpdateCached                        // the complete list from a cache at the start, possibly stale
+	UpdateFailed                        // no entries: discovery could not be read
 )
 
 // Outcome is how an attempt or a probe ended.
@@ -44,7 +44,7 @@
 const (
 	OutcomeSucceeded Outcome = iota
 	OutcomeError
-	OutcomeOverloaded // rejected by the endpoint, which did not run it
+	OutcomeOverloaded // the endpoint rejected it for overload and did not run it
 	OutcomeTimeout
 	OutcomeConnectFailed
 	OutcomeReset
@@ -53,64 +53,64 @@
 	OutcomeAnswerLost // it may have run; the answer was lost, and the endpoint accepts further connections
 )
 
-// NeverRan reports whether an attempt with that outcome is known not to have run at its endpoint.
+// NeverRan reports whether an attempt with this outcome is known not to have run at its endpoint.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeOverloaded || o == OutcomeConnectFailed || o == OutcomeNotSent
 }
 
-// LoadReport is an endpoint's report of its load; a negative value is absent.
+// LoadReport is an endpoint's report of its load. A negative value means that the field is absent.
 type LoadReport struct {
 	InFlight    float64 // requests
 	Queue       float64 // requests
-	Utilization float64 // ratio of its cores
+	Utilization float64 // ratio of busy cores to all cores
 	Latency     float64 // ms
-	Memory      float64 // ratio of its memory that is granted
-	Disk        float64 // ratio of its disks that are busy
+	Memory      float64 // ratio of granted memory to all memory
+	Disk        float64 // ratio of busy disks to all disks
 }
 
-// EarlierRun is the first attempt under an idempotency key that may have run. What may follow under that key
-// depends on it, whichever request it belonged to.
+// EarlierRun is the first attempt under an idempotency key that may have run, whichever request it belonged
+// to. It determines whether and where further attempts under that key may run.
 type EarlierRun struct {
 	StartedAt  Millis
-	Zone, Cell int // of the endpoint
+	Zone, Cell int // zone and cell of the endpoint
 }
 
-// Event is something that happened; the types below are all of them.
+// Event is an input of Handle. The types below are the only events.
 type Event interface{ event() }
 
 type (
-	// EndpointUpdate brings discovery's view of the endpoints.
+	// EndpointUpdate reports the endpoint list, or its changes, from discovery.
 	EndpointUpdate struct {
 		Kind    UpdateKind
 		Entries []EndpointInfo
 	}
-	// RequestArrived is a new request; exactly one final answer is owed for it.
+	// RequestArrived is a new request. It must get exactly one final answer.
 	RequestArrived struct {
 		ID                RequestID
 		Class             int
 		Tenant            int
-		Group             uint64 // of the tables that it reads or writes; the unit of affinity
-		Key               uint64 // its order key, if HasKey
+		Group             uint64 // group of the tables that it reads or writes; the unit of affinity
+		Key               uint64 // order key, if HasKey
 		HasKey            bool
-		TimeLeft          Millis  // until the client stops waiting
+		TimeLeft          Millis  // time until the client stops waiting
 		EstimatedWork     float64 // ms on one core; 0: no estimate
 		EstimatedMemoryMB float64 // 0: no estimate
-		IsRetry           bool    // the client says that it retries; no decision reads it
+		IsRetry           bool    // the client marked the request as a retry; not used in decisions
 		EarlierRun        *EarlierRun
 	}
-	// AnswerBegan reports that the answer has begun to arrive. The simulator sends it; no decision reads it.
+	// AnswerBegan reports that the answer has begun to arrive. The simulator sends it; it has no effect.
 	AnswerBegan struct {
 		ID      RequestID
 		Attempt int
 	}
-	// AttemptProgress is a notice about a running attempt.
+	// AttemptProgress reports progress of a running attempt.
 	AttemptProgress struct {
 		ID      RequestID
 		Attempt int
 		Kind    ProgressKind
 		Value   float64
 	}
-	// AttemptEnded ends one attempt.
+	// AttemptEnded reports the end of an attempt.
 	AttemptEnded struct {
 		ID             RequestID
 		Attempt        int
@@ -122,33 +122,33 @@
 		ActualMemoryMB float64 // 0: not reported
 		Load           *LoadReport
 	}
-	// ClientDisconnected ends a request to which no answer is owed any longer.
+	// ClientDisconnected reports that the client has disconnected. The request needs no answer any longer.
 	ClientDisconnected struct{ ID RequestID }
-	// TimerFired answers a StartTimer.
+	// TimerFired reports that the timer of a StartTimer has expired.
 	TimerFired struct{ Token string }
-	// ProbeEnded answers a Probe.
+	// ProbeEnded reports the outcome of a Probe.
 	ProbeEnded struct {
 		Endpoint EndpointID
 		Outcome  Outcome
 		Latency  Millis
 		Load     *LoadReport
 	}
-	// GossipReceived brings a message from another balancer.
+	// GossipReceived delivers a message from another balancer.
 	GossipReceived struct {
 		From int
 		Data []byte
 	}
 )
 
-// ProgressKind is what an AttemptProgress reports.
+// ProgressKind is the kind of progress that an AttemptProgress reports.
 type ProgressKind int
 
 // The kinds of progress.
 const (
-	ProgressRatio   ProgressKind = 1 // Value: ratio of the work that is done
-	ProgressSpilled ProgressKind = 2 // Value: MB of memory that it lacks
-	ProgressWaiting ProgressKind = 3 // Value: 1 for memory, 2 for a lock of its group
-	ProgressPage    ProgressKind = 4 // a page of its result has arrived; Value: unused
+	ProgressRatio   ProgressKind = 1 // Value: ratio of completed work to all work
+	ProgressSpilled ProgressKind = 2 // Value: MB of memory missing to avoid the spill
+	ProgressWaiting ProgressKind = 3 // Value: 1 if it waits for memory, 2 if for a lock on its group
+	ProgressPage    ProgressKind = 4 // a page of the result has arrived; Value: unused
 )
 
 func (EndpointUpdate) event()     {}
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	gossipBudget      = 0.008 // ratio of the complete result that messages may cost: below what shows in it
+	gossipBudget      = 0.008 // ratio of the total result that messages may cost: too little to show in it
 	maxMessageBytes   = 256
-	messageOverhead   = 16  // bytes that a message counts as beyond its content
-	maxReportLines    = 16  // endpoints in one message of reports
-	gossipMaxAge      = 2.0 // of a peer's message, in shortest latency objectives
+	messageOverhead   = 16  // bytes added to the size of each message in its cost
+	maxReportLines    = 16  // endpoints in one message of load reports
+	gossipMaxAge      = 2.0 // age up to which a peer's message counts, in shortest latency objectives
 	minGossipInterval = 4.0 // housekeeping periods between two messages
 )
 
 // gossip exchanges load with the other balancers, as often as the cost of messages allows. A balancer sends
-// all others what it has in flight. Where that would be too seldom to be of use, it sends one of them, by
-// random draw, what it knows of the endpoints, which spreads over all of them.
+// its load in flight to all others. If the cost allows that too seldom to be useful, it sends the load
+// reports of endpoints that it knows to one randomly chosen balancer, and the reports spread from one to the
+// next.
 type gossip struct {
 	clock     *clock
 	settings  *Settings
@@ -33,10 +34,10 @@
 	lines      []gossipLine
 }
 
-// hasPeers reports whether any balancer has reported its load lately.
+// hasPeers reports whether a recent message of in-flight load from any other balancer is known.
 func (g *gossip) hasPeers() bool { return len(g.peers) > 0 }
 
-// send sends a message if one is due. requestsPerSecond is the rate of arrivals, which pays for messages.
+// send sends a message if one is due. requestsPerSecond is the rate of arrivals, which sets the budget.
 func (g *gossip) send(requestsPerSecond float64) {
 	if !g.settings.GossipEnabled || g.settings.Balancers < 2 ||
 		g.clock.now-g.sentAt < g.clock.ticks(minGossipInterval*housekeepingTicks) {
@@ -59,7 +60,7 @@
 	g.outbox.add(SendGossip{to, data})
 }
 
-// affordableBytes is what messages may use, in bytes a ms.
+// affordableBytes is the budget for messages, in bytes per ms.
 func (g *gossip) affordableBytes(requestsPerSecond float64) float64 {
 	cost := max(g.settings.GossipCost, gossipBudget/maxMessageBytes)
 	return maxMessageBytes * gossipBudget / cost * requestsPerSecond / 1000
@@ -77,8 +78,9 @@
 	return lines
 }
 
-// reportLines are the failed connections seen here, then the load reports known here, half of them of the
-// endpoints with most in flight: idle ones answer often and everywhere, an overloaded one seldom.
+// reportLines are the failed connections seen here and the fresh load reports known here. The endpoints with
+// most requests in flight come first, up to half of a message, because idle endpoints answer all balancers
+// often and overloaded ones seldom. The newest of the other reports follow.
 func (g *gossip) reportLines() []gossipLine {
 	var known []*endpoint
 	var lines []gossipLine
@@ -107,8 +109,8 @@
 	return lines
 }
 
-// receive takes a message and returns its lines where it is one of reports; what is malformed is dropped as a
-// whole.
+// receive handles a message. It returns the lines of a message of load reports and drops malformed messages
+// as a whole.
 func (g *gossip) receive(ev GossipReceived) (reports []gossipLine) {
 	form, lines, ok := decodeGossip(ev.Data)
 	if !ok || ev.From < 0 || ev.From >= g.settings.Balancers || ev.From == g.settings.BalancerIndex {
@@ -122,12 +124,12 @@
 	return lines
 }
 
-// sumPeers sums what the balancers reported lately; an endpoint that a message leaves out counts 0.
+// sumPeers sums the load in recent messages, by endpoint. An endpoint missing from a message adds nothing.
 func (g *gossip) sumPeers() {
 	for _, e := range g.endpoints.sorted {
 		e.peers = peerLoad{}
 	}
-	for from, message := range g.peers { // values are whole numbers, so the sums depend on no order
+	for from, message := range g.peers { // values are whole numbers, so the sums don't depend on map order
 		if g.clock.now-message.receivedAt > g.clock.objectives(gossipMaxAge) {
 			delete(g.peers, from)
 			continue
--- a/decide/gossipcodec.go
+++ b/decide/gossipcodec.go
@@ -2,20 +2,20 @@
 
 import "encoding/binary"
 
-// A message between balancers is a byte that names its form, then a line for each endpoint: a tag of two
-// bytes and the form's values as varints.
+// A message between balancers is a byte for its form, then a line for each endpoint: a tag of two bytes and
+// the values as varints. The form determines the number and the meaning of the values.
 
-// gossipForm is the form of a message.
+// gossipForm is the first byte of a message, which says what its lines contain.
 type gossipForm byte
 
 const (
 	gossipInFlight gossipForm = 1 // values: threads of long classes, MB of memory
-	// Values: age in housekeeping periods, requests in flight plus 1 (0: unreachable), percent of memory plus
-	// 1.
+	// Values: age in housekeeping periods, requests in flight plus 1 (0: unreachable), percent of granted
+	// memory plus 1.
 	gossipReports gossipForm = 3
 )
 
-// maxGossipValue cuts values that no endpoint has.
+// maxGossipValue is the upper bound on values, above any that occurs.
 const maxGossipValue = 1e9
 
 // valuesPerLine is the number of values in a line of each form.
@@ -27,7 +27,7 @@
 	values []float64
 }
 
-// encodeGossip writes the lines in their order, as many as fit in so many bytes.
+// encodeGossip encodes the lines in order, as many as fit in maxBytes.
 func encodeGossip(form gossipForm, lines []gossipLine, maxBytes int) []byte {
 	message := []byte{byte(form)}
 	for _, line := range lines {
@@ -43,7 +43,7 @@
 	return message
 }
 
-// decodeGossip reads a complete message; ok is false where it is malformed.
+// decodeGossip decodes a complete message; ok is false if it is malformed.
 func decodeGossip(data []byte) (form gossipForm, lines []gossipLine, ok bool) {
 	if len(data) < 1 || valuesPerLine[gossipForm(data[0])] == 0 {
 		return 0, nil, false
@@ -68,11 +68,11 @@
 	return form, lines, true
 }
 
-// ValidGossip reports whether a message of another balancer can be read; one that can't is dropped.
+// ValidGossip reports whether a message of another balancer can be decoded. Handle drops those that can't.
 func ValidGossip(data []byte) bool {
 	_, _, ok := decodeGossip(data)
 	return ok
 }
 
-// gossipTag is an endpoint's tag. Endpoints of one list may share one; messages about these are ignored.
+// gossipTag is an endpoint's tag. Lines about a tag that several endpoints of the list share are ignored.
 func gossipTag(id EndpointID) uint16 { return uint16(rendezvousHash(gossipTagSalt, id)) }
--- a/decide/keyorder.go
+++ b/decide/keyorder.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// keyOrder lets the requests of one order key run one at a time, in the order of their arrival, where their
-// class asks for it. After an attempt that may still run, the key rests for Rules.KeyOrderDelay.
+// keyOrder runs requests with the same order key one at a time, in order of arrival, in classes with
+// OrderedByKey. After the end of an attempt that may still be running, the key is blocked for
+// Rules.KeyOrderDelay.
 type keyOrder struct {
 	clock     *clock
 	delay     Millis
@@ -14,21 +15,21 @@
 	queues    map[uint64]*keyQueue
 }
 
-// keyQueue is the queue of one key.
+// keyQueue holds the open requests of one key, in order of arrival.
 type keyQueue struct {
 	requests     []*request // the first one may run
-	restingUntil Millis
-	restOwner    *request // whose attempt the key rests for; it need not wait for itself
+	blockedUntil Millis
+	blockedBy    *request // the request whose attempt may still be running; it is not blocked itself
 }
 
-// queue returns the queue of the request's key, or nil where its class keeps no order.
+// queue returns the queue of the request's key, or nil if it has no key or its class keeps no order.
 func (o *keyOrder) queue(r *request) *keyQueue {
 	if !r.HasKey || !o.estimates.class(r).OrderedByKey {
 		return nil
 	}
 	q := o.queues[r.Key]
 	if q == nil {
-		q = &keyQueue{restingUntil: never}
+		q = &keyQueue{blockedUntil: never}
 		o.queues[r.Key] = q
 	}
 	return q
@@ -41,7 +42,7 @@
 	}
 }
 
-// leave removes a request that is answered and has no attempt in flight.
+// leave removes the request from its key's queue once it is answered and has no attempt in flight.
 func (o *keyOrder) leave(r *request) {
 	q := o.queue(r)
 	if q == nil || !r.answered || r.current.endpoint != nil {
@@ -50,24 +51,24 @@
 	q.requests = slices.DeleteFunc(q.requests, func(other *request) bool { return other == r })
 }
 
-// mayRun reports whether the request is the next of its key.
+// mayRun reports whether the request is the first of its key and the key is not blocked by another request.
 func (o *keyOrder) mayRun(r *request) bool {
 	q := o.queue(r)
-	return q == nil || q.requests[0] == r && (o.clock.now > q.restingUntil || q.restOwner == r ||
+	return q == nil || q.requests[0] == r && (o.clock.now > q.blockedUntil || q.blockedBy == r ||
 		o.delay == 0)
 }
 
-// attemptEnded lets the key rest where the attempt may still run.
+// attemptEnded blocks the key if the attempt may still be running.
 func (o *keyOrder) attemptEnded(r *request, outcome Outcome) {
-	mayStillRun := outcome == OutcomeTimeout || outcome == OutcomeReset || outcome == OutcomeCancelled
-	if q := o.queue(r); q != nil && mayStillRun {
-		q.restingUntil, q.restOwner = o.clock.now+o.delay, r
+	mayBeRunning := outcome == OutcomeTimeout || outcome == OutcomeReset || outcome == OutcomeCancelled
+	if q := o.queue(r); q != nil && mayBeRunning {
+		q.blockedUntil, q.blockedBy = o.clock.now+o.delay, r
 	}
 }
 
-// expire drops queues that are empty and no longer rest.
+// expire drops queues that are empty and no longer blocked.
 func (o *keyOrder) expire() {
 	maps.DeleteFunc(o.queues, func(_ uint64, q *keyQueue) bool {
-		return len(q.requests) == 0 && o.clock.now > q.restingUntil
+		return len(q.requests) == 0 && o.clock.now > q.blockedUntil
 	})
 }
--- a/decide/log.go
+++ b/decide/log.go
@@ -3,8 +3,9 @@
 // logInterval is the shortest time between two log lines, in shortest latency objectives.
 const logInterval = 2.0
 
-// rateLimitedLog writes lines for on-call staff. It drops a line that comes too soon after another, so an
-// ejection may go unlogged while many endpoints are ejected; EndpointStatuses shows the state.
+// rateLimitedLog writes log lines for operators. It drops a line that follows the last one within
+// logInterval, so an ejection may go unlogged while many endpoints are ejected; EndpointStatuses shows the
+// state.
 type rateLimitedLog struct {
 	clock  *clock
 	outbox *outbox
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -6,32 +6,36 @@
 )
 
 const (
-	maxConsecutiveErrors = 2 // errors in a row that an endpoint may answer; one more ejects it
-	overdueToEject       = 2 // overdue attempts without a sign of life since their start that eject
-	// Of the cores of which anything is known: failures eject no more than the rest.
+	maxConsecutiveErrors = 2 // consecutive failures of an endpoint; an error beyond that ejects it
+	overdueToEject       = 2 // unresponsive attempts that eject an endpoint; see overdueAttempts
+	// Ratio of healthy cores, among those of healthy and ejected endpoints, that ejections for soft evidence
+	// must leave.
 	minHealthyRatio = 0.2
-	// In which an endpoint counts as healthy after its last sign of life, in shortest objectives.
-	activityMaxAge   = 2.0
-	ejectionTime     = 3.0  // until the first trial, in shortest latency objectives: trials cost little
-	maxEjectionGrow  = 4.0  // that failed trials multiply it by at most: a recovered endpoint is still found
-	requestsPerTrial = 20.0 // one attempt in so many may be a trial, however many endpoints are ejected
-	domainFailures   = 3    // unreachable endpoints of one failure domain that eject all of it
-
-	missedNotices   = 1.6 // progress intervals without a due notice that mean an endpoint is unresponsive
-	overloadPenalty = maxSampleRatio
+	// Time for which an endpoint counts as healthy after its last activity, in shortest latency objectives.
+	activityMaxAge = 2.0
+	// Time until the first trial, in shortest latency objectives. It is short because trials cost little.
+	ejectionTime = 3.0
+	// Largest factor on ejectionTime after failed trials. It is bounded so that recovery is still detected.
+	maxEjectionGrowth = 4.0
+	requestsPerTrial  = 20.0 // attempts per trial request, however many endpoints are ejected
+	domainFailures    = 3    // unreachable endpoints of a failure domain that eject the complete domain
+
+	missedNotices   = 1.6            // progress intervals without a notice after which an attempt is overdue
+	overloadPenalty = maxSampleRatio // latency over unloaded latency that an overload rejection counts as
 )
 
-// failureDomains is the number of things that endpoints may share and fail by: zone, kind and cell.
+// failureDomains is the number of types of failure domains: zone, kind and cell.
 const failureDomains = 3
 
-// sharesDomain reports whether two endpoints share one of the failure domains.
+// sharesDomain reports whether two endpoints are in the same failure domain of the given type.
 func (e *endpoint) sharesDomain(other *endpoint, domain int) bool {
 	return [failureDomains]bool{e.Zone == other.Zone, e.Kind == other.Kind, e.Cell == other.Cell}[domain]
 }
 
-// outlierDetector ejects endpoints that fail and returns them to rotation after a successful trial. Soft
-// evidence (errors, silence) needs enough other endpoints that answer, so that it never empties the fleet nor
-// ejects when all fail together; hard evidence (a lost process) always counts.
+// outlierDetector ejects failing endpoints and returns them to rotation after a successful trial. Soft
+// evidence (errors, missing answers) ejects only while enough other endpoints answer, so that it never
+// ejects the whole fleet, nor any endpoint when all fail at the same time. Hard evidence (a lost process)
+// always ejects.
 type outlierDetector struct {
 	clock     *clock
 	rng       *rand.Rand
@@ -39,7 +43,7 @@
 	endpoints *endpointSet
 	estimates *estimator
 	settings  *Settings
-	lastTrial int // its number, in attempts started
+	lastTrial int // number of attempts started up to the last trial
 }
 
 // trialDue reports whether the next short request may be a trial.
@@ -47,14 +51,14 @@
 	return float64(d.endpoints.attemptsStarted-d.lastTrial) >= requestsPerTrial
 }
 
-// attemptStarted notes the attempt that has just been attached to an endpoint.
+// attemptStarted records the last attempt as a trial if its endpoint is ejected.
 func (d *outlierDetector) attemptStarted(e *endpoint) {
 	if e.health.ejected {
 		d.lastTrial = d.endpoints.attemptsStarted
 	}
 }
 
-// observe takes the outcome of an attempt. OutcomeAnswerLost says something about the network alone.
+// observe handles the outcome of an attempt. OutcomeAnswerLost is ignored: it concerns only the network.
 func (d *outlierDetector) observe(e *endpoint, outcome Outcome) {
 	now, h := d.clock.now, &e.health
 	switch outcome {
@@ -72,7 +76,7 @@
 		d.connectFailed(e, now)
 	case OutcomeError:
 		h.consecutiveFailures++
-		// Sparse traffic brings no two errors in a row.
+		// Sparse traffic hardly ever brings two errors in a row.
 		if h.consecutiveFailures > maxConsecutiveErrors || h.ejected || d.endpoints.sparse() {
 			d.eject(e, EjectedErrors)
 		}
@@ -83,10 +87,10 @@
 	}
 }
 
-// connectFailed takes a refused or lost connection at a time, seen here or by a peer, unless the endpoint has
-// shown a sign of life since. Each of hundreds of balancers would pay for each endpoint of a lost zone, so
-// enough failures in a failure domain eject all of it, while nothing in it answers. A trial or any answer
-// ends that.
+// connectFailed handles a connection that was refused or lost at the given time, here or at a peer, unless
+// activity or a failure of the endpoint is known since. Enough failures in a failure domain eject the
+// complete domain while nothing in it answers; otherwise, each of hundreds of balancers would lose attempts
+// at each endpoint of a lost zone. A trial or any answer ends that.
 func (d *outlierDetector) connectFailed(e *endpoint, at Millis) {
 	if at <= max(e.health.lastActivityAt, e.health.connectFailureAt) {
 		return
@@ -94,8 +98,8 @@
 	e.health.connectFailureAt = at
 	d.eject(e, EjectedConnectFailed)
 	for domain := range failureDomains {
-		unreachable, others := d.unreachable(e, domain)
-		if !others || unreachable < domainFailures {
+		unreachable, othersReady := d.unreachable(e, domain)
+		if !othersReady || unreachable < domainFailures {
 			continue
 		}
 		for _, o := range d.endpoints.sorted {
@@ -107,26 +111,26 @@
 	}
 }
 
-// unreachable counts the endpoints of e's failure domain that refuse connections with no sign of life from
-// any of the domain since. others reports whether there are ready endpoints outside it.
-func (d *outlierDetector) unreachable(e *endpoint, domain int) (count int, others bool) {
+// unreachable counts the endpoints of e's failure domain that failed connections after the last activity of
+// any endpoint in the domain. othersReady reports whether there are ready endpoints outside it.
+func (d *outlierDetector) unreachable(e *endpoint, domain int) (count int, othersReady bool) {
 	lastActivity := never
 	for _, o := range d.endpoints.sorted {
 		if o.sharesDomain(e, domain) {
 			lastActivity = max(lastActivity, o.health.lastActivityAt)
 		}
-		others = others || o.ready() && !o.sharesDomain(e, domain)
+		othersReady = othersReady || o.ready() && !o.sharesDomain(e, domain)
 	}
 	for _, o := range d.endpoints.sorted {
 		if o.sharesDomain(e, domain) && o.health.connectFailureAt > lastActivity {
 			count++
 		}
 	}
-	return count, others
+	return count, othersReady
 }
 
-// restore returns an endpoint to rotation, with those that were ejected for a failure domain that they share.
-// One that refused connections has restarted at that time and is warming up.
+// restore returns an endpoint to rotation, along with the endpoints of the failure domains that were ejected
+// with it. If its process was down, it counts as restarted at the given time and is warming up.
 func (d *outlierDetector) restore(e *endpoint, at Millis) {
 	if e.health.processDown {
 		e.StartedAt = max(e.StartedAt, at)
@@ -146,14 +150,14 @@
 	}
 }
 
-// provesProcessDown reports whether a reason is proof that the endpoint's process is gone; all others are
-// soft evidence.
+// provesProcessDown reports whether the reason counts as proof that the endpoint's process is down. All other
+// reasons are soft evidence.
 func (r EjectionReason) provesProcessDown() bool {
 	return r == EjectedConnectFailed || r == EjectedDomainUnreachable
 }
 
-// eject takes an endpoint out of rotation but for trials. One that is ejected already stays so; after its
-// trial time that counts as a failed trial, and the next one comes later.
+// eject takes an endpoint out of rotation except for trials. If it is already ejected and its trial time has
+// come, this counts as a failed trial and delays the next one.
 func (d *outlierDetector) eject(e *endpoint, reason EjectionReason) {
 	h, processDown := &e.health, reason.provesProcessDown()
 	if !processDown && !h.ejected && !d.enoughHealthy(e) {
@@ -167,13 +171,13 @@
 		h.failedTrials++
 	}
 	h.ejected, h.processDown = true, processDown
-	wait := d.clock.objectives(ejectionTime) * min(math.Exp2(float64(h.failedTrials)), maxEjectionGrow)
+	wait := d.clock.objectives(ejectionTime) * min(math.Exp2(float64(h.failedTrials)), maxEjectionGrowth)
 	h.trialAfter = d.clock.now + wait*(0.75+d.rng.Float64()/2)
 	d.log.add(Log{LogEndpointEjected, e.ID, reason})
 }
 
-// enoughHealthy reports whether the endpoints that answer have enough of the cores of which anything is
-// known, with e ejected.
+// enoughHealthy reports whether, with e ejected, healthy endpoints have at least minHealthyRatio of the cores
+// of healthy and ejected endpoints.
 func (d *outlierDetector) enoughHealthy(e *endpoint) bool {
 	ejected, healthy := e.cores, 0.0
 	for _, o := range d.endpoints.sorted {
@@ -190,15 +194,16 @@
 	return healthy >= minHealthyRatio*(ejected+healthy)
 }
 
-// overdueAttempts returns the attempts at an endpoint of which nothing was received for too long, and how
-// many of them were started after its last sign of life. Where running queries send notices, a missing one is
-// the proof; else it is a multiple of the unloaded latency, under the endpoint's pressure.
+// overdueAttempts returns the attempts at an endpoint about which nothing was received for too long.
+// unresponsive is the number of those that started no earlier than the endpoint's last activity. If running
+// queries send progress notices, a missing notice decides; otherwise, a multiple of the unloaded latency
+// under the endpoint's pressure does.
 func (d *outlierDetector) overdueAttempts(e *endpoint) (overdue []*request, unresponsive int) {
 	for _, r := range e.attemptsInOrder() {
-		quiet := d.clock.now - max(r.current.lastActivityAt, d.clock.resumedAt)
-		missed := quiet > missedNotices*d.settings.ProgressInterval
+		sinceActivity := d.clock.now - max(r.current.lastActivityAt, d.clock.resumedAt)
+		missed := sinceActivity > missedNotices*d.settings.ProgressInterval
 		slowdown := max(1, math.Exp(d.estimates.pressure(e)))
-		late := quiet > maxSampleRatio*d.estimates.unloadedLatency(r)*slowdown
+		late := sinceActivity > maxSampleRatio*d.estimates.unloadedLatency(r)*slowdown
 		if !missed || d.settings.ProgressInterval == 0 && !late {
 			continue
 		}
@@ -210,16 +215,16 @@
 	return overdue, unresponsive
 }
 
-// ejectUnresponsive ejects an endpoint with so many unresponsive attempts. Sparse traffic never has two of
-// them, so one is enough there: trials cost little and come soon.
+// ejectUnresponsive ejects an endpoint with enough unresponsive attempts. In sparse traffic one is enough,
+// since two hardly ever run there; if it was wrong, trials cost little and come soon.
 func (d *outlierDetector) ejectUnresponsive(e *endpoint, unresponsive int) {
 	if unresponsive >= overdueToEject || unresponsive > 0 && (e.health.ejected || d.endpoints.sparse()) {
 		d.eject(e, EjectedUnresponsive)
 	}
 }
 
-// applyReports takes a peer's reports of endpoints: a failed connection counts like one seen here, a newer
-// load report replaces the one known here and is a sign of life.
+// applyReports applies a peer's reports about endpoints. A failed connection counts as one seen here. A newer
+// load report replaces the one known here and counts as activity.
 func (d *outlierDetector) applyReports(lines []gossipLine) {
 	for _, line := range lines {
 		at := d.clock.now - line.values[0]*d.clock.ticks(housekeepingTicks)
@@ -237,7 +242,7 @@
 	}
 }
 
-// reportedAlive takes a peer's sign of life of an endpoint.
+// reportedAlive handles activity of an endpoint that a peer has reported.
 func (d *outlierDetector) reportedAlive(e *endpoint, at Millis) {
 	h := &e.health
 	h.lastActivityAt = max(h.lastActivityAt, at)
@@ -248,5 +253,6 @@
 		d.restore(e, at)
 		return
 	}
-	h.trialAfter = min(h.trialAfter, d.clock.now) // refused here: the network from here has to be tried
+	// Connections from here failed, so a trial has to show whether the network path works.
+	h.trialAfter = min(h.trialAfter, d.clock.now)
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	bandRatio = 1.1 // of the average load, that a home may have: bounded-load rendezvous hashing
-	// Rendezvous orders that locking requests are spread over: more than endpoints, few enough to cache.
+	bandRatio = 1.1 // largest ratio of a home's load to the average: bounded-load rendezvous hashing
+	// Number of rendezvous orders for locking requests: more than endpoints, few enough to cache.
 	lockOrders = 256
 )
 
-// placement chooses the endpoint of a request: its group's home, unless that is over the band. The rule is
-// affinity-based routing with a band of 10% over the average load (docs/architecture.md, "Affinity").
+// placement chooses the endpoint of a request: the home of its group, unless the home's load is above the
+// band. This is affinity-based routing with a band of 10% over the average load (docs/architecture.md,
+// "Affinity").
 //
-// It has no state of its own. Arrows go one way: it reads the endpoint set and asks slow start, capacity,
-// retry policy and outlier detector; none of them knows it.
+// It has no state of its own. It depends on the endpoint set, slow start, capacity, retry policy and outlier
+// detector; none of them depends on it.
 type placement struct {
 	clock        *clock
 	balancer     int // Settings.BalancerIndex
@@ -28,10 +29,11 @@
 	outliers     *outlierDetector
 }
 
-// permitted reports whether class, drain and deduplication let the request go to the endpoint.
+// permitted reports whether the endpoint's state, the class and the deduplication scope allow an attempt
+// there.
 func (p *placement) permitted(e *endpoint, r *request) bool {
 	c := p.estimates.class(r)
-	if !e.ready() || !contains(c.Zones, e.Zone) || !contains(c.Kinds, e.Kind) {
+	if !e.ready() || !allowsIndex(c.Zones, e.Zone) || !allowsIndex(c.Kinds, e.Kind) {
 		return false
 	}
 	if !r.firstRun.mayHaveRun() || c.Idempotency == IdempotentAlways {
@@ -45,8 +47,9 @@
 		c.DedupScope == DedupCell && e.Cell == first.Cell
 }
 
-// candidates returns the permitted endpoints in rotation, or due for a trial by one short request, in the
-// group's order. Where health leaves none it is ignored: an attempt is better than certain failure.
+// candidates returns, in affinity order, the permitted endpoints that are in rotation or due for a trial by
+// one short request. If there are none, it returns all permitted ones that slow start admits, since an
+// attempt at an unhealthy endpoint is better than certain failure.
 func (p *placement) candidates(r *request) []*endpoint {
 	n := len(p.endpoints.sorted)
 	permitted, healthy := make([]*endpoint, 0, n), make([]*endpoint, 0, n)
@@ -57,7 +60,7 @@
 			continue
 		}
 		if !p.slowStart.admits(e, class.work, cheapestLong, p.subscription.startedAt) {
-			p.endpoints.creditFairShare(e) // what it could not get is not owed to it once it is warm
+			p.endpoints.creditFairShare(e) // so that it gets no burst of requests to catch up once it is warm
 			continue
 		}
 		permitted = append(permitted, e)
@@ -72,9 +75,9 @@
 	return permitted
 }
 
-// affinityOrder is the order in which endpoints are home to the request's group. A request that locks its
-// group makes the group's other requests wait at that endpoint, so these go in an order of their own, the
-// group's home last. That gives up their cache affinity.
+// affinityOrder is the order in which endpoints are preferred for the request. A request that locks its
+// group makes other requests of the group wait at that endpoint. Locking requests therefore get an order of
+// their own, with the group's home last, which gives up their cache affinity.
 func (p *placement) affinityOrder(r *request) []*endpoint {
 	order := p.endpoints.rendezvousOrder(r.Group)
 	if !p.estimates.class(r).LocksGroup || len(order) < 2 {
@@ -87,20 +90,20 @@
 	return append(slices.Delete(order, at, at+1), home)
 }
 
-// inBand returns the endpoints with capacity for the request, in the order in which it may go to them: the
-// group's order inside the band, at last the least loaded of those outside.
+// inBand returns the endpoints with capacity for the request in order of preference: those within the band in
+// affinity order, then the least loaded one above the band.
 func (p *placement) inBand(r *request) []*endpoint {
 	candidates := p.candidates(r)
 	sparse := p.endpoints.sparse()
 	load, cores := p.score(candidates, sparse)
-	margin := p.estimates.expectedWork(r) // one request over the band is allowed
+	margin := p.estimates.expectedWork(r) // the band may be exceeded by one request
 	var leastLoaded *endpoint
 	accepted := make([]*endpoint, 0, len(candidates))
 	for _, e := range candidates {
 		if !p.capacity.admits(e, r, sparse) {
 			continue
 		}
-		if sparse { // scores count requests then, and a large endpoint's part of one is larger
+		if sparse { // scores count requests here: up to one, in proportion to cores
 			margin = r.draw * e.cores * float64(len(candidates)) / cores
 		}
 		withinBand := e.score <= bandRatio*load*e.cores/cores+margin
@@ -113,13 +116,13 @@
 	if leastLoaded != nil {
 		accepted = append(accepted, leastLoaded)
 	}
-	if sparse { // few requests come while a warming endpoint's turn lasts, so it goes first
+	if sparse { // warming endpoints go first, since few requests come during this balancer's turn at them
 		slices.SortStableFunc(accepted, p.compareWarmingFirst)
 	}
 	return accepted
 }
 
-// score sets the load of each candidate, in ms of work or, where traffic is sparse, in recent requests. It
+// score sets each candidate's score to its load, in ms of work or, in sparse traffic, in recent requests. It
 // returns the sums of loads and cores.
 func (p *placement) score(candidates []*endpoint, sparse bool) (load, cores float64) {
 	reportedMean := p.capacity.observeFleet(candidates)
@@ -127,7 +130,7 @@
 		e.score = e.inFlight.work
 		if sparse {
 			e.score = p.endpoints.recentLoad(e)
-			if e.reportIsFresh(p.clock) { // more goes where less is in flight than elsewhere
+			if e.reportIsFresh(p.clock) { // prefer endpoints that report less than the mean
 				e.score *= (e.report.InFlight/e.cores + 1) / (reportedMean + 1)
 			}
 		}
@@ -147,8 +150,8 @@
 	return cmp.Compare(rank(a), rank(b))
 }
 
-// choose returns the first of the accepted endpoints or, where some of them were probed for the request, the
-// one that reports least in flight a core. nil: the request waits.
+// choose returns the first of the accepted endpoints or, if some of them were recently probed for the
+// request, the probed one with the fewest reported requests in flight per core. nil: the request waits.
 func (p *placement) choose(r *request, accepted []*endpoint) *endpoint {
 	probed := slices.DeleteFunc(slices.Clone(r.probed), func(e *endpoint) bool {
 		return p.clock.now-e.report.receivedAt > p.clock.objectives(2*probeMaxAge) ||
--- a/decide/probe.go
+++ b/decide/probe.go
@@ -3,28 +3,28 @@
 import "slices"
 
 const (
-	probeBudget         = 0.01 // ratio of the complete result that probes may cost
+	probeBudget         = 0.01 // ratio of the total result that probes may cost
 	maxProbesPerRequest = 3.0
-	probeMaxAge         = 0.25 // how long the answer to a probe is fresh, in shortest latency objectives
+	probeMaxAge         = 0.25 // age up to which a probe is fresh, in shortest latency objectives
 )
 
-// prober probes the first endpoints of a request's order where this balancer's own traffic is too sparse to
-// know their load, as often as the cost of probes allows.
+// prober probes the endpoints that a request prefers, if this balancer's traffic is too sparse to know their
+// load. The cost of probes limits their number.
 type prober struct {
 	clock     *clock
 	settings  *Settings
 	outbox    *outbox
 	endpoints *endpointSet
 	estimates *estimator
-	tokens    float64 // probes that the budget allows now
+	tokens    float64 // number of probes that the budget allows now
 }
 
-// probesPerRequest is what each request adds to the budget, in probes.
+// probesPerRequest is the number of probes that each request adds to the budget.
 func (p *prober) probesPerRequest() float64 {
 	return probeBudget / max(p.settings.ProbeCost, probeBudget/maxProbesPerRequest)
 }
 
-// recordArrival lets a new request add to the budget.
+// recordArrival adds a new request's probes to the budget.
 func (p *prober) recordArrival() {
 	p.tokens = min(p.tokens+p.probesPerRequest(), 2*maxProbesPerRequest)
 }
@@ -41,11 +41,12 @@
 			p.probe(e)
 		}
 	}
-	return p.awaiting(r)
+	return p.awaitsAnswer(r)
 }
 
-// allowance is how many probes the request may use. Where the budget has not one for each request, long
-// requests come first, as they are nearly all of the load, and short ones get what is left over.
+// allowance is the number of probes that the request may use. If the budget allows less than one probe per
+// request, long requests take precedence, because they are nearly all of the load: a reserve of
+// maxProbesPerRequest is kept for them.
 func (p *prober) allowance(r *request) int {
 	allowed := min(maxProbesPerRequest, p.tokens)
 	if !p.estimates.class(r).long && p.probesPerRequest() < 1 {
@@ -63,8 +64,9 @@
 	p.outbox.add(Probe{e.ID})
 }
 
-// awaiting reports whether a request still waits for the answer to a probe.
-func (p *prober) awaiting(r *request) bool {
+// awaitsAnswer reports whether the request still waits for the answer to a probe. It stops waiting after one
+// housekeeping period.
+func (p *prober) awaitsAnswer(r *request) bool {
 	return slices.ContainsFunc(r.probed, func(e *endpoint) bool {
 		return e.probe.inFlight && p.clock.now-e.probe.sentAt < p.clock.ticks(housekeepingTicks)
 	})
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -1,18 +1,19 @@
 package decide
 
-// minBucketSeconds is the time of a tenant's quota that its bucket holds, or so many requests.
-const minBucketSeconds = 2.0
+// bucketSeconds is the size of a tenant's bucket, in seconds of its quota. It is also the bucket's smallest
+// size in requests.
+const bucketSeconds = 2.0
 
-// tenantQuota keeps a token bucket for each tenant with this balancer's even part of its quota.
+// tenantQuota limits each tenant to this balancer's equal share of its quota, by a token bucket.
 type tenantQuota struct {
 	clock     *clock
 	settings  *Settings
-	tokens    []float64 // requests, by tenant
+	tokens    []float64 // tokens by tenant; one request takes one
 	updatedAt Millis
 }
 
-// take takes a request from its tenant's bucket and reports whether it is within the quota. A bucket holds at
-// least two requests.
+// take takes one token from the tenant's bucket and reports whether the request is within the quota. Buckets
+// have room for at least two requests.
 func (q *tenantQuota) take(tenant int) bool {
 	q.refill()
 	if tenant < 0 || tenant >= len(q.tokens) || q.settings.Tenants[tenant].QuotaPerSecond <= 0 {
@@ -29,7 +30,7 @@
 	seconds := (q.clock.now - q.updatedAt) / 1000
 	q.updatedAt = q.clock.now
 	for i, t := range q.settings.Tenants {
-		part := t.QuotaPerSecond / float64(q.settings.Balancers)
-		q.tokens[i] = min(q.tokens[i]+seconds*part, minBucketSeconds*max(part, 1))
+		share := t.QuotaPerSecond / float64(q.settings.Balancers)
+		q.tokens[i] = min(q.tokens[i]+seconds*share, bucketSeconds*max(share, 1))
 	}
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -1,52 +1,52 @@
 package decide
 
-// request is a request that this balancer has taken and that has not ended.
+// request is the state of a request that has arrived and is unanswered or has an attempt in flight.
 type request struct {
 	RequestArrived
-	sequence    int // by arrival
+	sequence    int // number of the request, in order of arrival
 	arrivedAt   Millis
 	deadline    Millis
-	answered    bool // its final answer is given, or its client is gone
+	answered    bool // it got its final answer, or its client has disconnected
 	withinQuota bool
-	weight      float64 // PriorityWeight for its work, when the queue was last sorted
-	// draw is its random draw in (0, 1), which decides whether it enters where only part of a flow may. What
-	// earns less for its work has a larger one.
+	weight      float64 // rank when the queue was last sorted; see admission.takeSorted
+	// draw is a random number from 0 to 1 that selects the requests to admit where only a share of traffic
+	// may be. Requests of low value tend to larger draws, which are admitted last.
 	draw float64
 
-	attemptsStarted int     // started
-	current         attempt // the last one
+	attemptsStarted int
+	current         attempt // the last attempt
 	replanned       bool    // an attempt was cancelled to try elsewhere; at most once
 	firstRun        firstRun
-	probed          []*endpoint // probed on its behalf
-	lastAttemptedOn EndpointID  // where its last attempt ended
+	probed          []*endpoint // endpoints probed for the next attempt; nil: not selected yet
+	lastAttemptedOn EndpointID  // endpoint of the last attempt that ended
 }
 
-// current is one attempt of a request. At most one is in flight.
+// attempt is one attempt of a request. A request has at most one in flight.
 type attempt struct {
 	endpoint       *endpoint // nil: not in flight
 	startedAt      Millis
-	lastActivityAt Millis    // the last notice about it
-	work           float64   // expected, ms on one core
-	size           classSize // of its class, as it began
-	memoryMB       float64   // expected
+	lastActivityAt Millis    // its start or the last notice about it
+	work           float64   // expected work, ms on one core
+	size           classSize // size of its class at the start
+	memoryMB       float64   // expected memory
 	spilled        bool      // it has reported a spill
 	cancelled      bool
 }
 
-// firstRun is the earliest attempt of a request that may have run.
+// firstRun is the earliest attempt of a request, or under its key, that may have run.
 type firstRun struct {
-	startedAt Millis // never: none may have run
+	startedAt Millis // never: no attempt can have run
 	endpoint  EndpointInfo
 }
 
 func (f *firstRun) mayHaveRun() bool { return f.startedAt != never }
 
-// isCurrent reports whether an event about an attempt concerns the one in flight.
+// isCurrent reports whether the attempt with this number is the one in flight.
 func (r *request) isCurrent(attempt int) bool {
 	return r != nil && r.current.endpoint != nil && attempt == r.attemptsStarted-1
 }
 
-// forgetRun is called when the last attempt is known not to have run.
+// forgetRun clears firstRun if it is the last attempt, which is known not to have run.
 func (r *request) forgetRun() {
 	if r.firstRun.startedAt == r.current.startedAt {
 		r.firstRun.startedAt = never
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -2,16 +2,17 @@
 
 import "sort"
 
-// retryForbidden reports whether an attempt that may have run from startedAt on forbids another at now: no
-// endpoint deduplicates it, or none does any longer. Times in ms on one clock.
+// retryForbidden reports whether an attempt that started at startedAt and may have run forbids another at
+// now: endpoints don't deduplicate the class, or the window for that has passed. Times are in ms on one
+// clock.
 func (c Class) retryForbidden(startedAt, now Millis) bool {
 	return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey &&
 		now >= startedAt+c.DedupWindow
 }
 
-// ClientMayRetry reports whether a client may safely retry what may have run from startedAt on, wherever its
-// retry goes. It is stricter than the rule for this balancer's own retries, which stay inside the
-// deduplication scope (placement.permitted). Times in ms on one clock.
+// ClientMayRetry reports whether a client may safely retry a request that may have run since startedAt, at
+// any endpoint. The rule is stricter than for this balancer's own retries, which stay inside the
+// deduplication scope (placement.permitted). Times are in ms on one clock.
 func (c Class) ClientMayRetry(startedAt, now Millis) bool {
 	if c.Idempotency == IdempotentAlways {
 		return true
@@ -20,9 +21,10 @@
 }
 
 const (
-	// Of requests whose attempt may be cancelled for its pace: bad plans are rare, overload is not.
+	// Ratio of requests whose attempt may be cancelled as too slow. It is low because bad plans are rare and
+	// overload is not.
 	replanBudgetRatio = 0.1
-	maxReplanBudget   = 4.0 // of these, in a row
+	maxReplanBudget   = 4.0 // number of such cancellations in a row
 )
 
 // retryPolicy decides whether a request may have a further attempt.
@@ -30,12 +32,12 @@
 	clock     *clock
 	settings  *Settings
 	estimates *estimator
-	// Times of arrivals and retries within the budget's window.
+	// Times of arrivals and retries within Rules.RetryBudgetWindow.
 	arrivals, retries []Millis
-	replanBudget      float64 // attempts that may be cancelled for their pace now
+	replanBudget      float64 // number of attempts that may be cancelled as too slow now
 }
 
-// recordArrival lets a new request add to the budgets.
+// recordArrival adds a new request to the replan budget and the retry budget.
 func (p *retryPolicy) recordArrival() {
 	p.replanBudget = min(p.replanBudget+replanBudgetRatio, maxReplanBudget)
 	if p.settings.Rules.RetryBudgetEnabled {
@@ -43,14 +45,14 @@
 	}
 }
 
-// recordRetry takes one from the retry budget.
+// recordRetry counts a retry against the retry budget.
 func (p *retryPolicy) recordRetry() {
 	if p.settings.Rules.RetryBudgetEnabled {
 		p.retries = append(p.retries, p.clock.now)
 	}
 }
 
-// takeReplan takes one from the replan budget; it reports whether there was one.
+// takeReplan takes one cancellation from the replan budget. It reports whether the budget allowed it.
 func (p *retryPolicy) takeReplan() bool {
 	if p.replanBudget < 1 {
 		return false
@@ -64,8 +66,8 @@
 	return r.firstRun.mayHaveRun() && p.estimates.class(r).retryForbidden(r.firstRun.startedAt, p.clock.now)
 }
 
-// mayRetry reports whether the request may have another attempt by the number of its attempts, the time left,
-// its idempotency and the retry budget.
+// mayRetry reports whether the number of attempts, the time left, the idempotency and the retry budget allow
+// the request another attempt.
 func (p *retryPolicy) mayRetry(r *request) bool {
 	endsAt := p.clock.now + p.estimates.unloadedLatency(r)
 	if r.attemptsStarted >= p.settings.MaxAttempts || endsAt >= r.deadline {
@@ -74,18 +76,19 @@
 	return !p.forbidden(r) && p.withinBudget()
 }
 
-// withinBudget counts one tick in the window's disfavor, as the rule is checked by another clock.
+// withinBudget reports whether the retry budget allows another retry. Its window is one tick shorter for
+// arrivals and one tick longer for retries, because the rule is checked by another clock.
 func (p *retryPolicy) withinBudget() bool {
 	rules := p.settings.Rules
 	if !rules.RetryBudgetEnabled {
 		return true
 	}
-	p.arrivals = since(p.arrivals, p.clock.now-rules.RetryBudgetWindow+p.clock.ticks(1))
-	p.retries = since(p.retries, p.clock.now-rules.RetryBudgetWindow-p.clock.ticks(1))
+	p.arrivals = dropBefore(p.arrivals, p.clock.now-rules.RetryBudgetWindow+p.clock.ticks(1))
+	p.retries = dropBefore(p.retries, p.clock.now-rules.RetryBudgetWindow-p.clock.ticks(1))
 	return float64(len(p.retries))+1 <= rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(p.arrivals))
 }
 
-// since drops the times before t from a sorted list.
-func since(times []Millis, t Millis) []Millis {
+// dropBefore drops the times before t from a sorted list.
+func dropBefore(times []Millis, t Millis) []Millis {
 	return times[sort.SearchFloat64s(times, t):]
 }
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -1,16 +1,17 @@
 package decide
 
-// Idempotency says whether a class may run more than once.
+// Idempotency says whether a request of a class may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	IdempotentAlways Idempotency = iota // any attempt may be repeated anywhere
+	IdempotentAlways Idempotency = iota // attempts may be repeated at any endpoint
 	IdempotentByKey                     // endpoints deduplicate by key within a scope, for a while
-	NotIdempotent                       // never again once an attempt may have run
+	NotIdempotent                       // no further attempt once one may have run
 )
 
-// DedupScope is the set of endpoints that deduplicate a request with the endpoint of its first attempt.
+// DedupScope is the set of endpoints that deduplicate a request, relative to the endpoint of its first
+// attempt.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -26,53 +27,54 @@
 // The ways to deal with exhausted memory.
 const (
 	MemoryExhaustionQueues      MemoryExhaustion = iota // the query waits in the endpoint's queue
-	MemoryExhaustionSpills                              // the query gets what is left, and spills to disk
-	MemoryExhaustionOvercommits                         // all are admitted, and all slow down
+	MemoryExhaustionSpills                              // the query gets the free memory and spills to disk
+	MemoryExhaustionOvercommits                         // all queries are admitted and slow down
 )
 
-// Class describes one class of requests.
+// Class holds the rules and objectives of a class of requests.
 type Class struct {
-	Name             string  // for those who carry requests; decides nothing
-	LatencyObjective Millis  // an answer within it earns the complete weight
-	ObjectivePerWork float64 // the objective grows by this times work over threads
+	Name             string  // for the caller; not used in decisions
+	LatencyObjective Millis  // latency up to which an answer earns the complete weight
+	ObjectivePerWork float64 // added to the objective per ms of work divided by threads
 	Deadline         Millis
 	PriorityWeight   float64
-	LateWeightRatio  float64 // of the weight, for an answer past the objective
-	Threads          int     // of one query
+	LateWeightRatio  float64 // ratio of the weight that an answer past the objective earns
+	Threads          int     // threads of one query
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      Millis // how long endpoints deduplicate a key, from its first attempt
-	OrderedByKey     bool   // requests of one key run one at a time
-	Zones, Kinds     []int  // where it may run, as indexes; nil: anywhere
+	DedupWindow      Millis // time from a key's first attempt for which endpoints deduplicate it
+	OrderedByKey     bool   // requests with the same order key run one at a time
+	Zones, Kinds     []int  // indexes of the zones and kinds in which it may run; nil: all
 	LocksGroup       bool   // holds a lock on its group while it runs
-	WaitsForLocks    bool   // waits while its group is locked at the endpoint; known, and not used
+	WaitsForLocks    bool   // waits while its group is locked at the endpoint; not used in decisions
 }
 
-// Tenant describes one tenant.
+// Tenant holds the quota and the weight of a tenant.
 type Tenant struct {
-	QuotaPerSecond float64 // requests, over all balancers; 0: no quota
-	WeightShare    float64 // known, and not used: the quota decides
+	QuotaPerSecond float64 // requests per second over all balancers; 0: no quota
+	WeightShare    float64 // not used in decisions: the quota decides
 }
 
-// EndpointKind describes one kind of endpoint.
+// EndpointKind holds the resources of each endpoint of a kind.
 type EndpointKind struct {
 	Cores    float64
-	MemoryMB float64 // 0: memory is not bounded
+	MemoryMB float64 // 0: memory is unlimited
 }
 
-// Rules are the figures of the operators' rules.
+// Rules are the parameters of the operators' rules.
 type Rules struct {
-	AnswerSlack Millis // of a final answer past its deadline; known, and not used: answers come before it
-	// An endpoint is warming up for SlowStartDuration after its start. It is sure of SlowStartCapacityRatio
-	// of its capacity then, and collapses under OverloadRatio times that within OverloadWindow.
+	AnswerSlack Millis // time for a final answer after the deadline; not used: answers are given before it
+	// An endpoint is warming up for SlowStartDuration after its start. It then has at least
+	// SlowStartCapacityRatio of its capacity, and collapses under OverloadRatio times its capacity at that
+	// time within OverloadWindow.
 	SlowStartCapacityRatio float64
 	SlowStartDuration      Millis
 	OverloadRatio          float64
 	OverloadWindow         Millis
-	DrainGrace             Millis // known, and not used: nothing new is sent from the notice of a drain on
-	SubscribeInterval      Millis // the longest time without a subscription to the endpoint list
-	KeyOrderDelay          Millis // after an attempt under an order key that may still run
-	// The retry budget: RetryBudgetMin retries, and RetryBudgetRatio for each request, within
+	DrainGrace             Millis // not used: no new request is sent once a drain is announced
+	SubscribeInterval      Millis // longest time without a subscription to the endpoint list
+	KeyOrderDelay          Millis // blocks an order key after an attempt that may still be running
+	// The retry budget allows RetryBudgetMin retries, plus RetryBudgetRatio of the requests, within
 	// RetryBudgetWindow.
 	RetryBudgetEnabled bool
 	RetryBudgetMin     float64
@@ -80,44 +82,44 @@
 	RetryBudgetWindow  Millis
 }
 
-// Settings are what a Balancer is given at its start.
+// Settings are the settings of a Balancer, fixed at its start.
 type Settings struct {
-	Balancers     int // that share the endpoints
-	BalancerIndex int // of this one among them
+	Balancers     int // number of balancers that share the endpoints
+	BalancerIndex int // index of this balancer, from 0
 	Classes       []Class
 	Tenants       []Tenant
 	Kinds         []EndpointKind
 	Rules         Rules
-	TickInterval  Millis // the unit of housekeeping
-	MaxAttempts   int    // of one request, with the first
+	TickInterval  Millis // unit of the housekeeping period
+	MaxAttempts   int    // attempts of one request, including the first
 
 	CancellationEnabled bool // attempts may be cancelled
-	// ConcurrentAttemptsEnabled allows two attempts of a request at a time; the balancer itself starts none
-	// beside another.
+	// ConcurrentAttemptsEnabled allows two attempts of a request at a time. The balancer doesn't use it: it
+	// starts no attempt while another is in flight.
 	ConcurrentAttemptsEnabled bool
 	ProbesEnabled             bool
 	LoadReportsEnabled        bool // answers or probes bring load reports
 	GossipEnabled             bool
-	SubscriptionRequired      bool // the endpoint list comes only to subscribers
-	MemoryGrantsEnabled       bool // endpoints obey a named grant
-	PrioritiesEnabled         bool // endpoints obey a named priority
+	SubscriptionRequired      bool // the endpoint list is sent only to subscribers
+	MemoryGrantsEnabled       bool // endpoints obey a requested grant
+	PrioritiesEnabled         bool // endpoints obey a requested priority
 	ActualCostReported        bool // answers report actual work and memory
 
-	ProbeCost float64 // ratio of the complete result, for one probe a request
-	// Ratio of the complete result, for one full message a request to one balancer.
+	ProbeCost float64 // cost of one probe per request, as a ratio of the total result
+	// GossipCost is the cost of one full message to one balancer per request, as a ratio of the total result.
 	GossipCost           float64
-	MaxRetryAfter        Millis           // the longest that clients obey; 0: none may be named
-	ProgressInterval     Millis           // between two progress notices of a running query; 0: none
-	MemoryExhaustion     MemoryExhaustion // known, and not used: memory in flight is bounded in any case
-	MaxGrantRatio        float64          // of an endpoint's memory, for one grant
-	OverQuotaWeightRatio float64          // of the weight, for a request beyond its tenant's quota
+	MaxRetryAfter        Millis           // longest time that clients obey; 0: rejections give no time
+	ProgressInterval     Millis           // time between progress notices of a running query; 0: no notices
+	MemoryExhaustion     MemoryExhaustion // not used: memory in flight is bounded in any case
+	MaxGrantRatio        float64          // largest grant, as a ratio of an endpoint's memory
+	OverQuotaWeightRatio float64          // ratio of the weight that a request over its tenant's quota earns
 
-	KindNames             []string // by index
-	ZoneNames             []string // by index
-	Zone                  int      // this balancer's own
+	KindNames             []string // names of the kinds, by index
+	ZoneNames             []string // names of the zones, by index
+	Zone                  int      // index of this balancer's zone
 	ConnectTimeout        Millis
-	IdleConnectionTimeout Millis   // after which endpoints close connections
-	MaxInFlight           int      // attempts that this balancer can carry; 0: not bounded
-	MaxOpenRequests       int      // requests that this balancer may hold; 0: not bounded
-	LoadReportFields      []string // the names in a load report, for those who read it
+	IdleConnectionTimeout Millis   // idle time after which endpoints close connections
+	MaxInFlight           int      // largest number of attempts in flight at this balancer; 0: unlimited
+	MaxOpenRequests       int      // largest number of open requests at this balancer; 0: unlimited
+	LoadReportFields      []string // names of the fields in load reports; for the caller
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -3,33 +3,35 @@
 import "slices"
 
 const (
-	slowStartSafety   = 0.5  // ratio of the overload budget that is used, as any window overlaps two turns
-	usableCores       = 0.85 // ratio of the cores that are busy when capacity is reached
-	warmupAges        = 8    // parts of the slow start whose throughput is learned apart
-	minThroughputSeen = 3.0  // answers that show a throughput: one may have met a busy or an idle endpoint
+	slowStartSafety      = 0.5  // ratio of the overload budget to use, because a window can overlap two turns
+	usableCores          = 0.85 // ratio of busy cores at full capacity
+	warmupAges           = 8    // intervals of the slow start whose throughput is learned separately
+	minThroughputSamples = 3.0  // answers needed: one alone may be from a busy or an idle endpoint
 )
 
-// slowStart limits what goes to endpoints that have just started, so that the sum of all balancers stays
-// below what such an endpoint bears within any overload window.
+// slowStart limits the work sent to endpoints that have just started, so that all balancers together stay
+// below the overload limit of such an endpoint within any overload window.
 //
-// An even part of that budget for each of hundreds of balancers would admit no request. So the balancers take
-// turns of one window, as many at a time as the budget holds requests of the cheapest long class. The budget
-// grows with the throughput that warming endpoints of an age have shown. It is in ms of work on one core.
+// An equal share of that budget for each of hundreds of balancers would not admit a single request. The
+// balancers therefore take turns of one window. The number of balancers in a turn is the number of requests
+// of the cheapest long class that fit in the budget. The budget grows with the throughput observed at
+// warming endpoints of the same age. It is in ms of work on one core.
 type slowStart struct {
 	clock    *clock
 	settings *Settings
-	// throughput sums the ratio of full speed that warming endpoints have shown, by age.
+	// throughput sums the observed ratios of speed to full speed of warming endpoints, by age.
 	throughput [warmupAges]struct{ sum, samples float64 }
 }
 
-// warming reports whether an endpoint may not yet do its full work.
+// warming reports whether an endpoint is warming up and may not yet have its full capacity.
 func (s *slowStart) warming(e *endpoint) bool {
 	return e.StartedAt > 0 && s.clock.now < e.StartedAt+s.settings.Rules.SlowStartDuration
 }
 
-// admits reports whether an endpoint may get one more request of a class with that mean work, in ms on one
-// core. cheapestLong is the mean work of the cheapest long class. startedAt is the start of this balancer:
-// what it sent before its own restart still counts at endpoints that are older.
+// admits reports whether an endpoint may get one more request of a class. work is the mean work of the
+// class, in ms on one core, cheapestLong that of the cheapest long class. startedAt is the start of this
+// balancer. For one window after it, nothing is sent to warming endpoints that are older, because the work
+// sent there before a restart of the balancer is not known and still counts.
 func (s *slowStart) admits(e *endpoint, work, cheapestLong float64, startedAt Millis) bool {
 	if !s.warming(e) {
 		return true
@@ -43,8 +45,8 @@
 	if s.rotationPosition(e) >= rotation {
 		return false
 	}
-	past := s.clock.now - rules.OverloadWindow - s.clock.ticks(2)
-	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, func(w sentWork) bool { return w.at < past })
+	cutoff := s.clock.now - rules.OverloadWindow - s.clock.ticks(2)
+	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, func(w sentWork) bool { return w.at < cutoff })
 	sum := work
 	for _, w := range e.slowStartSends {
 		sum += w.work
@@ -55,13 +57,13 @@
 // budget is the work, in ms on one core, that all balancers together may send within an overload window.
 func (s *slowStart) budget(e *endpoint) float64 {
 	rules := s.settings.Rules
-	limit := rules.OverloadRatio * slowStartSafety // more than full speed is of no use to it either
-	ratio := max(limit*rules.SlowStartCapacityRatio, min(limit, 1)*s.shownThroughput(s.clock.now-e.StartedAt))
+	limit := rules.OverloadRatio * slowStartSafety // capped at 1 below: endpoints can't exceed full speed
+	ratio := max(limit*rules.SlowStartCapacityRatio, min(limit, 1)*s.meanThroughput(s.clock.now-e.StartedAt))
 	return ratio * usableCores * e.cores * rules.OverloadWindow
 }
 
-// rotationPosition is this balancer's position in the rotation for an endpoint; those at the lowest positions
-// may send now. The rotation moves on by one for each overload window, at a time of each endpoint's own.
+// rotationPosition is this balancer's position in the rotation for an endpoint. The balancers at the lowest
+// positions may send. The positions change with each overload window, at a different time for each endpoint.
 func (s *slowStart) rotationPosition(e *endpoint) int {
 	window := max(s.settings.Rules.OverloadWindow, 1)
 	offset := window * float64(rendezvousHash(rotationPhaseSalt, e.ID)>>11) / (1 << 53)
@@ -70,7 +72,7 @@
 	return (s.settings.BalancerIndex + s.settings.Balancers - int(first)) % s.settings.Balancers
 }
 
-// recordSend counts an attempt of a class with that mean work against the endpoint's budget.
+// recordSend counts an attempt against the endpoint's budget. work is the mean work of its class.
 func (s *slowStart) recordSend(e *endpoint, work float64) {
 	if s.warming(e) {
 		e.slowStartSends = append(e.slowStartSends, sentWork{s.clock.now, work})
@@ -88,16 +90,17 @@
 	t.samples++
 }
 
-// shownThroughput is the ratio of full speed that endpoints of up to that age have shown, by the latest ages
-// of which enough is known; 0: none. A loaded endpoint shows less than it can do, never more.
-func (s *slowStart) shownThroughput(age Millis) float64 {
+// meanThroughput is the mean observed ratio of speed to full speed of endpoints up to the given age, from
+// the latest ages that together have enough samples; 0 without enough samples. A loaded endpoint shows less
+// than its capacity, never more.
+func (s *slowStart) meanThroughput(age Millis) float64 {
 	var sum, samples float64
 	last := min(int(age/max(s.settings.Rules.SlowStartDuration, 1)*warmupAges), warmupAges-1)
-	for i := last; i >= 0 && samples < minThroughputSeen; i-- {
+	for i := last; i >= 0 && samples < minThroughputSamples; i-- {
 		sum += s.throughput[i].sum
 		samples += s.throughput[i].samples
 	}
-	if samples < minThroughputSeen {
+	if samples < minThroughputSamples {
 		return 0
 	}
 	return sum / samples
--- a/decide/status.go
+++ b/decide/status.go
@@ -1,17 +1,16 @@
 package decide
 
-// EndpointStatus is what a balancer holds true of one endpoint, for those who compare it with what happens
-// there.
+// EndpointStatus is a balancer's view of one endpoint, for comparison with the endpoint's actual state.
 type EndpointStatus struct {
 	ID              EndpointID
-	Ready           bool    // the endpoint list allows new work
-	Ejected         bool    // out of rotation but for trials
-	ProcessDown     bool    // ejected on proof that its process is gone
+	Ready           bool    // the endpoint list allows new requests
+	Ejected         bool    // out of rotation except for trials
+	ProcessDown     bool    // ejected on proof that its process is down
 	WarmingUp       bool    // in slow start
-	InFlight        int     // attempts
-	LatencyPressure float64 // log of latency over its best
+	InFlight        int     // attempts of this balancer
+	LatencyPressure float64 // log ratio of latency to unloaded latency
 	Report          LoadReport
-	ReportAge       Millis // below 0: there is no report
+	ReportAge       Millis // negative: no report is known
 }
 
 // EndpointStatuses returns the status of all endpoints at now, in ms, by ID.
--- a/decide/subscription.go
+++ b/decide/subscription.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// subscription keeps the subscription to the endpoint list alive where discovery requires one, with a backoff
+// subscription keeps the subscription to the endpoint list active if discovery requires one, with a backoff
 // after failures.
 type subscription struct {
 	clock    *clock
@@ -12,12 +12,12 @@
 	interval Millis // Rules.SubscribeInterval
 
 	active    bool
-	failures  int    // in a row
-	retryAt   Millis // of the next call
-	startedAt Millis // when this balancer got the list of its start
+	failures  int    // consecutive failures
+	retryAt   Millis // earliest time of the next Subscribe
+	startedAt Millis // time at which this balancer got the cached list at its start
 }
 
-// updated notes an update of the list.
+// updated records an update of the endpoint list or the failure to get one.
 func (s *subscription) updated(kind UpdateKind) {
 	if kind == UpdateFailed {
 		s.active = false
@@ -32,11 +32,12 @@
 	}
 }
 
-// maxBackoffSteps bounds the backoff at a quarter of the interval, in steps of a sixteenth.
+// maxBackoffSteps is the number of backoff steps, each a sixteenth of the interval: the backoff grows to a
+// quarter of it.
 const maxBackoffSteps = 4
 
-// renew subscribes where no subscription is active. Calls are spread at random, as all balancers lose
-// discovery at once.
+// renew subscribes if no subscription is active. It randomizes the time of the next try, because all
+// balancers lose discovery at the same time.
 func (s *subscription) renew() {
 	if !s.required || s.active || s.clock.now < s.retryAt {
 		return
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// ErrInvalidSettings is wrapped by the error of New for settings that can't be used.
+// ErrInvalidSettings is wrapped by the error that New returns for settings that can't be used.
 var ErrInvalidSettings = errors.New("invalid settings")
 
 // SettingsError names the first field that makes settings unusable. It wraps ErrInvalidSettings.
 type SettingsError struct{ Problem SettingsProblem }
 
-// Error names the field and what is wrong with it.
+// Error returns the path of the field and the description of its problem.
 func (e *SettingsError) Error() string { return e.Problem.Field + ": " + e.Problem.Message }
 
 // Unwrap returns ErrInvalidSettings.
 func (e *SettingsError) Unwrap() error { return ErrInvalidSettings }
 
-// SettingsProblem is one thing in settings that can't be right or can't be followed.
+// SettingsProblem describes one field of Settings that is invalid or can't take effect as given.
 type SettingsProblem struct {
-	Field       string // as in Settings, such as Classes[1].LatencyObjective
-	Message     string // what is wrong with it
-	Consequence string // what is done instead; empty where Fatal
+	Field       string // path in Settings, such as Classes[1].LatencyObjective
+	Message     string // description of the problem
+	Consequence string // effect on the balancer; empty if Fatal
 	Fatal       bool   // the settings can't be used
 }
 
@@ -35,26 +35,26 @@
 	return nil
 }
 
-// Messages that several fields share.
+// Messages used for several fields.
 const (
 	mustBeAboveZero   = "must be above 0"
 	mustNotBeNegative = "must be 0 or more"
 	oneNeeded         = "at least one is needed"
-	notARatio         = "not a part from 0 to 1"
-	followedAsIs      = "it is followed as it stands"
+	notARatio         = "must be from 0 to 1"
+	usedAsIs          = "the value is used as it is"
 )
 
-// problemList collects problems in the order of their checks.
+// problemList collects problems in the order of the checks.
 type problemList []SettingsProblem
 
-// fatal adds a problem that makes the settings unusable, if bad.
+// fatal adds a problem that makes the settings unusable if bad is true. The field is a format for indexes.
 func (l *problemList) fatal(bad bool, message, field string, indexes ...any) {
 	if bad {
 		*l = append(*l, SettingsProblem{Field: fmt.Sprintf(field, indexes...), Message: message, Fatal: true})
 	}
 }
 
-// warn adds a problem with its consequence, if bad.
+// warn adds a problem with its consequence if bad is true.
 func (l *problemList) warn(bad bool, message, consequence, field string, indexes ...any) {
 	if bad {
 		*l = append(*l, SettingsProblem{
@@ -63,7 +63,7 @@
 	}
 }
 
-// ValidateSettings returns all problems of settings, in the order of their fields.
+// ValidateSettings returns all problems of the settings, in the order of the checks.
 func ValidateSettings(s *Settings) []SettingsProblem {
 	var l problemList
 	l.checkFleet(s)
@@ -110,7 +110,7 @@
 	l.fatal(c.PriorityWeight < 0, mustNotBeNegative, "Classes[%d].PriorityWeight", i)
 	l.warn(c.PriorityWeight == 0, "the class is worth nothing", "it goes behind all others",
 		"Classes[%d].PriorityWeight", i)
-	l.warn(c.LateWeightRatio < 0 || c.LateWeightRatio > 1, notARatio, followedAsIs,
+	l.warn(c.LateWeightRatio < 0 || c.LateWeightRatio > 1, notARatio, usedAsIs,
 		"Classes[%d].LateWeightRatio", i)
 	l.warn(c.LatencyObjective > c.Deadline && c.Deadline > 0, "beyond the deadline",
 		"an answer counts until the client leaves", "Classes[%d].LatencyObjective", i)
@@ -125,7 +125,7 @@
 func (l *problemList) checkFeatures(s *Settings) {
 	l.warn(s.MemoryGrantsEnabled && !(s.MaxGrantRatio > 0), "grants are heeded and none may be made",
 		"none is named", "MaxGrantRatio")
-	l.warn(s.MaxGrantRatio < 0 || s.MaxGrantRatio > 1, notARatio, followedAsIs, "MaxGrantRatio")
+	l.warn(s.MaxGrantRatio < 0 || s.MaxGrantRatio > 1, notARatio, usedAsIs, "MaxGrantRatio")
 	l.warn(s.ProgressInterval < 0, mustNotBeNegative, "read as no notes", "ProgressInterval")
 	l.warn(s.MaxRetryAfter < 0, mustNotBeNegative, "no time is told", "MaxRetryAfter")
 	l.warn(s.ProbeCost < 0, mustNotBeNegative, "read as free", "ProbeCost")
@@ -137,18 +137,18 @@
 	budget := rules.SlowStartCapacityRatio * rules.OverloadRatio * rules.OverloadWindow
 	l.warn(rules.SlowStartDuration > 0 && !(budget > 0), "a cold engine bears nothing by these figures",
 		"it gets nothing until it is warm", "Rules.SlowStartCapacityRatio")
-	l.warn(rules.SlowStartCapacityRatio > 1, "more than all of the capacity", followedAsIs,
+	l.warn(rules.SlowStartCapacityRatio > 1, "must be at most 1", usedAsIs,
 		"Rules.SlowStartCapacityRatio")
 }
 
 func (l *problemList) checkObservation(s *Settings) {
-	l.warn(s.ProbesEnabled && !s.LoadReportsEnabled, "probes are allowed and bring no report",
-		"none is sent", "ProbesEnabled")
-	l.warn(s.Zone < 0 || s.Zone > 0 && s.Zone >= len(s.ZoneNames), "not among the zones",
-		"it is only logged", "Zone")
+	l.warn(s.ProbesEnabled && !s.LoadReportsEnabled, "probes are enabled but return no load reports",
+		"no probe is sent", "ProbesEnabled")
+	l.warn(s.Zone < 0 || s.Zone > 0 && s.Zone >= len(s.ZoneNames), "not an index of a configured zone",
+		"the zone is only used in logs", "Zone")
 }
 
-// normalizeSettings returns a copy in which figures that ValidateSettings reads as 0 are 0.
+// normalizeSettings returns a copy in which negative values that ValidateSettings accepts are set to 0.
 func normalizeSettings(s Settings) Settings {
 	for _, v := range []*float64{&s.ProgressInterval, &s.MaxRetryAfter, &s.ProbeCost, &s.GossipCost} {
 		*v = max(*v, 0)
@@ -160,7 +160,7 @@
 	return s
 }
 
-// countValid counts the indexes of a list that lie below size.
+// countValid counts the indexes in the list that are at least 0 and below size.
 func countValid(indexes []int, size int) (valid int) {
 	for _, index := range indexes {
 		if index >= 0 && index < size {
