--- a/internal/transport/clients/admin.go
+++ b/internal/transport/clients/admin.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// MaxAdminConnections bounds the callers at a time, however many descriptors there are; where
-	// more come, the oldest is evicted. The descriptors that they hold are the program's own, kept
-	// apart from those of clients and endpoints.
+	// MaxAdminConnections is the maximum number of concurrent admin connections, whatever the limit
+	// of descriptors; a further connection evicts the oldest one. Their descriptors are reserved for
+	// the program itself and do not count against those for clients and endpoints.
 	MaxAdminConnections = 16
-	// adminCallTimeout is how long a caller may take to send its line. Callers that keep a
-	// connection for 4 s without a whole call hold only a place of their own.
+	// adminCallTimeout is how long a caller may take to send its line. A caller that keeps a
+	// connection open for 4 s without a complete call only uses up its own connection.
 	adminCallTimeout = 5 * time.Second
-	// adminWriteTimeout bounds the write of the answer.
+	// adminWriteTimeout limits the write of the answer.
 	adminWriteTimeout = time.Second
 )
 
-// AdminServer serves the operators' calls on the second address: one call a connection.
+// AdminServer serves the operators' calls on the second address, one call per connection.
 type AdminServer struct {
-	// Execute carries a call out and returns its answer. It must not wait on the request path: the
-	// answer is due within 1 s whatever the load.
+	// Execute executes a call and returns its answer. It must not wait for the request path: the
+	// answer is due within 1 s under any load.
 	Execute func(admin.Command) []byte
 	Log     *slog.Logger
 }
 
-// Serve reads the one call of a connection and answers it.
+// Serve reads the single call of a connection and answers it.
 func (s *AdminServer) Serve(ctx context.Context, c *listener.Conn) {
 	stop := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
 	defer stop()
@@ -47,15 +47,15 @@
 	_, _ = c.Write(answer)
 }
 
-// readCall reads a connection until it holds a call, and returns the answer to it, or to what is no
-// call; nil: none is owed.
+// readCall reads from a connection until a call is complete, executes it and returns the answer. Input
+// that is no valid call is answered with an error. It returns nil where no answer is to be sent.
 func (s *AdminServer) readCall(ctx context.Context, c *listener.Conn) (answer []byte) {
-	var m admin.Parser
+	var parser admin.Parser
 	buf := make([]byte, admin.MaxLineBytes)
 	for {
 		n, err := c.Read(buf)
 		if n > 0 {
-			if call, done, invalid := m.Feed(buf[:n]); done && invalid != nil {
+			if call, done, invalid := parser.Feed(buf[:n]); done && invalid != nil {
 				return admin.Nak(invalid.Error())
 			} else if done {
 				return s.execute(call)
@@ -67,9 +67,9 @@
 		case ctx.Err() != nil:
 			return nil
 		case netconn.IsTimeout(err):
-			return admin.Nak(m.Finish().Error() + " in time")
-		case errors.Is(err, io.EOF): // the caller wrote all it had, with no end
-			return admin.Nak(m.Finish().Error())
+			return admin.Nak(parser.Finish().Error() + " in time")
+		case errors.Is(err, io.EOF): // the caller closed its side before the end of the line
+			return admin.Nak(parser.Finish().Error())
 		default:
 			return nil
 		}
--- a/internal/transport/clients/close_test.go
+++ b/internal/transport/clients/close_test.go
@@ -18,99 +18,101 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// crossed is a connection on which its client's bytes arrive at the moment of the close, after the last check.
-type crossed struct {
+// hookedConn is a connection that calls a function just before it is closed, so that bytes can arrive after the server's
+// last check for them.
+type hookedConn struct {
 	*net.TCPConn
-	cross func()
+	beforeClose func()
 }
 
-func (c *crossed) CloseWrite() error { c.cross(); return c.TCPConn.CloseWrite() }
+func (c *hookedConn) CloseWrite() error { c.beforeClose(); return c.TCPConn.CloseWrite() }
 
-func (c *crossed) Close() error { c.cross(); return c.TCPConn.Close() }
+func (c *hookedConn) Close() error { c.beforeClose(); return c.TCPConn.Close() }
 
-// serverCase is a server: a message that it answers, and how it serves a connection.
+// serverCase is a kind of server, a message for it, and a part of its answer.
 type serverCase struct {
 	name    string
-	serve   func(leaving func() bool) func(context.Context, *listener.Conn)
+	serve   func(draining func() bool) func(context.Context, *listener.Conn)
 	message string
 	answer  string
 }
 
 func bothServers(t *testing.T) []serverCase {
 	return []serverCase{
-		{"jsonrpc", func(leaving func() bool) func(context.Context, *listener.Conn) {
-			front, _ := jsonrpcServer(t, false)
-			front.Drain.Draining = leaving
-			return front.Serve
+		{"jsonrpc", func(draining func() bool) func(context.Context, *listener.Conn) {
+			srv, _ := jsonrpcServer(t, false)
+			srv.Drain.Draining = draining
+			return srv.Serve
 		}, `{"jsonrpc":"2.0","id":1,"method":"alive"}` + "\n", `"pass":true`},
-		{"rest", func(leaving func() bool) func(context.Context, *listener.Conn) {
-			front := &RESTServer{Drain: DrainPolicy{Ready: func() bool { return true }, Draining: leaving}, InputBudget: listener.NewBudget(1 << 20), Log: slog.New(slog.DiscardHandler)}
-			return front.Serve
+		{"rest", func(draining func() bool) func(context.Context, *listener.Conn) {
+			srv := &RESTServer{Drain: DrainPolicy{Ready: func() bool { return true }, Draining: draining}, InputBudget: listener.NewBudget(1 << 20), Log: slog.New(slog.DiscardHandler)}
+			return srv.Serve
 		}, "GET /v1/info HTTP/1.1\r\nHost: a\r\n\r\n", `"starting":false`},
 	}
 }
 
-// A drain checks an idle connection at the moment that a request arrives: it was closed over it, and reset.
+// Guards against closing a connection with an unread request, which resets it: the second request arrives on an idle
+// connection at the moment when the reader checks for a drain.
 func TestRequestBeforeDrainCheckIsAnswered(t *testing.T) {
-	for _, f := range bothServers(t) {
+	for _, tc := range bothServers(t) {
 		client, server := transporttest.Pair(t)
-		var looks atomic.Int64
-		l := newListener(t, 4, f.serve(func() bool {
-			switch looks.Add(1) {
-			case 1: // the connection rests yet
+		var checks atomic.Int64
+		l := newListener(t, 4, tc.serve(func() bool {
+			switch checks.Add(1) {
+			case 1: // before the first message
 				return false
-			case 2: // after its first message: the second one comes just now
-				transporttest.Write(t, client, f.message)
+			case 2: // after the first message
+				transporttest.Write(t, client, tc.message)
 				transporttest.WaitUnread(t, server)
 			}
 			return true
 		}))
 		l.ServeConn(server)
-		transporttest.Write(t, client, f.message)
+		transporttest.Write(t, client, tc.message)
 		all, err := io.ReadAll(client)
-		require.NoError(t, err, f.name)
-		require.Equal(t, 2, strings.Count(string(all), f.answer), "%s: %s", f.name, all)
+		require.NoError(t, err, tc.name)
+		require.Equal(t, 2, strings.Count(string(all), tc.answer), "%s: %s", tc.name, all)
 	}
 }
 
-// A request that arrives after the last check crosses the close: it is not taken, and its client sees a close, by which
-// it sends the request again, rather than a reset, which may lose answers.
-func TestRequestCrossingCloseMeetsNoReset(t *testing.T) {
-	for _, f := range bothServers(t) {
+// A request that arrives after the server's last check, while it closes the connection, is not handled. Its client must see
+// an orderly close, after which it sends the request again, and no reset, which may lose earlier answers.
+func TestRequestArrivingDuringCloseCausesNoReset(t *testing.T) {
+	for _, tc := range bothServers(t) {
 		client, server := transporttest.Pair(t)
-		var looks, crossings atomic.Int64
-		c := &crossed{server, func() {
-			if crossings.Add(1) == 1 {
-				transporttest.Write(t, client, f.message)
+		var checks, closes atomic.Int64
+		c := &hookedConn{server, func() {
+			if closes.Add(1) == 1 {
+				transporttest.Write(t, client, tc.message)
 				transporttest.WaitUnread(t, server)
 			}
 		}}
-		l := newListener(t, 4, f.serve(func() bool { return looks.Add(1) > 1 }))
+		l := newListener(t, 4, tc.serve(func() bool { return checks.Add(1) > 1 }))
 		l.ServeConn(c)
-		transporttest.Write(t, client, f.message)
+		transporttest.Write(t, client, tc.message)
 		r := bufio.NewReader(client)
 		all, err := io.ReadAll(r)
-		require.NoError(t, err, f.name)
-		require.Equal(t, 1, strings.Count(string(all), f.answer), "%s: the second is not taken: %s", f.name, all)
-		require.Positive(t, crossings.Load())
+		require.NoError(t, err, tc.name)
+		require.Equal(t, 1, strings.Count(string(all), tc.answer), "%s: the second request must not be handled: %s", tc.name, all)
+		require.Positive(t, closes.Load())
 	}
 }
 
-// The end of a listener cut off what was open: a request that was read as the program checked for the last time was
-// forwarded, and its answer had no connection.
+// Guards against a Close that ends connections with open requests: a request that had just been read was forwarded, and its
+// answer could not be delivered.
 func TestCloseWaitsForOpenRequests(t *testing.T) {
-	front, p := jsonrpcServer(t, true)
+	srv, endpoint := jsonrpcServer(t, true)
 	served := make(chan context.Context, 1)
-	l := newListener(t, 4, func(ctx context.Context, c *listener.Conn) { served <- ctx; front.Serve(ctx, c) })
+	l := newListener(t, 4, func(ctx context.Context, c *listener.Conn) { served <- ctx; srv.Serve(ctx, c) })
 	client, server := transporttest.Pair(t)
 	l.ServeConn(server)
-	transporttest.Write(t, client, look(1))
-	end := transporttest.Receive(t, p.Runs)
+	transporttest.Write(t, client, lookRequest(1))
+	end := transporttest.Receive(t, endpoint.Runs)
 	closed := make(chan struct{})
 	go func() { defer close(closed); l.Close(time.Now().Add(transporttest.Patience)) }()
 	<-transporttest.Receive(t, served).Done()
-	transporttest.Write(t, client, look(2)) // sent on a connection that stands, before anything told the client
-	second := transporttest.Receive(t, p.Runs)
+	transporttest.Write(t, client, lookRequest(2)) // the client can't know of the shutdown yet
+	second := transporttest.Receive(t, endpoint.Runs)
 	end <- transporttest.Succeeded
 	second <- transporttest.Succeeded
 	all, err := io.ReadAll(client)
@@ -119,40 +121,40 @@
 	transporttest.Receive(t, closed)
 }
 
-// What is open at the deadline is cut off: the end of a listener is bounded.
+// Close disconnects clients with open requests at its deadline, so that it always ends.
 func TestCloseCutsOffAtDeadline(t *testing.T) {
-	front, p := jsonrpcServer(t, true)
-	l := newListener(t, 4, front.Serve)
+	srv, endpoint := jsonrpcServer(t, true)
+	l := newListener(t, 4, srv.Serve)
 	client, server := transporttest.Pair(t)
 	l.ServeConn(server)
-	transporttest.Write(t, client, look(1))
-	transporttest.Receive(t, p.Runs)
+	transporttest.Write(t, client, lookRequest(1))
+	transporttest.Receive(t, endpoint.Runs)
 	l.Close(time.Now())
 	_, err := io.ReadAll(client)
 	require.False(t, netconn.IsTimeout(err))
-	front.Dispatcher.DescribeEndpoints()
-	require.Zero(t, front.Dispatcher.OpenRequests())
+	srv.Dispatcher.DescribeEndpoints()
+	require.Zero(t, srv.Dispatcher.OpenRequests())
 }
 
-// A listener that stopped at its connection limit accepted nobody from its backlog once there was a place: those
-// connections were established, and were reset.
-func TestBacklogIsServedThoughPlacesComeLate(t *testing.T) {
-	front, p := jsonrpcServer(t, true)
-	l, err := listener.Listen("127.0.0.1:0", 1, slog.New(slog.DiscardHandler), front.Serve)
+// Guards against a reset of connections in the backlog: a listener that stopped accepting while it was at its connection
+// limit did not accept them when a connection ended, though they were established.
+func TestBacklogIsServedAfterStopAtConnectionLimit(t *testing.T) {
+	srv, endpoint := jsonrpcServer(t, true)
+	l, err := listener.Listen("127.0.0.1:0", 1, slog.New(slog.DiscardHandler), srv.Serve)
 	require.NoError(t, err)
 	dial := func(id int) net.Conn {
 		c, err := net.Dial("tcp4", l.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		require.NoError(t, c.SetDeadline(time.Now().Add(transporttest.Patience)))
-		transporttest.Write(t, c, look(id))
+		transporttest.Write(t, c, lookRequest(id))
 		return c
 	}
 	clients := []net.Conn{dial(1), dial(2), dial(3)}
 	go l.Run()
-	end := transporttest.Receive(t, p.Runs)
+	end := transporttest.Receive(t, endpoint.Runs)
 	l.StopAccepting()
-	for began := time.Now(); time.Since(began) < 2*listener.BacklogWait; { // the time for the backlog is up, and the first is still at it
+	for began := time.Now(); time.Since(began) < 2*listener.BacklogWait; { // BacklogWait has passed, and the first request still runs
 		time.Sleep(time.Millisecond)
 	}
 	closed := make(chan struct{})
@@ -164,28 +166,29 @@
 		require.Contains(t, line, `"result"`)
 		require.NoError(t, c.Close())
 		if i+1 < len(clients) {
-			end = transporttest.Receive(t, p.Runs)
+			end = transporttest.Receive(t, endpoint.Runs)
 		}
 	}
 	transporttest.Receive(t, closed)
 }
 
-// A client that is sending a request is reported, so that a shutdown waits for it; one that stopped half way is not.
+// ReceivingMessage reports a client that is sending a request, so that a shutdown waits for it, but not one that stopped in
+// the middle of a request.
 func TestClientSendingMessageIsReported(t *testing.T) {
-	front, _ := jsonrpcServer(t, false)
-	l := newListener(t, 4, front.Serve)
+	srv, _ := jsonrpcServer(t, false)
+	l := newListener(t, 4, srv.Serve)
 	client, server := transporttest.Pair(t)
 	l.ServeConn(server)
 	require.False(t, l.ReceivingMessage())
 	message := `{"jsonrpc":"2.0","id":1,"method":"alive"}` + "\n"
-	require.Eventually(t, func() bool { // a machine that stood still took it for stopped: another byte tells otherwise
+	require.Eventually(t, func() bool { // if the machine stalls, the client counts as stopped until it sends another byte
 		transporttest.Write(t, client, " ")
 		return l.ReceivingMessage()
 	}, transporttest.Patience, time.Millisecond)
 	transporttest.Write(t, client, message)
 	_, err := bufio.NewReader(client).ReadString('\n')
 	require.NoError(t, err)
-	require.False(t, l.ReceivingMessage(), "whole")
+	require.False(t, l.ReceivingMessage(), "the message is complete")
 	transporttest.Write(t, client, message[:10])
 	require.Eventually(t, func() bool { return !l.ReceivingMessage() }, transporttest.Patience, time.Millisecond)
 }
--- a/internal/transport/clients/drain.go
+++ b/internal/transport/clients/drain.go
@@ -9,15 +9,16 @@
 	"aniseloft/internal/routing"
 )
 
-// DrainPolicy decides which requests a server takes, and which connections it closes, during
+// DrainPolicy decides which requests a server accepts, and which connections it closes, during
 // a drain. Its functions may be called from any goroutine.
 type DrainPolicy struct {
-	// Ready reports whether new clients are welcome: the answer to a client's health check.
+	// Ready reports whether new clients are accepted. It is the answer to a client's health check.
 	Ready func() bool
-	// Admit reports whether a request that was received at that time, and is expected to run
-	// so long, is taken; others are rejected with drain.RetryAfter. Nil: all are taken.
+	// Admit reports whether a request is accepted, by the time when it was received and its expected
+	// duration. Other requests are rejected with drain.RetryAfter. Nil accepts all requests.
 	Admit func(receivedAt time.Time, expected time.Duration) bool
-	// Draining reports whether a connection with nothing open is closed. Nil: never.
+	// Draining reports whether connections without open requests are to be closed. Nil stands for
+	// false.
 	Draining func() bool
 }
 
@@ -27,7 +28,7 @@
 	return d.Admit == nil || d.Admit(receivedAt, drain.ExpectedDuration(workMS, class.Threads, class.LatencyObjective))
 }
 
-// findClass returns a class by the name that clients give it.
+// findClass returns the class that a request names, and its index in the settings.
 func findClass(d *routing.Dispatcher, name string) (index int, class decide.Class, err error) {
 	index, ok := d.ClassIndex(name)
 	if !ok {
--- a/internal/transport/clients/errors.go
+++ b/internal/transport/clients/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Why a server rejects a request itself. Each protocol turns them into its answers in one place:
-// jsonrpcConn.errorAnswer and RESTServer.errorAnswer.
+// Errors for which a server rejects a request without the dispatcher. Each protocol converts them to
+// its answers in one place: jsonrpcConn.errorAnswer and RESTServer.errorAnswer.
 var (
 	errUnknownClass      = errors.New("unknown class of queries")
 	errKeyRequired       = errors.New("idempotency key required")
@@ -17,11 +17,11 @@
 	errRecordCorrupt     = errors.New("the record's pages can't be read")
 )
 
-// invalidEstimateError is a request whose timeout or estimates are out of range.
+// invalidEstimateError is returned for a request whose timeout or estimates are out of range.
 type invalidEstimateError struct{ cause error }
 
-// Error is the text that clients get.
+// Error returns the text that is sent to clients.
 func (e invalidEstimateError) Error() string { return e.cause.Error() }
 
-// Unwrap returns the violated bound.
+// Unwrap returns the error that names the violated bound.
 func (e invalidEstimateError) Unwrap() error { return e.cause }
--- a/internal/transport/clients/jsonrpc.go
+++ b/internal/transport/clients/jsonrpc.go
@@ -15,56 +15,58 @@
 )
 
 const (
-	// jsonrpcIdleTimeout closes a connection with nothing open; clients themselves leave after 4 s.
+	// jsonrpcIdleTimeout is how long a connection without open requests is kept. Clients close theirs
+	// after 4 s.
 	jsonrpcIdleTimeout = 5 * time.Second
-	// rejectionPause is how long nothing of a connection is handled after messages that were
-	// rejected: a client that sends such at full speed must not fill the dispatcher.
+	// rejectionPause is how long handling of a connection's messages stops after one was rejected: a
+	// client that sends invalid messages at full speed must not overload the dispatcher.
 	rejectionPause = 20 * time.Millisecond
-	// maxOpenPerConnection bounds the open requests of a connection.
+	// maxOpenPerConnection is the maximum number of open requests on a connection.
 	maxOpenPerConnection = 32
 )
 
-// errTooMuchUnhandled says that too much arrived behind messages that were rejected.
-var errTooMuchUnhandled = errors.New("too much unhandled")
+// errTooMuchUnhandled is returned where a connection's unhandled messages exceed jsonrpc.MaxLineBytes
+// or the input budget.
+var errTooMuchUnhandled = errors.New("too many bytes of unhandled messages")
 
-// JSONRPCServer serves the platform's protocol.
+// JSONRPCServer serves the platform's JSON-RPC protocol.
 type JSONRPCServer struct {
 	Dispatcher   *routing.Dispatcher
 	Drain        DrainPolicy
-	InputBudget  *listener.Budget // what unfinished messages of all clients hold
-	OutputBudget *listener.Budget // what answers not yet written hold
+	InputBudget  *listener.Budget // bytes of incomplete and unhandled messages of all clients
+	OutputBudget *listener.Budget // bytes of queued answers to all clients
 	Log          *slog.Logger
 }
 
 // jsonrpcConn is one connection. Its reader, the goroutine of Serve, reads and handles messages; its
-// writer writes what is queued. Answers are queued from the dispatcher's goroutine.
+// writer writes the queued answers. Both the reader and the dispatcher's goroutine queue answers.
 type jsonrpcConn struct {
 	server *JSONRPCServer
 	conn   *listener.Conn
 	// answers is the writer's queue; queue sends to it and closes it, under mu.
 	answers     chan []byte
-	queuedBytes atomic.Int64 // in answers
+	queuedBytes atomic.Int64 // size of the answers in the queue, in bytes
 
 	mu     sync.Mutex // guards closed and open
 	closed bool       // answers is closed: nothing more is queued
 	open   map[string]*responder
 
-	// The reader's own.
-	machine     jsonrpc.Parser
+	// The fields below are used by the reader only.
+	parser      jsonrpc.Parser
 	rejected    bool    // a message was rejected since the last pause
-	pending     []batch // read and not yet handled
-	pendingSize int     // of those that wait behind others, in bytes
-	budgeted    int     // what the connection holds of the input budget, in bytes
+	pending     []batch // messages that are read and not yet handled
+	pendingSize int     // size of the batches read during a pause, in bytes
+	budgeted    int     // bytes that the connection uses of the input budget
 }
 
-// batch is the messages that one read brought and that are not yet handled.
+// batch holds the messages of one read that are not yet handled.
 type batch struct {
 	messages   []jsonrpc.Message
-	size       int       // in bytes, where it waits behind others
+	size       int       // bytes read; 0 unless it was read during a pause
 	receivedAt time.Time // when its last byte was read
 }
 
-// Serve speaks with one client until it leaves or ctx ends.
+// Serve serves one client until it disconnects or ctx ends.
 func (s *JSONRPCServer) Serve(ctx context.Context, c *listener.Conn) {
 	j := &jsonrpcConn{server: s, conn: c, answers: make(chan []byte, maxQueuedAnswers), open: map[string]*responder{}}
 	buffered := netconn.New(c, netconn.SmallBuffer)
@@ -78,11 +80,11 @@
 	j.cancelAll()
 	<-written
 	if errors.Is(err, errTooMuchUnhandled) || errors.Is(err, jsonrpc.ErrLineTooLong) {
-		netconn.Linger(c.Conn, listener.RetransmitWindow) // it may still be sending; the answer that says why it is cut off must reach it
+		netconn.Linger(c.Conn, listener.RetransmitWindow) // the client may still be sending, and must get the answer that states the reason
 	}
 }
 
-// readMessages handles what the client sends until the connection is to end, and returns why.
+// readMessages reads and handles messages until the connection is to be closed, and returns the reason.
 func (j *jsonrpcConn) readMessages(ctx context.Context, in *netconn.Conn) error {
 	for {
 		b, at, err := j.conn.ReadMessages(ctx, in, jsonrpcIdleTimeout, j.server.Drain.Draining)
@@ -113,13 +115,14 @@
 	j.conn.AddUnhandled(-len(b.messages))
 }
 
-// parse cuts what was read into messages, which are handled next or wait behind others. Those that
-// cancel a request act at once, whatever waits before them.
-func (j *jsonrpcConn) parse(b []byte, receivedAt time.Time, waits bool) error {
-	messages, err := j.machine.Feed(b)
-	j.conn.RecordRead(len(messages) > 0, j.machine.Buffered() > 0)
+// parse splits bytes that were read into messages and appends them to the pending ones. Cancellations
+// are handled at once, before the messages that are pending. duringPause says that the bytes were read
+// by pauseHandling; only they count against the limit of unhandled bytes.
+func (j *jsonrpcConn) parse(b []byte, receivedAt time.Time, duringPause bool) error {
+	messages, err := j.parser.Feed(b)
+	j.conn.RecordRead(len(messages) > 0, j.parser.Buffered() > 0)
 	latest := batch{receivedAt: receivedAt}
-	if waits {
+	if duringPause {
 		latest.size = len(b)
 	}
 	for _, msg := range messages {
@@ -138,15 +141,16 @@
 	return err
 }
 
-// adjustBudget books what the connection holds of the input budget and reports whether it is within.
+// adjustBudget records the connection's current use of the input budget and reports whether it is
+// allowed.
 func (j *jsonrpcConn) adjustBudget() bool {
 	previous := j.budgeted
-	j.budgeted = j.machine.Buffered() + j.pendingSize
+	j.budgeted = j.parser.Buffered() + j.pendingSize
 	return j.server.InputBudget.Adjust(previous, j.budgeted)
 }
 
-// pauseHandling handles nothing for rejectionPause. The connection is read meanwhile: a client that
-// leaves or cancels something is noticed behind all that it sent.
+// pauseHandling handles no messages for rejectionPause. It keeps reading the connection, so that a
+// disconnect or a cancellation is noticed even behind many unhandled messages.
 func (j *jsonrpcConn) pauseHandling(ctx context.Context, in *netconn.Conn) error {
 	j.rejected = false
 	until := time.Now().Add(rejectionPause)
--- a/internal/transport/clients/jsonrpcrequests.go
+++ b/internal/transport/clients/jsonrpcrequests.go
@@ -12,7 +12,7 @@
 	"aniseloft/internal/routing"
 )
 
-// responder owes one answer to the id of an open request.
+// responder answers one open request. It implements routing.Responder.
 type responder struct {
 	conn   *jsonrpcConn
 	id     string
@@ -37,15 +37,15 @@
 	}
 }
 
-// reject answers a message that can't be taken.
+// reject answers a message that is rejected, which pauses the handling of the connection's messages.
 func (j *jsonrpcConn) reject(line []byte) {
 	j.rejected = true
 	j.send(line)
 }
 
-// rejectIDInUse reports whether a message, whatever it is, came under the id of an open request.
-// Whichever of the two were answered, the client could not tell which it was: the request is
-// cancelled, and the id gets its one answer now.
+// rejectIDInUse reports whether a message has the id of an open request. The client could not tell which
+// of the two an answer belongs to, so the open request is cancelled and a single error is sent for the
+// id.
 func (j *jsonrpcConn) rejectIDInUse(id string) bool {
 	r := j.takeOpen(id)
 	if r == nil {
@@ -56,14 +56,14 @@
 	return true
 }
 
-// takeOpen ends the open request under an id; nil: there is none.
+// takeOpen removes the open request with an id and returns it; nil where there is none.
 func (j *jsonrpcConn) takeOpen(id string) *responder {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.removeOpen(id)
 }
 
-// removeOpen is takeOpen with the lock held.
+// removeOpen is takeOpen for callers that hold j.mu.
 func (j *jsonrpcConn) removeOpen(id string) *responder {
 	r := j.open[id]
 	if r != nil {
@@ -116,8 +116,8 @@
 	return index, nil
 }
 
-// openRequest opens a request under an id; nil: the connection is being closed, and the request is
-// not taken.
+// openRequest registers an open request. It returns nil where the connection is being closed; the
+// request must then be dropped.
 func (j *jsonrpcConn) openRequest(id string) (*responder, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -132,8 +132,8 @@
 	return r, nil
 }
 
-// cancel withdraws a request: one that is open, or one that waits to be handled, in the latest batch
-// or before it.
+// cancel withdraws the open request with an id, and removes unhandled requests with it from the latest
+// batch and the pending ones.
 func (j *jsonrpcConn) cancel(id string, latest *batch) {
 	if r := j.takeOpen(id); r != nil {
 		j.server.Dispatcher.Withdraw(r.ticket)
@@ -144,7 +144,7 @@
 	}
 }
 
-// removeRequests takes out the requests under an id and returns how many there were.
+// removeRequests removes the requests with an id and returns their number.
 func (b *batch) removeRequests(id string) int {
 	before := len(b.messages)
 	b.messages = slices.DeleteFunc(b.messages, func(msg jsonrpc.Message) bool {
@@ -154,7 +154,8 @@
 	return before - len(b.messages)
 }
 
-// cancelAll withdraws what is open as the connection ends: nobody waits for it any more.
+// cancelAll withdraws the open requests when the connection ends, as no client waits for them, and
+// closes the queue of answers.
 func (j *jsonrpcConn) cancelAll() {
 	j.mu.Lock()
 	open := j.open
@@ -169,23 +170,23 @@
 	}
 }
 
-// Respond queues the final answer; it runs on the dispatcher's goroutine.
+// Respond queues the final answer. It runs on the dispatcher's goroutine.
 func (r *responder) Respond(a routing.Answer) {
 	line := jsonrpcAnswer(r.id, a)
 	j := r.conn
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.open[r.id] != r { // cancelled, or its client is gone
+	if j.open[r.id] != r { // cancelled, or the client has disconnected
 		return
 	}
 	j.removeOpen(r.id)
 	j.queue(line)
 	if len(j.open) == 0 && j.server.Drain.draining() {
-		j.conn.WakeReader() // its reader is to close it
+		j.conn.WakeReader() // the reader closes the connection
 	}
 }
 
-// jsonrpcAnswer is the dispatcher's answer in this protocol.
+// jsonrpcAnswer encodes the dispatcher's answer.
 func jsonrpcAnswer(id string, a routing.Answer) []byte {
 	switch a.Kind {
 	case routing.Succeeded:
@@ -196,7 +197,7 @@
 	return jsonrpc.EncodeError(id, jsonrpc.CodeFailed, a.Reason)
 }
 
-// errorAnswer is the answer to a request that the server rejects itself.
+// errorAnswer encodes the answer to a request that the server rejects without the dispatcher.
 func (j *jsonrpcConn) errorAnswer(id string, err error) []byte {
 	var invalid invalidEstimateError
 	switch {
--- a/internal/transport/clients/jsonrpcwriter.go
+++ b/internal/transport/clients/jsonrpcwriter.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxQueuedAnswers bounds the answers that wait for a connection's writer.
+	// maxQueuedAnswers is the maximum number of answers that wait for a connection's writer.
 	maxQueuedAnswers = 4 * maxOpenPerConnection
-	// jsonrpcWriteTimeout bounds one write: an answer that a client does not read ends its connection.
+	// jsonrpcWriteTimeout limits one write: a client that does not read an answer is disconnected.
 	jsonrpcWriteTimeout = 5 * time.Second
 )
 
@@ -19,8 +19,9 @@
 	j.queue(line)
 }
 
-// queue never waits: a client that does not read what it asked for is cut off, as is one that has
-// answers waiting while all of them together fill the output budget. The lock is held.
+// queue queues an answer for the writer and never waits. Where the connection's queue is full, or the
+// output budget is exceeded and this connection has answers queued already, the client does not read
+// its answers and is disconnected. The caller holds j.mu.
 func (j *jsonrpcConn) queue(line []byte) {
 	if j.closed {
 		return
@@ -41,8 +42,8 @@
 	_ = j.conn.Close()
 }
 
-// writeAnswers writes what is queued until the queue is closed. After an error it goes on emptying
-// the queue, which the reader closes.
+// writeAnswers writes queued answers until the queue is closed. After an error it closes the connection
+// and discards answers until then.
 func (j *jsonrpcConn) writeAnswers(out *netconn.Conn) {
 	var err error
 	for line := range j.answers {
@@ -58,7 +59,8 @@
 	_ = out.Flush()
 }
 
-// write writes one answer; those that are ready together are sent together.
+// write writes one answer. It flushes only where no further answer is queued, so that several are sent
+// together.
 func (j *jsonrpcConn) write(out *netconn.Conn, line []byte) error {
 	if err := j.conn.SetWriteDeadline(time.Now().Add(jsonrpcWriteTimeout)); err != nil {
 		return err
--- a/internal/transport/clients/rest.go
+++ b/internal/transport/clients/rest.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	restIdleTimeout  = time.Minute     // without a byte of a request
-	restWriteTimeout = 5 * time.Second // a client that does not read is cut off
-	// recordTimeout bounds one call to the record.
+	restIdleTimeout  = time.Minute     // how long a connection without open requests is kept
+	restWriteTimeout = 5 * time.Second // how long a client may take to read an answer before it is disconnected
+	// recordTimeout limits one operation on the record.
 	recordTimeout = 2 * time.Second
-	// badRequestLinger is how long a client that is still sending a bad request may read why it is
-	// cut off.
+	// badRequestLinger is how long a connection is kept after a malformed request, so that a client that
+	// is still sending can read the error answer.
 	badRequestLinger = time.Second
 )
 
-// RESTServer serves the paged REST protocol. A query's state is in the record, which outlives the
-// process; the results are in the spool or, without one, in the record.
+// RESTServer serves the paged REST protocol. The state of a query is stored in the record, which outlives
+// the process. Its result is stored in the spool or, without a spool, in the record.
 type RESTServer struct {
 	Dispatcher    *routing.Dispatcher
 	Record        *store.Store
-	Spool         *spool.Store // of results; nil: the record holds their pages
+	Spool         *spool.Store // stores results; nil: the record stores their pages
 	Drain         DrainPolicy
-	InputBudget   *listener.Budget     // what unfinished requests of all clients hold
-	Retention     time.Duration        // how long an ended query can be read and its key is remembered
-	Node          string               // this coordinator, in a record that several share
-	PurgeInterval time.Duration        // 0: the usual
-	Fleet         leasebackend.Backend // nil, or it has not the job of purging: each coordinator purges
-	// CollectSpool removes what departed coordinators have left in a shared spool; nil: this is not done.
+	InputBudget   *listener.Budget     // bytes of incomplete requests of all clients
+	Retention     time.Duration        // how long an ended query can be read and its idempotency key is kept
+	Node          string               // name of this coordinator in the record, which several may share
+	PurgeInterval time.Duration        // time between two purges; 0: defaultPurgeInterval
+	Fleet         leasebackend.Backend // nil or without lease.JobPruneRecord: each coordinator purges the record
+	// CollectSpool removes results that departed coordinators left in a shared spool; nil: they are not removed.
 	CollectSpool func() error
 	Log          *slog.Logger
 
-	mu   sync.Mutex // guards live
-	live map[string]*restQuery
+	mu   sync.Mutex            // guards live
+	live map[string]*restQuery // by id
 }
 
-// Live is the number of queries whose end is not yet in the record.
+// Live returns the number of queries whose end is not yet in the record.
 func (s *RESTServer) Live() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,34 +66,34 @@
 	s.mu.Unlock()
 }
 
-// findLive returns a query that has not ended; nil: there is none by that id here.
+// findLive returns the query with an id while it has not ended on this coordinator, or nil.
 func (s *RESTServer) findLive(id string) *restQuery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.live[id]
 }
 
-// Serve speaks with one client until it leaves or ctx ends. It answers one request after the other.
+// Serve serves one client until it disconnects or ctx ends. It answers one request after the other.
 func (s *RESTServer) Serve(ctx context.Context, c *listener.Conn) {
 	buffered := netconn.New(c, netconn.SmallBuffer)
 	stop := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
 	defer stop()
-	m, budgeted := rest.NewRequestParser(), 0
+	parser, budgeted := rest.NewRequestParser(), 0
 	defer func() { s.InputBudget.Adjust(budgeted, 0) }()
 	for {
 		b, at, err := c.ReadMessages(ctx, buffered, restIdleTimeout, s.Drain.Draining)
 		if err != nil {
 			return
 		}
-		messages, err := m.Feed(b)
-		c.RecordRead(len(messages) > 0, m.Buffered() > 0)
+		messages, err := parser.Feed(b)
+		c.RecordRead(len(messages) > 0, parser.Buffered() > 0)
 		for _, msg := range messages {
 			if last, ok := s.exchange(ctx, c, buffered, msg, at); !ok || last && err == nil {
 				return
 			}
 		}
-		fits := s.InputBudget.Adjust(budgeted, m.Buffered())
-		if budgeted = m.Buffered(); !fits {
+		fits := s.InputBudget.Adjust(budgeted, parser.Buffered())
+		if budgeted = parser.Buffered(); !fits {
 			return
 		}
 		if err != nil {
@@ -103,13 +103,13 @@
 	}
 }
 
-// exchange answers one request. last reports whether the connection is to be closed after it; ok is
-// false where it has to end at once.
+// exchange answers one request. last reports whether the connection is to be closed after the answer. ok
+// is false where the connection must be closed at once.
 func (s *RESTServer) exchange(ctx context.Context, c *listener.Conn, out *netconn.Conn, msg rest.Request, receivedAt time.Time) (last, ok bool) {
 	if _, starts := msg.(rest.SubmitRequest); starts && netconn.PeerClosed(c.Conn) {
-		return false, false // its client has left while what it sent before was answered
+		return false, false // the client disconnected while an earlier request was answered
 	}
-	if !c.BeginRequest() { // its client sees the close cross it
+	if !c.BeginRequest() { // the connection is being closed: the client sends the request again
 		return false, false
 	}
 	defer c.EndRequest()
@@ -121,7 +121,7 @@
 func (s *RESTServer) answer(ctx context.Context, c *listener.Conn, msg rest.Request, receivedAt time.Time) (out []byte, last bool) {
 	switch m := msg.(type) {
 	case rest.SubmitRequest:
-		return s.statement(ctx, c, m, receivedAt), m.Close
+		return s.startQuery(ctx, c, m, receivedAt), m.Close
 	case rest.PageRequest:
 		return s.page(ctx, m), m.Close
 	case rest.CancelRequest:
@@ -134,7 +134,7 @@
 	return rest.EncodeText(500, "not understood"), true
 }
 
-// errorAnswer is the answer to a request that the server rejects itself.
+// errorAnswer encodes the answer to a request that the server rejects without the dispatcher.
 func (s *RESTServer) errorAnswer(err error) []byte {
 	var invalid invalidEstimateError
 	switch {
@@ -158,10 +158,10 @@
 	return rest.EncodeText(500, "the record can't be read; ask again")
 }
 
-// minRetryAfter is the shortest Retry-After of this protocol, which counts whole seconds.
+// minRetryAfter is the shortest Retry-After of this protocol, which counts in whole seconds.
 const minRetryAfter = time.Second
 
-// rejection answers a query that was not taken, or did not run: its client may try again.
+// rejection encodes the answer for a query that was not accepted or did not run: the client may retry it.
 func rejection(id string, retryAfter time.Duration) []byte {
 	e := rest.ErrorRejected
 	return rest.EncodeResults(429, rest.QueryResults{ID: id, Stats: rest.Stats{State: "FAILED"}, Error: &e}, max(retryAfter, minRetryAfter))
--- a/internal/transport/clients/rest_test.go
+++ b/internal/transport/clients/rest_test.go
@@ -16,51 +16,52 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// A client left while its statement was being recorded: the query was submitted all the same, and could be sent at once.
+// Guards against submitting a query whose client disconnected while its statement was being recorded. Another
+// connection holds the record's write lock until the disconnect is visible.
 func TestStatementIsNotSentIfClientLeavesWhileRecorded(t *testing.T) {
-	for key, ends := range map[string]string{"": "cancelled", "Idempotency-Key: k\r\n": "refused"} {
-		meet := func() bool { // false: the record was held for longer than its front waits, which refuses unrecorded
-			front, p := jsonrpcServer(t, true)
+	for key, wantState := range map[string]string{"": "cancelled", "Idempotency-Key: k\r\n": "refused"} {
+		run := func() bool { // false: the record was locked for longer than the server waits, so nothing was recorded
+			base, endpoint := jsonrpcServer(t, true)
 			path := filepath.Join(testdir.Dir(t), "record.db")
 			record, err := store.Open(t.Context(), path)
 			require.NoError(t, err)
 			defer func() { _ = record.Close() }()
-			server := &RESTServer{Dispatcher: front.Dispatcher, Record: record, Drain: front.Drain, InputBudget: front.InputBudget, Retention: time.Minute, Node: "n0", Log: front.Log}
+			server := &RESTServer{Dispatcher: base.Dispatcher, Record: record, Drain: base.Drain, InputBudget: base.InputBudget, Retention: time.Minute, Node: "n0", Log: base.Log}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			require.NoError(t, server.Start(ctx))
 			l := newListener(t, 4, server.Serve)
-			other, err := sql.Open("sqlite", "file:"+path+"?_pragma=busy_timeout(5000)")
+			db, err := sql.Open("sqlite", "file:"+path+"?_pragma=busy_timeout(5000)")
 			require.NoError(t, err)
-			defer func() { _ = other.Close() }()
-			held, err := other.Conn(t.Context())
+			defer func() { _ = db.Close() }()
+			locker, err := db.Conn(t.Context())
 			require.NoError(t, err)
-			_, err = held.ExecContext(t.Context(), "BEGIN IMMEDIATE")
+			_, err = locker.ExecContext(t.Context(), "BEGIN IMMEDIATE")
 			require.NoError(t, err)
 			client, conn := transporttest.Pair(t)
 			l.ServeConn(conn)
 			transporttest.Write(t, client, "POST /v1/statement HTTP/1.1\r\nHost: a\r\nX-Trino-User: kiosk\r\nX-Trino-Source: look\r\n"+key+"Content-Length: 1\r\n\r\nx")
-			require.Eventually(t, func() bool { return server.Live() == 1 }, transporttest.Patience, 100*time.Microsecond, "its record is waited for")
+			require.Eventually(t, func() bool { return server.Live() == 1 }, transporttest.Patience, 100*time.Microsecond, "the server waits for the record")
 			require.NoError(t, client.Close())
 			require.Eventually(t, func() bool { return netconn.PeerClosed(conn) }, transporttest.Patience, 100*time.Microsecond)
-			_, err = held.ExecContext(t.Context(), "COMMIT")
+			_, err = locker.ExecContext(t.Context(), "COMMIT")
 			require.NoError(t, err)
 			require.Eventually(t, func() bool { return server.Live() == 0 }, transporttest.Patience, time.Millisecond)
-			front.Dispatcher.DescribeEndpoints()
-			require.Empty(t, p.Runs)
+			base.Dispatcher.DescribeEndpoints() // returns once the dispatcher has handled everything submitted before
+			require.Empty(t, endpoint.Runs)
 			var state string
-			err = held.QueryRowContext(t.Context(), "SELECT state FROM query").Scan(&state)
+			err = locker.QueryRowContext(t.Context(), "SELECT state FROM query").Scan(&state)
 			if errors.Is(err, sql.ErrNoRows) {
 				return false
 			}
 			require.NoError(t, err)
-			require.Equal(t, ends, state)
+			require.Equal(t, wantState, state)
 			return true
 		}
-		met := false
-		for n := 0; n < 20 && !met; n++ {
-			met = meet()
+		recorded := false
+		for n := 0; n < 20 && !recorded; n++ {
+			recorded = run()
 		}
-		require.True(t, met)
+		require.True(t, recorded)
 	}
 }
--- a/internal/transport/clients/restlifecycle.go
+++ b/internal/transport/clients/restlifecycle.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// defaultPurgeInterval is the time between two purges of what has expired.
+	// defaultPurgeInterval is the default time between two purges of expired queries and results.
 	defaultPurgeInterval = time.Minute
-	// abandonTimeout is how long a start waits for a record that another coordinator holds locked.
-	abandonTimeout = 10 * time.Second
+	// failUnfinishedTimeout is how long Start waits for a record that another coordinator has locked.
+	failUnfinishedTimeout = 10 * time.Second
 )
 
-// Start marks what an earlier process left unfinished as failed, and purges on a goroutine of its
-// own until ctx ends. It must be called before Serve.
+// Start marks the queries that an earlier process left unfinished as failed, and starts a goroutine that
+// purges until ctx ends. It must be called before Serve.
 func (s *RESTServer) Start(ctx context.Context) error {
 	s.live = map[string]*restQuery{}
-	if err := s.abandon(ctx); err != nil {
+	if err := s.failUnfinished(ctx); err != nil {
 		return err
 	}
 	go s.purgeUntil(ctx)
 	return nil
 }
 
-func (s *RESTServer) abandon(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, abandonTimeout)
+func (s *RESTServer) failUnfinished(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, failUnfinishedTimeout)
 	defer cancel()
 	n, err := s.Record.FailUnfinished(ctx, s.Node)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// purgeUntil purges at once, and at each interval until ctx ends.
+// purgeUntil purges immediately, and then at each interval until ctx ends.
 func (s *RESTServer) purgeUntil(ctx context.Context) {
 	t := time.NewTicker(cmp.Or(s.PurgeInterval, defaultPurgeInterval))
 	defer t.Stop()
@@ -70,7 +70,8 @@
 	}
 }
 
-// purgeRecord drops what has expired: by itself, or for all where this coordinator holds that job.
+// purgeRecord deletes expired queries from the record. Where the fleet has the job of pruning the record,
+// only the coordinator that holds the job does so.
 func (s *RESTServer) purgeRecord(ctx context.Context) error {
 	if s.Fleet == nil || !s.Fleet.HasJob(lease.JobPruneRecord) {
 		_, err := s.Record.DeleteExpired(ctx, time.Now())
--- a/internal/transport/clients/restquery.go
+++ b/internal/transport/clients/restquery.go
@@ -21,28 +21,28 @@
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	// pageSize is the maximum of text on a page, in bytes.
+	// pageSize is the maximum size of a result page's text, in bytes.
 	pageSize = 6000
-	// clientCheckInterval is how often a connection that waits for its statement's first answer is
-	// checked: nothing may begin for a client that left over 100 ms ago.
+	// clientCheckInterval is how often a connection that waits for the first answer to its statement is
+	// checked for a disconnect: nothing may be started for a client that left more than 100 ms ago.
 	clientCheckInterval = 25 * time.Millisecond
-	// spoolRetryInterval is how often a page that waits for space in the spool is tried again.
+	// spoolRetryInterval is how often the write of a page is retried while the spool has no space.
 	spoolRetryInterval = 20 * time.Millisecond
 )
 
-// restQuery is a query that has not ended. The dispatcher answers it by Respond and, where there is
-// a spool, writes its result by the methods of routing.ResultSink.
+// restQuery is a query that has not ended. The dispatcher answers it by calling Respond. With a spool, the
+// result is written by the methods of routing.ResultSink.
 type restQuery struct {
 	server     *RESTServer
 	id         string
-	idempotent bool          // its class may be repeated
-	keyed      bool          // its client can come again for it, by its key
-	spool      *spool.Writer // nil: the record holds its pages
-	ended      chan struct{} // closed once the end is in the record
+	idempotent bool          // the class may be run twice
+	hasKey     bool          // the client can come back for the result by its idempotency key
+	spool      *spool.Writer // nil: the record stores the pages
+	ended      chan struct{} // closed once the end has been recorded, or could not be
 	endOnce    sync.Once
 
-	mu        sync.Mutex      // guards what follows
-	ticket    *routing.Ticket // nil until the dispatcher has it
+	mu        sync.Mutex      // guards the fields below
+	ticket    *routing.Ticket // nil until the query is submitted to the dispatcher
 	cancelled bool
 }
 
@@ -57,11 +57,11 @@
 	q.end(store.StateCanceled, nil, 0)
 }
 
-// clientLeft handles a client that has closed its connection. Without a key nobody can fetch
-// the query; with one its client may come again: what runs goes on, and what was not sent is
-// rejected, which frees the key.
+// clientLeft handles the disconnect of the query's client. Without an idempotency key the result can't be
+// fetched, so the query is cancelled. With a key the client may come back: a running query continues,
+// and one that has not been sent to an endpoint is rejected, which frees the key.
 func (q *restQuery) clientLeft() {
-	if !q.keyed {
+	if !q.hasKey {
 		q.cancel()
 		return
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// watchClient checks whether a query's client leaves before its first answer, or has left while the
-// query was recorded, on a goroutine of its own until stop is called.
+// watchClient checks whether the query's client left while the query was being recorded, and then
+// watches for a disconnect on a separate goroutine until stop is called.
 func (q *restQuery) watchClient(c *listener.Conn) (stop func()) {
 	if netconn.PeerClosed(c.Conn) {
 		q.clientLeft()
@@ -102,8 +102,8 @@
 	return func() { close(done) }
 }
 
-// Respond takes the dispatcher's final answer; the record is written beside the dispatcher's
-// goroutine, and only then does a client learn of it.
+// Respond receives the dispatcher's final answer. The record is written on a separate goroutine, so that
+// the dispatcher's goroutine is not blocked. Clients get the answer only after that write.
 func (q *restQuery) Respond(a routing.Answer) { go q.finish(a) }
 
 var endStates = map[routing.AnswerKind]store.State{
@@ -119,7 +119,7 @@
 		var err error
 		if pages, err = q.storeResult(a.Body, a.Streamed); err != nil {
 			q.server.Log.Warn("result not stored", "query", q.id, "err", err)
-			// It ran: where that is idempotent the client may try again, else it learns no more than that.
+			// The query ran. If it is idempotent the client may retry it, else the query has failed.
 			if state = store.StateFailed; q.idempotent {
 				state, a.RetryAfter = store.StateRejected, q.server.retryAfter(err)
 			}
@@ -128,7 +128,7 @@
 	q.end(state, pages, a.RetryAfter)
 }
 
-// storeResult puts a result where its client will read it: into the spool, or as pages for the record.
+// storeResult writes a result to the spool or, without a spool, returns its pages for the record.
 func (q *restQuery) storeResult(body []byte, streamed bool) (pages []byte, err error) {
 	if q.spool == nil {
 		return codec.Marshal(rest.ParsePages(body, pageSize))
@@ -146,7 +146,7 @@
 	return nil, q.spool.Seal()
 }
 
-// spoolBody writes a result that came in one piece; an attempt before this one may have left pages.
+// spoolBody writes a result that was received as a whole, after removing any pages of an earlier attempt.
 func (q *restQuery) spoolBody(ctx context.Context, body []byte) error {
 	if err := q.spool.Reset(); err != nil {
 		return err
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// spoolEmptyPage gives a streamed result without rows its one page, which is empty.
+// spoolEmptyPage writes an empty page for a streamed result without rows: a result has at least one page.
 func (q *restQuery) spoolEmptyPage() error {
 	if n, _, err := q.server.Spool.Pages(q.id); err != nil || n > 0 {
 		return nil
@@ -167,11 +167,11 @@
 	return q.spool.WritePage(nil)
 }
 
-// Reset drops what an attempt that did not end well has written.
+// Reset drops the pages that an unsuccessful attempt has written.
 func (q *restQuery) Reset() error { return q.spool.Reset() }
 
-// WritePage stores a page. While other results are expected to free space it waits, until ctx ends, and the
-// endpoint is not read meanwhile.
+// WritePage stores a page. While the spool has no space but other results are expected to free some, it
+// waits until ctx ends; the endpoint's connection is not read meanwhile.
 func (q *restQuery) WritePage(ctx context.Context, rows []byte) error {
 	for {
 		err := q.spool.WritePage(rows)
@@ -187,12 +187,12 @@
 	}
 }
 
-// end records the end. Where that fails the client learns of no good end: a query that is idempotent
-// reads as rejected, a load as failed, as it would after a restart.
+// end records the end of the query. Where that fails, the client is not told of a success: a query of an
+// idempotent class reads as rejected and any other as failed, as it would after a restart.
 func (q *restQuery) end(state store.State, pages []byte, retryAfter time.Duration) {
 	q.endOnce.Do(func() {
 		if q.spool != nil && state != store.StateSucceeded {
-			_ = q.spool.Abort() // frees its space at once
+			_ = q.spool.Abort() // frees the reserved space at once
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
@@ -204,13 +204,13 @@
 	})
 }
 
-// maxRetryAfter is the longest Retry-After that clients heed.
+// maxRetryAfter returns the longest Retry-After that clients observe.
 func (s *RESTServer) maxRetryAfter() time.Duration {
 	return millis.Duration(s.Dispatcher.Settings().MaxRetryAfter)
 }
 
-// retryAfter is the Retry-After of a result that finds no space: when some is expected to be freed, as far
-// as clients heed it.
+// retryAfter returns the Retry-After for a result that could not be stored: the time until space is
+// expected to be free, if err states one, but at most maxRetryAfter.
 func (s *RESTServer) retryAfter(err error) time.Duration {
 	var capacity spool.CapacityError
 	if errors.As(err, &capacity) && capacity.RetryAfterMS > 0 {
--- a/internal/transport/clients/restresults.go
+++ b/internal/transport/clients/restresults.go
@@ -12,15 +12,15 @@
 	"aniseloft/internal/store"
 )
 
-// msgRecordUnreadable is logged where a query's row cannot be read from the record.
+// msgRecordUnreadable is the log message for a query whose row can't be read from the record.
 const msgRecordUnreadable = "query record unreadable"
 
-// restPollWait is how long an answer waits for the end of its query.
+// restPollWait is how long the answer to a poll is held until the query ends.
 const restPollWait = time.Second
 
-// await waits up to restPollWait for a query's end and answers with what there is; first is set for
-// the answer to the statement itself.
-func (s *RESTServer) await(ctx context.Context, row *store.Query, host string, page int, first bool) []byte {
+// awaitEnd waits up to restPollWait for a query to end and returns the answer for its state. first is set
+// for the answer to the statement itself.
+func (s *RESTServer) awaitEnd(ctx context.Context, row *store.Query, host string, page int, first bool) []byte {
 	if q := s.findLive(row.ID); q != nil && row.State == store.StateRunning {
 		t := time.NewTimer(restPollWait)
 		defer t.Stop()
@@ -36,7 +36,7 @@
 		s.Log.Warn(msgRecordUnreadable, "query", row.ID, "err", err)
 		return s.errorAnswer(errRecordUnavailable)
 	}
-	return s.results(latest, host, page, first)
+	return s.endedAnswer(latest, host, page, first)
 }
 
 func (s *RESTServer) readRow(ctx context.Context, id string) (*store.Query, error) {
@@ -45,12 +45,12 @@
 	return s.Record.Get(ctx, id)
 }
 
-// results is the answer for an ended query.
-func (s *RESTServer) results(row *store.Query, host string, page int, first bool) []byte {
+// endedAnswer returns the answer for an ended query.
+func (s *RESTServer) endedAnswer(row *store.Query, host string, page int, first bool) []byte {
 	switch row.State {
 	case store.StateSucceeded:
 		return s.resultPage(row, host, page)
-	case store.StateRunning: // with nobody to end it: its end could not be recorded
+	case store.StateRunning: // the query has ended, but its end could not be recorded
 		if _, class, err := findClass(s.Dispatcher, row.Class); err == nil && class.Idempotency == decide.IdempotentAlways {
 			return rejection(row.ID, s.maxRetryAfter())
 		}
@@ -66,12 +66,12 @@
 	return failure(row.ID, rest.ErrorFailed, 0)
 }
 
-// failure is the answer for a query that ended without a result.
+// failure encodes the answer for a query that ended without a result.
 func failure(id string, e rest.QueryError, retryAfter time.Duration) []byte {
 	return rest.EncodeResults(200, rest.QueryResults{ID: id, Stats: rest.Stats{State: "FAILED"}, Error: &e}, retryAfter)
 }
 
-// resultPage is the answer with one page of a result.
+// resultPage returns the answer with one page of a result.
 func (s *RESTServer) resultPage(row *store.Query, host string, page int) []byte {
 	if len(row.Pages) == 0 && s.Spool != nil {
 		return s.spooledPage(row, host, page)
@@ -86,8 +86,8 @@
 	return pageAnswer(row, host, page, rest.DescribeColumns(pages), pages[page], page+1 == len(pages))
 }
 
-// spooledPage is the answer with a page of the spool. Once a result has expired, every page of
-// it answers with the same error.
+// spooledPage returns the answer with a page from the spool. Once a result has expired, the answer for each
+// of its pages is the same error.
 func (s *RESTServer) spooledPage(row *store.Query, host string, page int) []byte {
 	b, last, err := s.Spool.Read(row.ID, page)
 	switch {
@@ -103,7 +103,7 @@
 	return pageAnswer(row, host, page, rest.DescribeColumns([][][]string{rows}), rows, last)
 }
 
-// pageAnswer is the answer with a page, which names the next one unless it is the last.
+// pageAnswer encodes the answer with a page, and with the URI of the next page unless it is the last.
 func pageAnswer(row *store.Query, host string, page int, columns []rest.Column, rows [][]string, last bool) []byte {
 	out := rest.QueryResults{ID: row.ID, Columns: columns, Data: rows, Stats: rest.Stats{State: "FINISHED"}}
 	if !last {
@@ -112,7 +112,7 @@
 	return rest.EncodeResults(200, out, 0)
 }
 
-// lookup finds a query by the address that its client was given.
+// lookup finds a query by the id and the slug of the URI that its client was given.
 func (s *RESTServer) lookup(ctx context.Context, id, slug string) (*store.Query, error) {
 	row, err := s.readRow(ctx, id)
 	if errors.Is(err, store.ErrNotFound) || err == nil && row.Slug != slug {
@@ -125,16 +125,16 @@
 	return row, nil
 }
 
-// page answers a poll for a page.
+// page returns the answer to a poll for a page.
 func (s *RESTServer) page(ctx context.Context, m rest.PageRequest) []byte {
 	row, err := s.lookup(ctx, m.ID, m.Slug)
 	if err != nil {
 		return s.errorAnswer(err)
 	}
-	return s.await(ctx, row, m.Host, m.Token, false)
+	return s.awaitEnd(ctx, row, m.Host, m.Token, false)
 }
 
-// cancel withdraws a query, or drops its result: no answer is owed any more.
+// cancel cancels a running query, or drops the spooled result of one that has succeeded.
 func (s *RESTServer) cancel(ctx context.Context, m rest.CancelRequest) []byte {
 	row, err := s.lookup(ctx, m.ID, m.Slug)
 	if err != nil {
--- a/internal/transport/clients/reststatement.go
+++ b/internal/transport/clients/reststatement.go
@@ -18,15 +18,16 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// newToken returns a random id for a query or its address.
+// newToken returns a random token: the id of a query, or the slug in its URI.
 func newToken() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// statement starts a query, or joins the one that the key names, and answers with what there is of it.
-func (s *RESTServer) statement(ctx context.Context, c *listener.Conn, m rest.SubmitRequest, receivedAt time.Time) []byte {
+// startQuery starts a query, or finds the existing one with the same idempotency key, and returns the answer
+// for its state.
+func (s *RESTServer) startQuery(ctx context.Context, c *listener.Conn, m rest.SubmitRequest, receivedAt time.Time) []byte {
 	index, class, err := s.admit(m, receivedAt)
 	if err != nil {
 		if errors.Is(err, errDraining) {
@@ -36,8 +37,8 @@
 	}
 	deadline := receivedAt.Add(statementTimeout(m, class))
 	row := s.newRow(m, deadline)
-	q := &restQuery{server: s, id: row.ID, idempotent: class.Idempotency == decide.IdempotentAlways, keyed: m.IdempotencyKey != "", ended: make(chan struct{})}
-	s.addLive(q) // before the row, so that who finds the row finds this
+	q := &restQuery{server: s, id: row.ID, idempotent: class.Idempotency == decide.IdempotentAlways, hasKey: m.IdempotencyKey != "", ended: make(chan struct{})}
+	s.addLive(q) // before the row is written, so that a poll that finds the row also finds the live query
 	existing, err := s.beginRow(ctx, row, deadline)
 	if err != nil {
 		s.Log.Warn("query rejected", "query", row.ID, "reason", "not recorded", "err", err)
@@ -49,7 +50,7 @@
 		if existing.Digest != row.Digest {
 			return s.errorAnswer(errKeyReused)
 		}
-		return s.await(ctx, existing, m.Host, 0, true)
+		return s.awaitEnd(ctx, existing, m.Host, 0, true)
 	}
 	if err := q.reserveSpool(row); err != nil {
 		s.Log.Warn("query rejected", "query", row.ID, "reason", "no space in the spool", "err", err)
@@ -59,7 +60,7 @@
 	defer q.watchClient(c)()
 	q.submit(index, m, deadline)
 	row.State = store.StateRunning
-	return s.await(ctx, &row, m.Host, 0, true)
+	return s.awaitEnd(ctx, &row, m.Host, 0, true)
 }
 
 // admit checks a statement and returns its class.
@@ -80,7 +81,8 @@
 	return index, class, nil
 }
 
-// statementTimeout is the client's timeout, within the class's own.
+// statementTimeout returns the client's timeout, or the class's deadline where that is shorter or the client
+// gives none.
 func statementTimeout(m rest.SubmitRequest, class decide.Class) time.Duration {
 	timeout := class.Deadline
 	if m.TimeoutMS > 0 {
@@ -89,21 +91,22 @@
 	return millis.Duration(timeout)
 }
 
-// newRow is the record of a statement's query. Its digest tells two statements under one key apart.
+// newRow returns the row for a statement's query. Its digest distinguishes statements sent with the same
+// idempotency key.
 func (s *RESTServer) newRow(m rest.SubmitRequest, deadline time.Time) store.Query {
 	digest := sha256.Sum256(append([]byte(m.Class+"\x00"), m.Statement...))
 	return store.Query{ID: newToken(), Slug: newToken(), IdempotencyKey: m.IdempotencyKey, Digest: hex.EncodeToString(digest[:]), Class: m.Class,
 		Owner: m.User, Coordinator: s.Node, ExpiresAt: deadline.Add(s.Retention)}
 }
 
-// beginRow records a query, unless there is one under its key, which it returns.
+// beginRow records a query. If a query with the same idempotency key exists, it returns that one instead.
 func (s *RESTServer) beginRow(ctx context.Context, row store.Query, deadline time.Time) (existing *store.Query, err error) {
 	ctx, cancel := context.WithDeadline(ctx, netconn.Earlier(deadline, time.Now().Add(recordTimeout)))
 	defer cancel()
 	return s.Record.Begin(ctx, row)
 }
 
-// reserveSpool reserves space for the result before anything is sent: later there might be none.
+// reserveSpool reserves space for the result before the query is sent, as none might be left afterwards.
 func (q *restQuery) reserveSpool(row store.Query) (err error) {
 	if q.server.Spool == nil {
 		return nil
@@ -112,7 +115,7 @@
 	return err
 }
 
-// submit hands the query to the dispatcher, unless its client cancelled it meanwhile.
+// submit submits the query to the dispatcher, unless it has been cancelled.
 func (q *restQuery) submit(class int, m rest.SubmitRequest, deadline time.Time) {
 	query := routing.Query{CallID: q.id, Class: class, Statement: m.Statement, Deadline: deadline, EstimatedWork: m.EstimatedWorkMS,
 		EstimatedMemoryMB: m.EstimatedMemoryMB, IdempotencyKey: m.IdempotencyKey}
--- a/internal/transport/clients/wire_bytes_test.go
+++ b/internal/transport/clients/wire_bytes_test.go
@@ -25,81 +25,81 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// The files of these tests hold every byte that the drivers wrote before their packages were renamed, when all were in one
-// package: go test ./internal/transport -run WireBytes -update.
+// The golden files of these tests hold every byte that the servers read and write. To rewrite them:
+// go test ./internal/transport/clients -run WireBytes -update
 
-// Each answer of the JSON-RPC server, the dispatcher's and its own.
+// Covers each kind of answer of the JSON-RPC server, those of the dispatcher and those of the server itself.
 func TestJSONRPCServerWireBytes(t *testing.T) {
-	front, p := jsonrpcServer(t, true)
+	base, endpoint := jsonrpcServer(t, true)
 	admitted := true
-	front.Drain.Admit = func(time.Time, time.Duration) bool { return admitted }
-	l := newListener(t, 4, front.Serve)
+	base.Drain.Admit = func(time.Time, time.Duration) bool { return admitted }
+	l := newListener(t, 4, base.Serve)
 	client, server := transporttest.Pair(t)
 	l.ServeConn(server)
 	r, out := bufio.NewReader(client), &transporttest.Transcript{}
-	request := func(id int, more string) string {
-		return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"call":"%016x","ttl":9000,"work":5,"ram":0,"doc":"eA=="%s}}`+"\n", id, id, more)
+	request := func(id int, extra string) string {
+		return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"call":"%016x","ttl":9000,"work":5,"ram":0,"doc":"eA=="%s}}`+"\n", id, id, extra)
 	}
-	say := func(message string) { out.Add(">", message); transporttest.Write(t, client, message) }
-	hear := func() {
+	send := func(message string) { out.Add(">", message); transporttest.Write(t, client, message) }
+	receive := func() {
 		line, err := r.ReadString('\n')
 		require.NoError(t, err)
 		out.Add("<", line)
 	}
-	say(`{"jsonrpc":"2.0","id":1,"method":"alive"}` + "\n")
-	hear()
-	say(request(2, ""))
-	transporttest.Receive(t, p.Runs) <- transporttest.Succeeded
-	hear()
-	say(request(3, ""))
-	transporttest.Receive(t, p.Runs) <- routing.Result{Outcome: decide.OutcomeError, Reason: "spoilt"}
-	hear()
-	say(`{"jsonrpc":"2.0","id":4,"method":"none","params":{"call":"0000000000000004","ttl":9000,"work":5,"ram":0,"doc":"eA=="}}` + "\n")
-	hear()
-	say(`{"jsonrpc":"2.0","id":5,"method":"look","params":{"call":"0000000000000005","ttl":900000,"work":5,"ram":0,"doc":"eA=="}}` + "\n")
-	hear()
-	say("no message\n")
-	hear()
-	say(request(6, ""))
-	end := transporttest.Receive(t, p.Runs)
-	say(request(6, ""))
-	hear()
+	send(`{"jsonrpc":"2.0","id":1,"method":"alive"}` + "\n")
+	receive()
+	send(request(2, ""))
+	transporttest.Receive(t, endpoint.Runs) <- transporttest.Succeeded
+	receive()
+	send(request(3, ""))
+	transporttest.Receive(t, endpoint.Runs) <- routing.Result{Outcome: decide.OutcomeError, Reason: "spoilt"}
+	receive()
+	send(`{"jsonrpc":"2.0","id":4,"method":"none","params":{"call":"0000000000000004","ttl":9000,"work":5,"ram":0,"doc":"eA=="}}` + "\n")
+	receive()
+	send(`{"jsonrpc":"2.0","id":5,"method":"look","params":{"call":"0000000000000005","ttl":900000,"work":5,"ram":0,"doc":"eA=="}}` + "\n")
+	receive()
+	send("no message\n")
+	receive()
+	send(request(6, ""))
+	end := transporttest.Receive(t, endpoint.Runs)
+	send(request(6, ""))
+	receive()
 	close(end)
 	admitted = false
-	say(request(7, ""))
-	hear()
+	send(request(7, ""))
+	receive()
 	admitted = true
 	for id := 100; id < 100+maxOpenPerConnection; id++ {
 		transporttest.Write(t, client, request(id, ""))
 	}
-	say(request(8, ""))
-	hear()
+	send(request(8, ""))
+	receive()
 	golden.Equal(t, "testdata/jsonrpc-server.txt", []byte(out.String()))
 }
 
-// Each answer of the REST server, from the record, the dispatcher and its own.
+// Covers the answers of the REST server: those from the record, from the dispatcher and of the server itself.
 func TestRESTServerWireBytes(t *testing.T) {
-	front, p := jsonrpcServer(t, true)
+	base, endpoint := jsonrpcServer(t, true)
 	record, err := store.Open(t.Context(), filepath.Join(testdir.Dir(t), "record.db"))
 	require.NoError(t, err)
 	defer func() { _ = record.Close() }()
 	admitted := true
-	f := &RESTServer{Dispatcher: front.Dispatcher, Record: record, InputBudget: front.InputBudget, Retention: time.Minute, Node: "n0", Log: front.Log,
-		Drain: DrainPolicy{Ready: front.Drain.Ready, Admit: func(time.Time, time.Duration) bool { return admitted }}}
+	restServer := &RESTServer{Dispatcher: base.Dispatcher, Record: record, InputBudget: base.InputBudget, Retention: time.Minute, Node: "n0", Log: base.Log,
+		Drain: DrainPolicy{Ready: base.Drain.Ready, Admit: func(time.Time, time.Duration) bool { return admitted }}}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	require.NoError(t, f.Start(ctx))
-	l := newListener(t, 4, f.Serve)
+	require.NoError(t, restServer.Start(ctx))
+	l := newListener(t, 4, restServer.Serve)
 	client, server := transporttest.Pair(t)
 	l.ServeConn(server)
 	r := bufio.NewReader(client)
 	out := &transporttest.Transcript{Patterns: map[*regexp.Regexp]string{regexp.MustCompile("[0-9a-f]{24}"): "(token)"}}
 	next := regexp.MustCompile(`"nextUri":"http://a([^"]*)"`)
-	var path string // of the latest answer
-	exchange := func(request string, while func()) {
+	var path string // of the latest nextUri
+	exchange := func(request string, meanwhile func()) {
 		out.Add(">", request)
 		transporttest.Write(t, client, request)
-		while()
+		meanwhile()
 		var raw bytes.Buffer
 		answer, err := http.ReadResponse(bufio.NewReader(io.TeeReader(&transporttest.ByteReader{From: r}, &raw)), nil)
 		require.NoError(t, err)
@@ -120,7 +120,7 @@
 	exchange(get("/nowhere"), nothing)
 	rows := strings.Repeat("alpha\tbeta\tgamma\n", pageSize/17+10) // two pages
 	exchange(statement("look", "Idempotency-Key: k\r\n", "x"), func() {
-		transporttest.Receive(t, p.Runs) <- routing.Result{Outcome: decide.OutcomeSucceeded, Body: []byte(rows)}
+		transporttest.Receive(t, endpoint.Runs) <- routing.Result{Outcome: decide.OutcomeSucceeded, Body: []byte(rows)}
 	})
 	exchange(get(path), nothing)
 	last := path
@@ -131,20 +131,20 @@
 	exchange(statement("none", "", "x"), nothing)
 	exchange(statement("look", "X-Aniseloft-Work-Ms: 900000\r\n", "x"), nothing)
 	exchange(statement("look", "", "x"), func() {
-		transporttest.Receive(t, p.Runs) <- routing.Result{Outcome: decide.OutcomeError, Reason: "spoilt"}
+		transporttest.Receive(t, endpoint.Runs) <- routing.Result{Outcome: decide.OutcomeError, Reason: "spoilt"}
 	})
 	admitted = false
 	exchange(statement("look", "", "x"), nothing)
 	admitted = true
 	var run chan routing.Result
-	exchange(statement("look", "", "x"), func() { run = transporttest.Receive(t, p.Runs) })
+	exchange(statement("look", "", "x"), func() { run = transporttest.Receive(t, endpoint.Runs) })
 	exchange("DELETE "+path+" HTTP/1.1\r\nHost: a\r\n\r\n", nothing)
 	exchange(get(path), nothing)
 	close(run)
 	golden.Equal(t, "testdata/rest-server.txt", []byte(out.String()))
 }
 
-// The lines of the admin server, and how it answers those that are no call.
+// Covers the answers of the admin server to valid calls and to lines that are no valid call.
 func TestAdminServerWireBytes(t *testing.T) {
 	a := &AdminServer{Execute: func(c admin.Command) []byte { return admin.Ack("did " + c.String()) }, Log: slog.New(slog.DiscardHandler)}
 	out := &transporttest.Transcript{}
