--- a/internal/transport/listener/conn.go
+++ b/internal/transport/listener/conn.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// messageTimeout bounds the time to a client's first complete message, and to the end of each that
-	// it has begun. Some clients take 2 s to write a request, which must not be cut off at its last
-	// byte; the protocol wants an answer or a close within 3 s.
+	// messageTimeout limits the time to a client's first complete message, and to the end of each message
+	// that it has begun. Some clients take 2 s to write a request, and must be able to complete it;
+	// the protocol requires an answer or a close within 3 s.
 	messageTimeout = 2500 * time.Millisecond
-	// drainGracePeriod is how long a connection that arrives during a drain may take to send its
-	// first message, which is then served. It is also how long after its latest bytes a client
+	// drainGracePeriod is how long a new connection may take to send its first message during a drain;
+	// the message is then served. It is also how long after its latest bytes a client
 	// counts as still sending a message.
 	drainGracePeriod = 300 * time.Millisecond
 	// drainCheckInterval is how often a reader checks, during a drain, whether its connection can
@@ -24,30 +24,31 @@
 	drainCheckInterval = 50 * time.Millisecond
 )
 
-// ErrClosing says that this side closes the connection, as nothing is open on it.
+// ErrClosing is returned where this side closes a connection that has no open requests.
 var ErrClosing = errors.New("closed by this side")
 
-// Conn is one client connection with what decides whether it may be closed.
+// Conn is one client connection with the state that decides whether it may be closed.
 //
-// Invariant: once closing is set, no request is open on it and none is begun any more. mu guards all
-// that follows it; the deadlines of the reader are set under it, so that an eviction is never undone.
+// Invariant: once closing is set, no request is open on the connection and none can be opened. mu guards
+// the fields below it. The reader's deadlines are set with mu held, so that the reader can't undo an
+// eviction.
 type Conn struct {
 	net.Conn
 	listener *Listener
 
 	mu           sync.Mutex
-	lastActive   time.Time // when it arrived, last completed a message or got its last answer
-	partialSince time.Time // when the message began that is not complete; zero: none
-	partialReads int       // that brought pieces of it
-	lastRead     time.Time // when its last bytes came
-	sentMessage  bool      // it has sent a complete message
-	openRequests int       // requests without their answer
-	unhandled    int       // messages that are read and not yet handled
-	closing      bool      // this side closes it
-	evicted      bool      // another connection has its place
+	lastActive   time.Time // when it was accepted, last completed a message, or a request last began or ended
+	partialSince time.Time // when the incomplete message began; zero: there is none
+	partialReads int       // number of reads with a part of the incomplete message
+	lastRead     time.Time // when bytes were last read
+	sentMessage  bool      // the client has sent a complete message
+	openRequests int       // number of unanswered requests
+	unhandled    int       // number of messages that are read and not yet handled
+	closing      bool      // this side closes the connection
+	evicted      bool      // closed to make room for another connection
 }
 
-// RecordRead notes what a read brought: complete messages, the beginning of one, or both.
+// RecordRead records the result of a read: whether it completed messages, and whether it left one incomplete.
 func (c *Conn) RecordRead(completed, incomplete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,8 +67,8 @@
 	}
 }
 
-// SetReadDeadline sets the deadline of the connection's reader; an evicted connection keeps one that
-// has passed.
+// SetReadDeadline sets the deadline of the connection's reader. For an evicted connection the deadline
+// stays in the past.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,9 +78,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// BeginRequest notes that a request is open. Where it returns false the request must be dropped: the
-// connection is being closed and could carry no answer. Its client sees the close cross the request
-// and sends it again.
+// BeginRequest records an open request. Where it returns false the request must be dropped: the
+// connection is being closed, so the answer could not be sent. The client sees the close without an
+// answer and sends the request again.
 func (c *Conn) BeginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	return true
 }
 
-// EndRequest notes that a request has its answer, or needs none.
+// EndRequest records that a request is answered or needs no answer.
 func (c *Conn) EndRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +110,7 @@
 // CountDrainRejection counts a request that was rejected because of a drain.
 func (c *Conn) CountDrainRejection() { c.listener.counts.rejectedInDrain.Add(1) }
 
-// closeDeadline is when the connection is to be closed, as things stand.
+// closeDeadline returns when the connection is to be closed if its state does not change.
 func (c *Conn) closeDeadline(idleTimeout time.Duration) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,26 +125,26 @@
 	return c.lastActive.Add(idleTimeout)
 }
 
-// closeReason is why this side closes a connection.
+// closeReason is the reason why this side closes a connection.
 type closeReason int
 
 const (
-	closeTimeout  closeReason = iota // its time is up
-	closeDrain                       // the coordinator drains
-	closeShutdown                    // the listener ends
-	closeEvicted                     // another connection takes its place
+	closeTimeout  closeReason = iota // idle for too long, or a message took too long
+	closeDrain                       // the coordinator is draining
+	closeShutdown                    // the listener is shutting down
+	closeEvicted                     // room is needed for another connection
 )
 
-// claimClose begins a close by this side and reports whether one has begun. It does so only while
-// nothing is open on the connection and no byte of it waits unread: a request that came before the
-// claim is served, one that comes after is not taken.
+// claimClose begins a close by this side and reports whether one has begun. It does so only while the
+// connection has no open requests, unhandled messages or unread bytes: a request that arrived before
+// the claim is served, and a later one is dropped.
 func (c *Conn) claimClose(reason closeReason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
 		return true
 	}
-	// For a drain no message may be in progress, and the connection has had its chance to send its first.
+	// During a drain, a client may complete its message, and a new connection gets time for its first one.
 	early := reason == closeDrain && (!c.partialSince.IsZero() || !c.sentMessage && time.Since(c.lastActive) < drainGracePeriod)
 	if c.openRequests > 0 || c.unhandled > 0 || early || netconn.HasUnread(c.Conn) {
 		return false
@@ -155,7 +156,7 @@
 	return true
 }
 
-// closeState reports whether this side closes the connection, and whether for another's place.
+// closeState reports whether this side closes the connection, and whether by an eviction.
 func (c *Conn) closeState() (closing, evicted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,9 +168,10 @@
 	return closing
 }
 
-// ReadMessages waits for bytes from the client through its buffer in, which are valid until the next
-// read, and returns when they came. The error is ErrClosing once the connection has been idle for
-// the timeout, or has nothing open while draining reports true (nil: never) or after ctx has ended.
+// ReadMessages waits for bytes from the client and returns them with the time of the read. in is the
+// connection's buffer; the bytes are valid until its next read. The error is ErrClosing once this side closes
+// the connection: it was idle for the timeout, took too long for a message, was evicted, or has no open requests
+// while draining reports true (nil: never) or after ctx has ended.
 func (c *Conn) ReadMessages(ctx context.Context, in *netconn.Conn, idleTimeout time.Duration, draining func() bool) ([]byte, time.Time, error) {
 	for {
 		shutdown := ctx.Err() != nil
@@ -182,7 +184,7 @@
 			deadline = check
 		}
 		readCtx := ctx
-		if shutdown { // what was sent before the claim is still read
+		if shutdown { // requests that were sent before the close is claimed are still read
 			readCtx = context.WithoutCancel(ctx)
 		}
 		b, err := in.Read(readCtx, deadline)
@@ -190,7 +192,7 @@
 		switch {
 		case err == nil:
 			return b, at, nil
-		case !shutdown && ctx.Err() != nil: // interrupted to check again
+		case !shutdown && ctx.Err() != nil: // interrupted by the end of ctx: check again
 		case !netconn.IsTimeout(err):
 			return nil, at, err
 		case !at.Before(c.closeDeadline(idleTimeout)) && c.claimClose(closeTimeout):
@@ -201,31 +203,32 @@
 	}
 }
 
-// WakeReader has the connection's reader check again whether to go on.
+// WakeReader makes the connection's reader check again whether to close.
 func (c *Conn) WakeReader() {
 	if !c.isClosing() {
 		_ = c.SetReadDeadline(time.Now())
 	}
 }
 
-// receivingMessage reports whether its client is in the middle of sending a message: part of one has
-// come, the latest bytes a short while ago.
+// receivingMessage reports whether the client is currently sending a message: it is incomplete, and the
+// latest bytes are more recent than drainGracePeriod.
 func (c *Conn) receivingMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.partialSince.IsZero() && time.Since(c.lastRead) < drainGracePeriod
 }
 
-// writesSlowly reports whether its client is writing a message in pieces, as more than the beginning has come of it. One that
-// stopped in the middle counts until its time for the message is over.
+// writesSlowly reports whether the client is writing a message in pieces, that is, more than one read brought a part of it.
+// A client that stopped in the middle counts as writing until messageTimeout has passed.
 func (c *Conn) writesSlowly() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.partialReads > 1 && time.Since(c.partialSince) < messageTimeout
 }
 
-// idleSince returns since when nothing is open on it and no byte came; ok is false while something
-// is open. A client that sends slowly is active, one that stopped in the middle is not.
+// idleSince returns the time since when the connection is idle: its last activity or its latest bytes. ok is
+// false while it has open requests or unhandled messages, or is being closed. Each piece of a message
+// counts as activity, so that a slow sender is not idle, but one that stopped in the middle is.
 func (c *Conn) idleSince() (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/listener/eviction.go
+++ b/internal/transport/listener/eviction.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// minEvictionAge is how long a connection is spared from eviction after its last activity: the first message of a new one
-// may be on its way.
+// minEvictionAge is how long after its last activity a connection is not evicted: the first message of a new connection may
+// be on its way.
 const minEvictionAge = 25 * time.Millisecond
 
-// makePlace reports whether there is a place for one more connection, evicting one if need be: clients may hold theirs
-// for good, or connect and send nothing.
-func (l *Listener) makePlace() bool {
+// makeRoom reports whether one more connection is within the limit. At the limit it evicts an idle connection if it can, as
+// clients may keep connections open forever, or connect and send nothing.
+func (l *Listener) makeRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.conns) < l.limit {
@@ -20,13 +20,13 @@
 	}
 	l.counts.evicted.Add(1)
 	delete(l.conns, victim)
-	_ = victim.SetReadDeadline(time.Now()) // its reader is to end it
+	_ = victim.SetReadDeadline(time.Now()) // wakes its reader, which then ends
 	return true
 }
 
-// chooseVictim returns the connection to evict, and since when it is idle: the one that is idle the longest, and one whose
-// client writes a message only where there is no other. A crowd that arrives between two pieces of a slow message must not
-// cut it off. nil: none is idle. The lock is held.
+// chooseVictim returns the connection to evict and the time since when it is idle; nil where none is idle. It chooses the one
+// that is idle the longest. One whose client is writing a message in pieces is chosen only where there is no other, so that
+// many new connections between two pieces do not cut off a slow writer. The caller holds l.mu.
 func (l *Listener) chooseVictim() (victim *Conn, since time.Time) {
 	victimWrites := false
 	for c := range l.conns {
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener accepts clients' connections within a limit, keeps account of what is open on
-// each, and closes them so that no request is lost on the way: when idle, when draining, or to make
-// place for another connection.
+// Package listener accepts client connections up to a limit, tracks the open requests of each, and closes
+// idle connections without losing a request in transit: after a timeout, during a drain, or to make
+// room for another connection.
 package listener
 
 import (
@@ -17,49 +17,49 @@
 )
 
 const (
-	// acceptRetryInterval is the time between two looks for a connection to evict, or between
-	// failed accepts.
+	// acceptRetryInterval is the time between two searches for a connection to evict, and the pause
+	// after a failed accept.
 	acceptRetryInterval = 5 * time.Millisecond
-	// maxLingeringEvicted is how many evicted connections may linger at a time, beyond the limit of
-	// connections; where more are evicted, they are closed at once.
+	// maxLingeringEvicted is how many evicted connections may linger at the same time, in addition to
+	// the limit of connections. Further evicted connections are closed without lingering.
 	maxLingeringEvicted = 4
-	// BacklogWait is how long a listener that stops still accepts what its backlog holds.
+	// BacklogWait is how long a stopping listener still accepts connections from its backlog.
 	BacklogWait = 5 * time.Millisecond
 )
 
-// RetransmitWindow is how long a request may be on its way against a close: within it, by the
-// protocol, its client sends it again on a new connection.
+// RetransmitWindow is the time after a close within which a request may arrive that the client sent before it
+// saw the close. By the protocol, the client then sends the request again on a new connection.
 const RetransmitWindow = 50 * time.Millisecond
 
-// Handler serves one connection until its client leaves or ctx ends.
+// Handler serves one connection until its client disconnects or ctx ends.
 type Handler func(ctx context.Context, c *Conn)
 
-// Listener accepts connections up to a limit and serves each. Run owns the accepting; each
-// connection is served, lingered and closed on a goroutine of its own, which Close waits for.
+// Listener accepts connections up to a limit and serves them. Run accepts; each connection is
+// served, lingered and closed on a separate goroutine, which Close waits for.
 type Listener struct {
 	tcp     net.Listener
 	limit   int
 	handler Handler
-	ctx     context.Context // of all handlers
+	ctx     context.Context // passed to all handlers
 	cancel  context.CancelFunc
 	ended   chan struct{} // closed by Run once no more connections are accepted
-	linger  chan struct{} // semaphore of evicted connections that linger
+	linger  chan struct{} // semaphore for evicted connections that linger
 	active  sync.WaitGroup
 	log     *slog.Logger
 	counts  struct{ accepted, evicted, drained, rejectedInDrain atomic.Int64 }
-	// stopping is set once no more connections are to be accepted but what the backlog holds.
+	// stopping is set once only connections in the backlog are still accepted.
 	stopping atomic.Bool
-	// cutOff is set once nothing more is served at all: what waits for a place is closed.
+	// cutOff is set once all connections are closed, including accepted ones that are not served yet.
 	cutOff atomic.Bool
 
-	mu    sync.Mutex         // guards conns; taken before a connection's own
-	conns map[*Conn]struct{} // those within the limit
+	mu    sync.Mutex         // guards conns; locked before a connection's mutex
+	conns map[*Conn]struct{} // connections that count against the limit
 }
 
-// Listen opens addr; at most limit connections are served at a time. Where more arrive, the one idle
-// the longest is evicted for each. Another process may listen at the same address.
+// Listen opens addr; at most limit connections are served at a time. Each further connection evicts the one
+// that is idle the longest. Another process may listen at the same address.
 func Listen(addr string, limit int, log *slog.Logger, handler Handler) (*Listener, error) {
-	// No keep-alive: each read has its own deadline, and the calls to set it up cost.
+	// No keep-alive: each read has its own deadline, and setting keep-alive costs system calls.
 	c := net.ListenConfig{KeepAlive: -1, Control: netconn.ReusePort}
 	tcp, err := c.Listen(context.Background(), "tcp4", addr)
 	if err != nil {
@@ -71,10 +71,10 @@
 	return l, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (l *Listener) Addr() net.Addr { return l.tcp.Addr() }
 
-// String is the line of counters that operators read.
+// String returns the line of counters for operators.
 func (l *Listener) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,8 +83,8 @@
 		l.counts.rejectedInDrain.Load())
 }
 
-// Run accepts until StopAccepting or Close. What waits in the backlog counts as established already, so a
-// connection is accepted first, and then a place made for it.
+// Run accepts connections until StopAccepting or Close. Connections in the backlog are established for their
+// clients already, so a connection is accepted before room is made for it.
 func (l *Listener) Run() {
 	defer close(l.ended)
 	for {
@@ -99,15 +99,15 @@
 			return
 		default:
 			l.log.Warn("accept failed", "err", err)
-			time.Sleep(acceptRetryInterval) // out of descriptors: let some come free
+			time.Sleep(acceptRetryInterval) // such as for lack of descriptors, some of which may become free
 		}
 	}
 }
 
-// admit waits for a place for an accepted connection and serves it. After the cut-off it closes it.
+// admit waits until an accepted connection is within the limit and serves it. Once cutOff is set it closes it.
 func (l *Listener) admit(c net.Conn) {
 	waited := false
-	for !l.makePlace() {
+	for !l.makeRoom() {
 		if l.cutOff.Load() {
 			_ = c.Close()
 			return
@@ -116,12 +116,12 @@
 		time.Sleep(acceptRetryInterval)
 	}
 	l.ServeConn(c)
-	if waited && l.stopping.Load() && !l.cutOff.Load() { // more may have reached the backlog meanwhile
+	if waited && l.stopping.Load() && !l.cutOff.Load() { // more connections may have reached the backlog
 		l.StopAccepting()
 	}
 }
 
-// ServeConn serves a connection on a goroutine of its own and closes it.
+// ServeConn serves a connection on a separate goroutine and closes it.
 func (l *Listener) ServeConn(raw net.Conn) {
 	c := &Conn{Conn: raw, listener: l, lastActive: time.Now()}
 	l.counts.accepted.Add(1)
@@ -136,8 +136,8 @@
 	}()
 }
 
-// release closes a connection that is served no more. Where this side closes it, what its client
-// sends meanwhile is discarded rather than answered by a reset.
+// release closes a connection after its handler has returned. Where this side began the close, bytes that
+// the client still sends are discarded first, as they would otherwise cause a reset.
 func (l *Listener) release(c *Conn) {
 	closing, evicted := c.closeState()
 	if closing && !evicted {
@@ -146,7 +146,7 @@
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
-	if evicted { // another connection has its place already
+	if evicted { // it does not count against the limit any more
 		select {
 		case l.linger <- struct{}{}:
 			netconn.Linger(c.Conn, RetransmitWindow)
@@ -157,7 +157,7 @@
 	_ = c.Close()
 }
 
-// ReceivingMessage reports whether any client is in the middle of sending a message.
+// ReceivingMessage reports whether any client is currently sending a message.
 func (l *Listener) ReceivingMessage() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +169,7 @@
 	return false
 }
 
-// WakeReaders has the readers of all connections check again whether to go on.
+// WakeReaders makes the readers of all connections check again whether to close.
 func (l *Listener) WakeReaders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,8 +178,8 @@
 	}
 }
 
-// StopAccepting accepts what waits in the backlog, then closes the listener: another process at the
-// address gets the connections that come later. What was accepted is still served.
+// StopAccepting closes the listener once the connections in the backlog are accepted. Another process at
+// the same address gets later connections. Accepted connections are still served.
 func (l *Listener) StopAccepting() {
 	l.stopping.Store(true)
 	if t, ok := l.tcp.(*net.TCPListener); ok {
@@ -189,11 +189,11 @@
 	}
 }
 
-// Close shuts down gracefully: it accepts what waits in the backlog and no more, closes each
-// connection once nothing is open on it, and returns when all have ended. What is still open at the
-// deadline is cut off.
+// Close shuts down gracefully: it accepts the connections in the backlog, closes each connection once it
+// has no open requests, and returns when all have ended. At the deadline it closes the
+// remaining connections.
 func (l *Listener) Close(deadline time.Time) {
-	cutOff := time.AfterFunc(time.Until(deadline), l.cutAllOff)
+	cutOff := time.AfterFunc(time.Until(deadline), l.closeAll)
 	defer cutOff.Stop()
 	l.StopAccepting()
 	<-l.ended
@@ -201,9 +201,9 @@
 	l.active.Wait()
 }
 
-// cutAllOff closes all connections and accepts no more: a crowd that goes on connecting would keep the backlog filled, and
-// the process alive, for as long as it comes.
-func (l *Listener) cutAllOff() {
+// closeAll closes all connections and the listener. Without the latter, clients that keep connecting would keep the backlog
+// filled and the process alive.
+func (l *Listener) closeAll() {
 	l.cutOff.Store(true)
 	_ = l.tcp.Close()
 	l.cancel()
