--- a/internal/transport/netconn/conn.go
+++ b/internal/transport/netconn/conn.go
@@ -1,5 +1,5 @@
-// Package netconn reads and writes connections by deadline, and looks at what waits on them: what
-// the drivers of clients, endpoints and discovery share. It knows no protocol.
+// Package netconn reads and writes connections with deadlines, and inspects their state without reading. The
+// packages for clients, endpoints and discovery share it. It implements no protocol.
 package netconn
 
 import (
@@ -10,58 +10,59 @@
 	"time"
 )
 
-// Sizes of a connection's read buffer, in bytes. Hundreds of connections are open at a time in
-// little memory; most messages are short, but a result page with its head should come with one read.
+// Sizes of a connection's read buffer, in bytes. They are small, as hundreds of connections are open at a time
+// and most messages are short; a result page with its header should still fit into one read.
 const (
 	SmallBuffer = 2 << 10
 	PageBuffer  = 8 << 10
 )
 
-// lateDataWait is how long a read whose deadline has passed waits for bytes that have arrived already.
+// lateDataWait is the time for reading bytes that have already arrived when a read's deadline has passed.
 const lateDataWait = time.Millisecond
 
-// Conn is a buffered connection. One goroutine reads and one writes at a time; Interrupt and Close
-// may be called from any.
+// Conn is a buffered connection. At most one goroutine may read and one may write at a time; Interrupt and
+// Close may be called from any goroutine.
 type Conn struct {
 	raw  net.Conn
 	text *textproto.Conn
 }
 
-// New returns a buffered connection over raw, which it owns from then on, with a read buffer of so
-// many bytes.
+// New returns a buffered connection over raw, which it owns from then on. readBuffer is the size of the
+// read buffer in bytes.
 func New(raw net.Conn, readBuffer int) *Conn {
 	return &Conn{raw: raw, text: &textproto.Conn{Reader: textproto.Reader{R: bufio.NewReaderSize(raw, readBuffer)},
 		Writer: textproto.Writer{W: bufio.NewWriterSize(raw, SmallBuffer)}}}
 }
 
-// Raw returns the connection underneath.
+// Raw returns the underlying connection.
 func (c *Conn) Raw() net.Conn { return c.raw }
 
-// Close closes the connection; what is buffered for writing is lost.
+// Close closes the connection. Bytes in the write buffer are lost.
 func (c *Conn) Close() error { return c.raw.Close() }
 
-// Interrupt ends the reads and writes under way with a timeout, as do later ones until they set a
-// deadline of their own.
-func (c *Conn) Interrupt() { _ = c.raw.SetDeadline(longAgo) }
+// Interrupt makes current reads and writes fail with a timeout, and later ones too until a new deadline is
+// set.
+func (c *Conn) Interrupt() { _ = c.raw.SetDeadline(pastDeadline) }
 
-// longAgo is a deadline that has passed whatever the clock says.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has always passed.
+var pastDeadline = time.Unix(1, 0)
 
-// InterruptRead ends the reads of a connection with a timeout.
-func InterruptRead(c net.Conn) { _ = c.SetReadDeadline(longAgo) }
+// InterruptRead makes current reads of a connection fail with a timeout, and later ones too until a new
+// deadline is set.
+func InterruptRead(c net.Conn) { _ = c.SetReadDeadline(pastDeadline) }
 
-// Buffer appends bytes to the write buffer and sends what does not fit there.
+// Buffer appends bytes to the write buffer, which is sent when it is full.
 func (c *Conn) Buffer(b []byte) error {
 	_, err := c.text.W.Write(b)
 	return err
 }
 
-// Flush sends what is buffered.
+// Flush sends the contents of the write buffer.
 func (c *Conn) Flush() error { return c.text.W.Flush() }
 
-// Write sends bytes by the deadline. A connection keeps the deadlines of the call before, so each
-// call sets its own; it checks ctx only after that, since the end of ctx sets a deadline in the past
-// that must not be put off.
+// Write sends bytes within the deadline. A connection keeps the deadline of the previous call, so each call
+// sets its own. It checks ctx only after that: the end of ctx sets a deadline in the past, which must not
+// be overwritten unnoticed.
 func (c *Conn) Write(ctx context.Context, b []byte, deadline time.Time) error {
 	if err := c.raw.SetWriteDeadline(deadline); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	return c.Flush()
 }
 
-// Read waits for bytes until the deadline and returns all that have arrived; they are valid until
+// Read waits for bytes until the deadline and returns those that the read buffer holds. They are valid until
 // the next read.
 func (c *Conn) Read(ctx context.Context, deadline time.Time) ([]byte, error) {
 	if c.text.R.Buffered() == 0 {
@@ -91,7 +92,7 @@
 	return b, err
 }
 
-// fill waits until the read buffer holds something.
+// fill waits until the read buffer holds at least one byte.
 func (c *Conn) fill(ctx context.Context, deadline time.Time) error {
 	if err := c.raw.SetReadDeadline(deadline); err != nil {
 		return err
@@ -103,7 +104,7 @@
 	if !IsTimeout(err) || ctx.Err() != nil {
 		return err
 	}
-	// A process that stood still finds the deadline passed and the bytes there: they are read, not cut off.
+	// After a stall of the process, the deadline may have passed while bytes have arrived: they are still read.
 	if err := c.raw.SetReadDeadline(time.Now().Add(lateDataWait)); err != nil {
 		return err
 	}
--- a/internal/transport/netconn/conn_test.go
+++ b/internal/transport/netconn/conn_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that stood still past a connection's deadline finds requests waiting on it: it reads them, rather than close
-// over them unread. A connection that got no bytes times out as before.
+// After a stall of the process beyond a connection's deadline, requests that have arrived meanwhile must be read, as closing
+// the connection would reset it. A read without bytes still times out.
 func TestArrivedDataIsReadAfterDeadline(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -21,20 +21,20 @@
 	server, err := l.Accept()
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
-	k := New(server, SmallBuffer)
+	conn := New(server, SmallBuffer)
 	past := time.Now().Add(-time.Second)
-	_, err = k.Read(t.Context(), past)
-	require.True(t, IsTimeout(err), "nothing has come")
+	_, err = conn.Read(t.Context(), past)
+	require.True(t, IsTimeout(err), "no bytes have arrived")
 	_, err = client.Write([]byte("a request\n"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		b, err := k.Read(t.Context(), past)
+		b, err := conn.Read(t.Context(), past)
 		return err == nil && string(b) == "a request\n"
 	}, 10*time.Second, time.Millisecond)
-	over, cancel := context.WithCancel(t.Context())
+	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = client.Write([]byte("late\n"))
 	require.NoError(t, err)
-	_, err = k.Read(over, past)
-	require.Error(t, err, "who has ended reads no more")
+	_, err = conn.Read(ended, past)
+	require.Error(t, err, "no read after the end of ctx")
 }
--- a/internal/transport/netconn/errors.go
+++ b/internal/transport/netconn/errors.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// IsTimeout reports whether err is that of a deadline that passed.
+// IsTimeout reports whether err was caused by a passed deadline.
 func IsTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// IsReset reports whether err says that the other side reset the connection.
+// IsReset reports whether err was caused by the peer resetting the connection.
 func IsReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// IsDialError reports whether err is that of a connection that was never established.
+// IsDialError reports whether err was caused by a failure to establish a connection.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/transport/netconn/inspect.go
+++ b/internal/transport/netconn/inspect.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// PeerClosed reports whether the other side has closed its sending half, whatever waits unread
-// before that.
+// PeerClosed reports whether the peer has closed its sending half or the connection has failed, even while
+// unread bytes precede the close.
 func PeerClosed(c net.Conn) bool {
 	poll := []unix.PollFd{{Events: unix.POLLRDHUP}}
 	err := withDescriptor(c, func(fd int) {
@@ -19,22 +19,22 @@
 	return err != nil && !errors.Is(err, errors.ErrUnsupported) || poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// HasUnread reports whether bytes wait in the kernel that nobody has read.
+// HasUnread reports whether the kernel's receive buffer holds unread bytes.
 func HasUnread(c net.Conn) bool {
 	n, _ := peek(c)
 	return n > 0
 }
 
-// IsReusable reports whether an idle connection can carry another call: neither closed by the other side nor with
-// bytes that no call asked for. A close that is still on its way can't be seen.
+// IsReusable reports whether an idle connection can be used for another call: the peer has neither closed it nor sent
+// unsolicited bytes. A close that has not arrived yet is not detected.
 func IsReusable(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peek looks, without waiting, for an unread byte: n is 1 where there is one, 0 with no error where
-// the other side has closed, and the error is EAGAIN where there is neither. It goes to the
-// descriptor, as Read would refuse a connection whose last deadline has passed.
+// peek checks, without waiting, for an unread byte: n is 1 if there is one, and 0 with a nil error if the
+// peer has closed. The error is EAGAIN if there is neither. It uses the descriptor, as Read would fail on a
+// connection whose last deadline has passed.
 func peek(c net.Conn) (n int, err error) {
 	cerr := withDescriptor(c, func(fd int) {
 		var b [1]byte
@@ -49,7 +49,8 @@
 	return max(n, 0), err
 }
 
-// withDescriptor calls f with the descriptor of a connection; one that has none is errors.ErrUnsupported.
+// withDescriptor calls f with the descriptor of a connection. It returns errors.ErrUnsupported for a connection
+// without one.
 func withDescriptor(c net.Conn, f func(fd int)) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/transport/netconn/linger.go
+++ b/internal/transport/netconn/linger.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// MaxLinger bounds what a lingering close discards on one connection, in bytes.
+// MaxLinger is the maximum number of bytes that a lingering close discards on one connection.
 const MaxLinger = 1 << 20
 
-// Linger is the first half of a lingering close: it ends this side's writing and discards what still
-// arrives, up to MaxLinger bytes and the given time. Closing over unread bytes would reset the
-// connection, and the peer lose the answers on their way. The caller closes the connection then.
+// Linger is the first half of a lingering close: it closes this side's sending half and discards bytes that
+// still arrive, up to MaxLinger bytes and for the given time. Closing a connection with unread bytes would
+// reset it, and the peer would lose answers in transit. The caller then closes the connection.
 func Linger(c net.Conn, timeout time.Duration) {
 	w, ok := c.(interface{ CloseWrite() error })
 	if !ok || w.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(timeout)) != nil {
--- a/internal/transport/netconn/reuseport.go
+++ b/internal/transport/netconn/reuseport.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReusePort is a net.ListenConfig.Control that lets another process listen at the same address: the
-// kernel shares new connections and datagrams between the two during an upgrade.
+// ReusePort is a net.ListenConfig.Control function that lets another process listen at the same address. During
+// an upgrade the kernel distributes new connections and datagrams between the two processes.
 func ReusePort(_, _ string, c syscall.RawConn) error {
 	var err error
 	if ctl := c.Control(func(fd uintptr) {
