--- a/internal/transport/upstream/cancel.go
+++ b/internal/transport/upstream/cancel.go
@@ -12,17 +12,18 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// orphanTimeout is how long an endpoint lets a query run that nobody polls: the protocol's time,
-// with its slack.
+// orphanTimeout is how long an endpoint lets a query run that is not polled: the protocol's time limit plus
+// protocolSlack.
 const orphanTimeout = 2*time.Second + protocolSlack
 
-// abandon gives an attempt up that did not end by its endpoint's answer, and returns its result.
-// An exclusive attempt has ended only once its endpoint can't be at it any more.
+// abandon cancels an attempt that has ended without an answer from its endpoint, and returns its result. For an
+// exclusive attempt it returns only once the endpoint can't be running it any more, unless the deadline has
+// passed.
 func (e *engineClient) abandon(ctx context.Context, a routing.AttemptSpec, err error, cancel func()) routing.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		// The client's answer is due now: it must not wait for the cancellation's.
+		// The client's answer is due now and must not wait for the cancellation.
 		go cancel()
-		return routing.Result{Outcome: decide.OutcomeTimeout, Reason: "deadline"}
+		return routing.Result{Outcome: decide.OutcomeTimeout, Reason: "deadline exceeded"}
 	}
 	if ctx.Err() != nil {
 		cancel()
@@ -32,8 +33,8 @@
 	return lostResult(err)
 }
 
-// cancelLost cancels an attempt whose answers were lost, and waits for that where no other attempt
-// may run beside it.
+// cancelLost cancels an attempt whose answers were lost. It waits for the cancellation where no other attempt
+// may run at the same time.
 func cancelLost(a routing.AttemptSpec, cancel func()) {
 	if a.Exclusive {
 		cancel()
@@ -42,28 +43,29 @@
 	}
 }
 
-// prepareCancel returns what cancels an attempt at its endpoint. From now on a further attempt under
-// its call, which may come until the expiry, waits for the end of that.
+// prepareCancel returns a function that cancels an attempt at its endpoint. From now on, further attempts of
+// the call at that address wait until the function has returned. There may be such attempts until expiry.
 func (e *engineClient) prepareCancel(a routing.AttemptSpec, lastCall, expiry time.Time) (cancel func()) {
 	done := e.conns.pool.cancellations.begin(e.addr, a.CallID, expiry)
 	return func() {
-		over := netconn.Earlier(lastCall.Add(orphanTimeout), expiry)
-		done(e.sendCancel(engine.EncodeCancel(e.addr, a.CallID), a.Exclusive, over))
+		endsBy := netconn.Earlier(lastCall.Add(orphanTimeout), expiry)
+		done(e.sendCancel(engine.EncodeCancel(e.addr, a.CallID), a.Exclusive, endsBy))
 	}
 }
 
-// sendCancel makes the call that cancels an attempt: once or, for an exclusive attempt, until it is
-// answered, its process has ended, or the attempt is over by itself at the given time.
-func (e *engineClient) sendCancel(message []byte, exclusive bool, over time.Time) error {
+// sendCancel makes the call that cancels an attempt. For an exclusive attempt it repeats the call until it is
+// answered, the connection is refused because the endpoint's process has ended, or the time endsBy, when the
+// attempt has ended without a cancellation.
+func (e *engineClient) sendCancel(message []byte, exclusive bool, endsBy time.Time) error {
 	deadline := time.Now().Add(shortCallTimeout)
-	if exclusive && over.After(deadline) {
-		deadline = over
+	if exclusive && endsBy.After(deadline) {
+		deadline = endsBy
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	for {
 		_, _, err := e.shortCall(ctx, message)
-		if err == nil || !exclusive || errors.Is(err, syscall.ECONNREFUSED) || !time.Now().Before(over) {
+		if err == nil || !exclusive || errors.Is(err, syscall.ECONNREFUSED) || !time.Now().Before(endsBy) {
 			return err
 		}
 		time.Sleep(descriptorRetryInterval)
--- a/internal/transport/upstream/cancel_test.go
+++ b/internal/transport/upstream/cancel_test.go
@@ -18,9 +18,9 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// fakeEngine is an engine of the platform's protocol on a loopback socket, with a client of it; the test handles each
-// call by its method.
-func fakeEngine(t *testing.T, handle func(what string, w http.ResponseWriter, r *http.Request)) *engineClient {
+// fakeEngine starts an engine of the platform's protocol on a loopback socket and returns a client of it. handle handles each
+// call by its HTTP method.
+func fakeEngine(t *testing.T, handle func(method string, w http.ResponseWriter, r *http.Request)) *engineClient {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		handle(r.Method, w, r)
@@ -31,48 +31,49 @@
 	return &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
 }
 
+// attempt returns a minimal attempt of a call.
 func attempt(call string) routing.AttemptSpec {
 	return routing.AttemptSpec{CallID: call, Class: "look", Statement: []byte("x"), Priority: -1, StillReady: func() bool { return true },
 		OnProgress: func(decide.ProgressKind, float64) {}}
 }
 
-// An attempt was cancelled during the next one's dial: where that went to the same engine, the cancellation could be read
-// after the new attempt had started under the same call, and ended it.
+// Guards against a cancellation that ends a later attempt: an attempt was cancelled while the next one of the same call was
+// dialling the same engine, and the engine read the cancellation after the next attempt had started.
 func TestAttemptDoesNotOvertakePendingCancellation(t *testing.T) {
 	var posts atomic.Int64
-	again, withdrawing := make(chan struct{}), make(chan struct{})
-	p := fakeEngine(t, func(what string, w http.ResponseWriter, r *http.Request) {
+	secondAttempt, cancelling := make(chan struct{}), make(chan struct{})
+	client := fakeEngine(t, func(method string, w http.ResponseWriter, r *http.Request) {
 		switch {
-		case what == "DELETE":
-			close(withdrawing)
-			select { // it is read late: until the coordinator gives up asking, or the new attempt is here
-			case <-again:
+		case method == "DELETE":
+			close(cancelling)
+			select { // unanswered until the coordinator gives up, or the next attempt has arrived
+			case <-secondAttempt:
 			case <-r.Context().Done():
 			}
-		case what == "POST" && posts.Add(1) == 2:
-			close(again)
+		case method == "POST" && posts.Add(1) == 2:
+			close(secondAttempt)
 			fallthrough
-		default: // nothing that can be used: the attempt is lost
+		default: // an invalid answer, by which the attempt is lost
 			w.WriteHeader(418)
 		}
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 	defer cancel()
-	require.Equal(t, decide.OutcomeAnswerLost, p.Run(ctx, attempt("1")).Outcome)
-	transporttest.Receive(t, withdrawing)
-	second := p.Run(ctx, attempt("1"))
-	require.Equal(t, decide.OutcomeNotSent, second.Outcome, "its withdrawal was never answered")
+	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, attempt("1")).Outcome)
+	transporttest.Receive(t, cancelling)
+	second := client.Run(ctx, attempt("1"))
+	require.Equal(t, decide.OutcomeNotSent, second.Outcome, "the cancellation was never answered")
 	require.Equal(t, int64(1), posts.Load())
-	other := p.Run(ctx, attempt("2"))
-	require.Equal(t, decide.OutcomeAnswerLost, other.Outcome, "another call's is no matter")
+	other := client.Run(ctx, attempt("2"))
+	require.Equal(t, decide.OutcomeAnswerLost, other.Outcome, "cancellations of other calls have no effect")
 	require.Equal(t, int64(2), posts.Load())
 }
 
-// An engine reported progress and closed the connection, and the attempt was cancelled before the next call: there was
-// neither a result nor an error, and the coordinator panicked.
+// Guards against a panic: where an engine reports progress and closes the connection, and the attempt is cancelled before the
+// next call, there is neither a result nor an error.
 func TestAttemptCancelledBetweenConnectionsEndsAsCancelled(t *testing.T) {
-	p := fakeEngine(t, func(what string, w http.ResponseWriter, _ *http.Request) {
-		if what == "POST" {
+	client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
+		if method == "POST" {
 			w.Header().Set("Outcome", "so_far")
 			w.Header().Set("X-Num", "0.5")
 			w.Header().Set("Connection", "close")
@@ -83,22 +84,22 @@
 	defer cancel()
 	a := attempt("1")
 	a.OnProgress = func(decide.ProgressKind, float64) { cancel() }
-	require.Equal(t, decide.OutcomeCancelled, p.Run(ctx, a).Outcome)
+	require.Equal(t, decide.OutcomeCancelled, client.Run(ctx, a).Outcome)
 }
 
-// Once the cancellation is answered the next attempt starts, also where another engine has the address.
+// Once the cancellation is answered the next attempt starts, also where another engine has got the address.
 func TestAttemptFollowsAnsweredCancellation(t *testing.T) {
-	withdrawing, goOn := make(chan struct{}), make(chan struct{})
-	var order []string // the handlers take turns: each waits for the one before
-	p := fakeEngine(t, func(what string, w http.ResponseWriter, _ *http.Request) {
+	cancelling, proceed := make(chan struct{}), make(chan struct{})
+	var order []string // needs no lock: the handlers run one after the other
+	client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
 		switch {
-		case what == "DELETE":
-			close(withdrawing)
-			<-goOn
-			order = append(order, what)
+		case method == "DELETE":
+			close(cancelling)
+			<-proceed
+			order = append(order, method)
 			w.WriteHeader(204)
-		case what == "POST" && len(order) > 0:
-			order = append(order, what)
+		case method == "POST" && len(order) > 0:
+			order = append(order, method)
 			w.Header().Set("X-Batches", "1")
 			_, _ = io.WriteString(w, "a\tb\tc\n")
 		default:
@@ -107,33 +108,33 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 	defer cancel()
-	require.Equal(t, decide.OutcomeAnswerLost, p.Run(ctx, attempt("1")).Outcome)
-	transporttest.Receive(t, withdrawing)
-	moved := &engineClient{addr: p.addr, conns: p.conns.pool.endpoint("b", p.addr)}
-	end := make(chan routing.Result, 1)
-	go func() { end <- moved.Run(ctx, attempt("1")) }()
-	close(goOn)
-	require.Equal(t, decide.OutcomeSucceeded, transporttest.Receive(t, end).Outcome)
+	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, attempt("1")).Outcome)
+	transporttest.Receive(t, cancelling)
+	otherEndpoint := &engineClient{addr: client.addr, conns: client.conns.pool.endpoint("b", client.addr)}
+	result := make(chan routing.Result, 1)
+	go func() { result <- otherEndpoint.Run(ctx, attempt("1")) }()
+	close(proceed)
+	require.Equal(t, decide.OutcomeSucceeded, transporttest.Receive(t, result).Outcome)
 	require.Equal(t, []string{"DELETE", "POST"}, order)
 }
 
-// Where a request may not have two attempts in flight, the end of one was reported while its engine still ran it: its
-// cancellation had been lost, or its connection was established too late, and the next attempt ran beside it.
+// Guards against two concurrent attempts of a request that must not have them: the end of an attempt was reported while its
+// engine still ran it, as the cancellation was lost or its connection was established too late, and the next attempt started.
 func TestExclusiveAttemptEndsOnceCancelled(t *testing.T) {
-	for name, wants := range map[string]decide.Outcome{"cancelled": decide.OutcomeCancelled, "lost": decide.OutcomeAnswerLost} {
+	for name, want := range map[string]decide.Outcome{"cancelled": decide.OutcomeCancelled, "lost": decide.OutcomeAnswerLost} {
 		var deletes atomic.Int64
-		var withdrawn atomic.Bool
+		var cancelled atomic.Bool
 		ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 		defer cancel()
-		p := fakeEngine(t, func(what string, w http.ResponseWriter, _ *http.Request) {
+		client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
 			switch {
-			case what == "DELETE" && deletes.Add(1) <= 3: // reset before it is read; each is tried twice
+			case method == "DELETE" && deletes.Add(1) <= 3: // reset without an answer; the client tries each call twice
 				c, _, err := w.(http.Hijacker).Hijack()
 				require.NoError(t, err)
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
-			case what == "DELETE":
-				withdrawn.Store(true)
+			case method == "DELETE":
+				cancelled.Store(true)
 				w.WriteHeader(204)
 			case name == "cancelled":
 				cancel()
@@ -144,56 +145,57 @@
 		})
 		a := attempt("1")
 		a.Exclusive = true
-		require.Equal(t, wants, p.Run(ctx, a).Outcome, name)
-		require.True(t, withdrawn.Load(), name)
+		require.Equal(t, want, client.Run(ctx, a).Outcome, name)
+		require.True(t, cancelled.Load(), name)
 	}
 }
 
-// An engine that does not answer a cancellation ends the query by itself, after the protocol's time.
+// An engine that does not answer a cancellation ends the query itself, after the protocol's time limit for queries that are not
+// polled.
 func TestExclusiveAttemptEndsAfterOrphanTimeout(t *testing.T) {
-	var last atomic.Int64
-	p := fakeEngine(t, func(what string, w http.ResponseWriter, r *http.Request) {
-		if what == "DELETE" {
+	var lastCall atomic.Int64
+	client := fakeEngine(t, func(method string, w http.ResponseWriter, r *http.Request) {
+		if method == "DELETE" {
 			<-r.Context().Done()
 			return
 		}
-		last.Store(time.Now().UnixNano())
+		lastCall.Store(time.Now().UnixNano())
 		w.WriteHeader(418)
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 	defer cancel()
 	a := attempt("1")
 	a.Exclusive = true
-	require.Equal(t, decide.OutcomeAnswerLost, p.Run(ctx, a).Outcome)
-	require.GreaterOrEqual(t, time.Since(time.Unix(0, last.Load())), 2*time.Second)
+	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, a).Outcome)
+	require.GreaterOrEqual(t, time.Since(time.Unix(0, lastCall.Load())), 2*time.Second)
 	a.Exclusive = false
 	began := time.Now()
-	require.Equal(t, decide.OutcomeNotSent, p.Run(ctx, a).Outcome, "not beside what may yet be read there")
+	require.Equal(t, decide.OutcomeNotSent, client.Run(ctx, a).Outcome, "the engine may still read the cancellation")
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
-// A REST engine whose first answer never came has named no address to cancel a query at: where no other attempt may be
-// in flight beside it, the next one started while it could still run there.
-func TestExclusiveAttemptWithoutAddressEndsAtDeadline(t *testing.T) {
-	for _, alone := range []bool{true, false} {
-		p := fakeEngine(t, func(what string, w http.ResponseWriter, _ *http.Request) {
-			if what == "POST" { // it has begun, and its answer is lost
+// Guards against two concurrent attempts of a request that must not have them: where the first answer of a REST engine is
+// lost, the query can't be cancelled, as no URI for that is known, and it may run until its timeout.
+func TestExclusiveAttemptWithoutCancelURIEndsAtDeadline(t *testing.T) {
+	for _, exclusive := range []bool{true, false} {
+		client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
+			if method == "POST" { // the query has started, and the answer is lost
 				c, _, err := w.(http.Hijacker).Hijack()
 				require.NoError(t, err)
 				_ = c.Close()
 			}
 		})
-		e := &restClient{engineClient: p, user: "n0"}
+		rest := &restClient{engineClient: client, user: "n0"}
 		ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
-		if alone {
+		if exclusive {
 			ctx, cancel = context.WithTimeout(t.Context(), 300*time.Millisecond)
 		}
 		a := attempt("1")
-		a.Exclusive, a.Timeout = alone, time.Second
-		out := e.Run(ctx, a)
-		require.Contains(t, []decide.Outcome{decide.OutcomeAnswerLost, decide.OutcomeTimeout}, out.Outcome, out.Reason)
-		by, _ := ctx.Deadline()
-		require.Equal(t, alone, !time.Now().Before(by), "alone: its end is told no sooner than its time is up; else at once")
+		a.Exclusive, a.Timeout = exclusive, time.Second
+		res := rest.Run(ctx, a)
+		require.Contains(t, []decide.Outcome{decide.OutcomeAnswerLost, decide.OutcomeTimeout}, res.Outcome, res.Reason)
+		deadline, _ := ctx.Deadline()
+		require.Equal(t, exclusive, !time.Now().Before(deadline), "an exclusive attempt must end at its deadline, any other before it")
 		cancel()
 	}
 }
--- a/internal/transport/upstream/cancellations.go
+++ b/internal/transport/upstream/cancellations.go
@@ -9,14 +9,14 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// errCancelPending says that an attempt may not begin at an endpoint, as the cancellation of an
-// earlier one under its call may still be read there.
-var errCancelPending = errors.New("an earlier attempt's withdrawal may still reach the engine")
+// errCancelPending is returned where an attempt must not start at an endpoint, as the endpoint may still read
+// the cancellation of an earlier attempt of the same call.
+var errCancelPending = errors.New("the cancellation of an earlier attempt may still reach the engine")
 
-// cancellations orders the attempts of a call at an address behind the cancellations of earlier
-// ones: endpoints know an attempt by its call alone, so a cancellation that is read late would end
-// the attempt that came after it. They go by address, as an endpoint may have that of one that was
-// removed. It is safe for concurrent use.
+// cancellations delays an attempt of a call at an address until the cancellations of earlier ones have
+// ended. Endpoints identify an attempt by its call alone, so a cancellation that is read late would end
+// a later attempt. Cancellations are kept by address, as a new endpoint may have the address of a removed
+// one. It is safe for concurrent use.
 type cancellations struct {
 	mu      sync.Mutex
 	pending map[cancelKey]*pendingCancel
@@ -24,18 +24,18 @@
 
 type cancelKey struct{ addr, call string }
 
-// pendingCancel is a cancellation that has not been answered yet, or never was.
+// pendingCancel is a cancellation that is in progress, or that was given up without an answer.
 type pendingCancel struct {
-	done   chan struct{} // closed once it is answered or given up
-	expiry time.Time     // no attempt of its request can come later
+	done   chan struct{} // closed once the cancellation is answered or given up
+	expiry time.Time     // the request's deadline: it has no attempts afterwards
 }
 
 func newCancellations() *cancellations {
 	return &cancellations{pending: map[cancelKey]*pendingCancel{}}
 }
 
-// begin notes a cancellation that is about to be sent, for a request that expires then. The caller
-// calls done once with what became of it.
+// begin records a cancellation that is about to be sent. expiry is the deadline of its request. The caller
+// must call done once, with the error of the cancellation or nil.
 func (t *cancellations) begin(addr, call string, expiry time.Time) (done func(error)) {
 	key, p := cancelKey{addr, call}, &pendingCancel{make(chan struct{}), expiry}
 	t.mu.Lock()
@@ -45,7 +45,7 @@
 	return func(err error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		// Unanswered it may lie unread at the endpoint; what could not even connect does not.
+		// The endpoint may still read an unanswered cancellation, unless no connection was established for it.
 		neverSent := errors.Is(err, errNoDescriptors) || netconn.IsDialError(err)
 		if t.pending[key] == p && (err == nil || neverSent) {
 			delete(t.pending, key)
@@ -54,7 +54,8 @@
 	}
 }
 
-// dropExpired forgets those that no attempt can meet any more; there are few. The lock is held.
+// dropExpired deletes the cancellations whose requests have expired. There are few cancellations, so it checks
+// all. The caller holds t.mu.
 func (t *cancellations) dropExpired(now time.Time) {
 	for key, p := range t.pending {
 		if now.After(p.expiry) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// wait waits for the end of the cancellation of an earlier attempt of a call at an address. The
-// error is errCancelPending where that was never answered, or the end of ctx.
+// wait waits until the cancellations of earlier attempts of a call at an address have ended. It returns
+// errCancelPending where one was given up without an answer, or the error of ctx.
 func (t *cancellations) wait(ctx context.Context, addr, call string) error {
 	key := cancelKey{addr, call}
 	for {
--- a/internal/transport/upstream/endpointpool.go
+++ b/internal/transport/upstream/endpointpool.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// protocolSlack is how much longer each time of the protocol may take on sockets.
+	// protocolSlack is added to each time limit of the protocol for the delays of sockets.
 	protocolSlack = 50 * time.Millisecond
-	// minRest is how long a connection rests between two calls. A second copy of an answer may come
-	// behind the first: taken for the next query's own, it would be a result that no engine made.
-	// Bytes that arrive meanwhile end the connection.
-	minRest = protocolSlack
-	// maxRedials is how often a connection that was reset as it came up is opened again.
+	// minIdle is how long a connection stays unused between two calls. A duplicate of an answer may
+	// arrive late; on a connection in use it would be taken for the result of the next query. Bytes that
+	// arrive on an unused connection cause it to be closed.
+	minIdle = protocolSlack
+	// maxRedials is how often a connection is dialled again that was reset while it was established.
 	maxRedials = 2
-	// schedulingLag is how late a timeout is seen by a process that gets no CPU time.
+	// schedulingLag is the delay beyond which a connect timeout counts as noticed late, for lack of CPU
+	// time.
 	schedulingLag = 20 * time.Millisecond
-	// descriptorRetryInterval is the time between two looks for a free descriptor, and between two
-	// tries of a cancellation that must get through.
+	// descriptorRetryInterval is the time between two attempts to get a descriptor, and between two
+	// tries of a cancellation that must be answered.
 	descriptorRetryInterval = 10 * time.Millisecond
 )
 
-// errUnreachable says that an endpoint could not be connected to again.
+// errUnreachable is returned where no new connection to an endpoint could be established to resume a query.
 var errUnreachable = errors.New("engine unreachable")
 
-// endpointPool is the connections of one endpoint. A new endpoint may get an old address, so
-// connections belong to an endpoint and never to an address. Pool.mu guards its state.
+// endpointPool holds the connections of one endpoint. A new endpoint may get the address of a removed one, so
+// connections belong to an endpoint and not to an address. Pool.mu guards the state.
 type endpointPool struct {
 	pool *Pool
-	name string // of its endpoint, for the log
+	name string // name of the endpoint, for the log
 	addr string
 
-	idle   []*pooledConn // the latest used last
-	open   int           // connections, idle or not
+	idle   []*pooledConn // idle connections, the most recently used last
+	open   int           // number of connections, idle or in use
 	closed bool
 }
 
-// recordViolation counts something that the endpoint sent and that can't be used.
+// recordViolation counts a protocol violation of the endpoint.
 func (e *endpointPool) recordViolation(c *violations.Counter, kind string) {
 	c.Record(e.pool.log, "protocol violation of an endpoint, not used; more of the kind are only counted", kind, e.name)
 }
 
-// connections counts those that carry calls and those that are idle.
+// connections returns the numbers of connections in use and of idle ones.
 func (e *endpointPool) connections() (busy, idle int) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -63,7 +64,7 @@
 	return e.dial(ctx)
 }
 
-// reuse returns an idle connection that is still usable; nil: there is none.
+// reuse returns an idle connection that is still usable, or nil.
 func (e *endpointPool) reuse() *pooledConn {
 	for {
 		c := e.popIdle()
@@ -83,12 +84,12 @@
 	}
 }
 
-// popIdle takes the connection that has been idle the shortest, but for minRest.
+// popIdle removes and returns the most recently used connection that has been idle for at least minIdle, or nil.
 func (e *endpointPool) popIdle() *pooledConn {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
 	for i := len(e.idle) - 1; i >= 0; i-- {
-		if c := e.idle[i]; time.Since(c.idleSince) >= minRest {
+		if c := e.idle[i]; time.Since(c.idleSince) >= minIdle {
 			e.idle = slices.Delete(e.idle, i, i+1)
 			return c
 		}
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// reserve takes a descriptor from the budget, if need be from any endpoint's idle connection.
+// reserve takes a descriptor from the budget. If none is left, it closes an idle connection of any endpoint to
+// get one. It returns false where there is none either.
 func (e *endpointPool) reserve() bool {
 	p := e.pool
 	p.mu.Lock()
@@ -120,7 +122,7 @@
 	return false
 }
 
-// release gives a descriptor back to the budget.
+// release returns a descriptor to the budget.
 func (e *endpointPool) release() {
 	e.pool.mu.Lock()
 	e.pool.open--
@@ -128,7 +130,7 @@
 	e.pool.mu.Unlock()
 }
 
-// dial opens a connection; one that takes longer than the pool's timeout has failed.
+// dial opens a connection. It fails where that takes longer than the pool's connectTimeout.
 func (e *endpointPool) dial(ctx context.Context) (*pooledConn, error) {
 	if !e.reserve() {
 		return nil, errNoDescriptors
@@ -136,7 +138,7 @@
 	began := time.Now()
 	c, err := e.connect(ctx)
 	if netconn.IsTimeout(err) && time.Since(began) > e.pool.connectTimeout+schedulingLag {
-		// The timeout itself was seen late: this process had no time to see the connection come up.
+		// The timeout was noticed late: the process may have lacked the CPU time to notice the connection.
 		c, err = e.connectOnce(ctx)
 	}
 	e.pool.log.Debug("endpoint dialled", "endpoint", e.name, "latency_ms", time.Since(began).Milliseconds(), "err", err)
@@ -148,7 +150,7 @@
 	return &pooledConn{Conn: netconn.New(c, netconn.PageBuffer)}, nil
 }
 
-// connect opens a connection, again where it is reset as it comes up: a reset is neither a refusal nor a use.
+// connect opens a connection. It retries after a reset, which does not show that the endpoint refuses connections.
 func (e *endpointPool) connect(ctx context.Context) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.pool.connectTimeout)
 	defer cancel()
@@ -166,12 +168,12 @@
 }
 
 func (e *endpointPool) dialTCP(ctx context.Context) (net.Conn, error) {
-	d := net.Dialer{KeepAlive: -1} // each read has its own deadline, and the calls to set it up cost
+	d := net.Dialer{KeepAlive: -1} // each read has its own deadline, and setting keep-alive costs system calls
 	return d.DialContext(ctx, "tcp", e.addr)
 }
 
-// redial opens a fresh connection to resume a query that may be running. It waits for a descriptor
-// as long as ctx allows: a running query is not given up for the lack of one.
+// redial opens a new connection to resume a query that may be running. It waits for a descriptor until ctx
+// ends: a running query is not given up for lack of a descriptor.
 func (e *endpointPool) redial(ctx context.Context) (*pooledConn, error) {
 	e.pool.counts.resumed.Add(1)
 	for {
@@ -190,7 +192,7 @@
 	}
 }
 
-// put returns a connection that can carry another call, and drops those that were idle too long.
+// put returns a reusable connection to the pool, and drops connections that have been idle for too long.
 func (e *endpointPool) put(c *pooledConn) {
 	c.idleSince = time.Now()
 	e.pool.mu.Lock()
@@ -209,14 +211,14 @@
 	}
 }
 
-// drop closes a connection and gives its descriptor back.
+// drop closes a connection and releases its descriptor.
 func (e *endpointPool) drop(c *pooledConn) {
 	_ = c.Close()
 	e.release()
 }
 
-// use runs a call on a connection, interrupts it when ctx ends, and hands the connection back: to
-// the pool where the call says that it is reusable.
+// use runs a call on a connection and interrupts it when ctx ends. Afterwards the connection is returned to the
+// pool if it is reusable and was not interrupted, and dropped otherwise.
 func (e *endpointPool) use(ctx context.Context, c *pooledConn, call func() (reusable bool)) {
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	reusable := call()
@@ -227,7 +229,7 @@
 	}
 }
 
-// close drops the idle connections; one in use is dropped when it is handed back.
+// close drops the idle connections. Connections in use are dropped when their calls end.
 func (e *endpointPool) close() {
 	e.pool.mu.Lock()
 	idle := e.idle
--- a/internal/transport/upstream/engineclient.go
+++ b/internal/transport/upstream/engineclient.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// answerTimeout bounds the time to a complete answer. An endpoint answers a long poll within
-	// 250 ms; an answer that is not complete within a little more, whether none came or byte by byte,
-	// is lost and the call is made again.
+	// answerTimeout limits the time to a complete answer. An endpoint answers a long poll within
+	// 250 ms. An answer that is not complete within a little more, even if its bytes still arrive, counts
+	// as lost, and the call is repeated.
 	answerTimeout = 400 * time.Millisecond
-	// maxLostAnswers is how many answers in a row may be lost before a query is given up.
+	// maxLostAnswers is how many consecutive answers may be lost before a query is given up.
 	maxLostAnswers = 3
 )
 
@@ -28,7 +28,7 @@
 	conns *endpointPool
 }
 
-// Run carries one attempt out on a connection of its own.
+// Run runs one attempt. No other call uses its connection at the same time.
 func (e *engineClient) Run(ctx context.Context, a routing.AttemptSpec) routing.Result {
 	if err := e.conns.pool.cancellations.wait(ctx, e.addr, a.CallID); err != nil {
 		return routing.Result{Outcome: decide.OutcomeNotSent, Reason: err.Error()}
@@ -50,29 +50,29 @@
 		return e.result(res)
 	}
 	if ctx.Err() == nil && !a.Exclusive && errors.Is(err, errUnreachable) {
-		return lostResult(err) // a cancellation would not reach it either
+		return lostResult(err) // a cancellation would not reach the endpoint either
 	}
 	return e.abandon(ctx, a, err, e.prepareCancel(a, lastCall, deadline))
 }
 
-// connect returns a connection for an attempt; the result is set where it may not begin.
+// connect returns a connection for an attempt. Where the attempt must not start it returns its result instead.
 func (e *engineClient) connect(ctx context.Context, a routing.AttemptSpec) (*pooledConn, *routing.Result) {
 	c, err := e.conns.get(ctx)
 	if err != nil {
 		res := connectFailure(ctx, err)
 		return nil, &res
 	}
-	// The dial took time: a drain may have come. Nothing new goes to an endpoint that the list no
-	// longer calls ready.
+	// The endpoint may have begun to drain during the dial. No attempt is sent to an endpoint that is no
+	// longer listed as ready.
 	if ctx.Err() != nil || !a.StillReady() {
 		e.conns.put(c)
-		return nil, &routing.Result{Outcome: decide.OutcomeNotSent, Reason: "not ready or over as the first byte went"}
+		return nil, &routing.Result{Outcome: decide.OutcomeNotSent, Reason: "endpoint not ready, or attempt ended, before the first byte was sent"}
 	}
 	return c, nil
 }
 
-// beginSend asks once more, right before the first byte, whether the attempt may start; the result is set where it may not.
-// sent is to be called once the byte is written, or won't be; further calls do nothing.
+// beginSend checks right before the first byte whether the attempt may still start. Where it must not, beginSend returns
+// its result instead. sent must be called once the byte has been written or will not be; further calls do nothing.
 func (e *engineClient) beginSend(a routing.AttemptSpec, c *pooledConn) (sent func(), notSent *routing.Result) {
 	if a.BeginSend == nil {
 		return func() {}, nil
@@ -80,25 +80,25 @@
 	sent, ok := a.BeginSend()
 	if !ok {
 		e.conns.put(c)
-		return nil, &routing.Result{Outcome: decide.OutcomeNotSent, Reason: "answered as the first byte went"}
+		return nil, &routing.Result{Outcome: decide.OutcomeNotSent, Reason: "request answered before the first byte was sent"}
 	}
 	return sent, nil
 }
 
-// connectFailure is the result of an attempt without a connection: nothing ran.
+// connectFailure returns the result of an attempt that got no connection and so did not run.
 func connectFailure(ctx context.Context, err error) routing.Result {
 	switch {
 	case errors.Is(err, errNoDescriptors):
 		return routing.Result{Outcome: decide.OutcomeNotSent, Reason: err.Error()}
 	case errors.Is(ctx.Err(), context.Canceled):
-		return routing.Result{Outcome: decide.OutcomeNotSent, Reason: "cancelled before a connection stood"}
+		return routing.Result{Outcome: decide.OutcomeNotSent, Reason: "cancelled before a connection was established"}
 	}
 	return routing.Result{Outcome: decide.OutcomeConnectFailed, Reason: err.Error()}
 }
 
-// converse feeds the query's state machine until it ends. What is lost or corrupted on the way is
-// fetched again on a fresh connection: that starts nothing, so it is safe for loads too. lastCall is when
-// the endpoint was last called for the query. Where ctx ends between two calls, result and error are nil.
+// converse makes calls for a query until it ends. A lost or corrupted answer is requested again on a new
+// connection. That starts nothing at the endpoint, so it is safe for loads too. lastCall is the time of the
+// latest call for the query. Where ctx ends between two calls, result and error are nil.
 func (e *engineClient) converse(ctx context.Context, c *pooledConn, q *engine.Query, onProgress func(decide.ProgressKind, float64), written func()) (res *engine.Result, lastCall time.Time, err error) {
 	out := q.EncodeStart()
 	for lost := 0; ; {
@@ -123,8 +123,8 @@
 	}
 }
 
-// exchange makes calls on one connection until the query ends or needs another, and hands the
-// connection back. answered reports whether any answer was valid.
+// exchange makes calls on one connection until the query ends or needs a new connection, and returns the
+// connection to the pool or drops it. answered reports whether any answer was valid.
 func (e *engineClient) exchange(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, onProgress func(decide.ProgressKind, float64), lastCall *time.Time, written func()) (step engine.Step, answered bool, err error) {
 	e.conns.use(ctx, c, func() (reusable bool) {
 		for step.Result == nil && !step.NeedsNewConnection && err == nil {
@@ -149,7 +149,7 @@
 	engine.ProgressWaiting: decide.ProgressWaiting,
 }
 
-// call writes one call, tells that it is written and reads its answer, which must be complete within answerTimeout.
+// call writes one call, calls written, and reads the answer, which must be complete within answerTimeout.
 func call(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, written func()) (engine.Step, error) {
 	deadline := time.Now().Add(answerTimeout)
 	err := c.Write(ctx, out, deadline)
@@ -169,7 +169,7 @@
 	}
 }
 
-// result is that of an attempt whose end the endpoint reported.
+// result converts the result that the endpoint reported for an attempt.
 func (e *engineClient) result(r *engine.Result) routing.Result {
 	out := routing.Result{ActualWork: r.ActualWorkMS, ActualMemoryMB: r.ActualMemoryMB, Load: e.parseLoad(r.LoadReport), Reason: r.Reason}
 	switch r.Outcome {
@@ -187,21 +187,21 @@
 	return out
 }
 
-// lostResult is that of an attempt whose answers were lost. Whether it ran is not known, even where
-// a reused connection reset at once: the decisions say whether the class may be retried.
+// lostResult returns the result of an attempt whose answers were lost. It is unknown whether the attempt ran, even
+// where a reused connection was reset at once. The decisions determine whether the class may be retried.
 func lostResult(err error) routing.Result {
 	out := routing.Result{Outcome: decide.OutcomeAnswerLost, Reason: err.Error()}
 	if errors.Is(err, errUnreachable) {
 		out.Outcome = decide.OutcomeReset
 	} else if netconn.IsTimeout(err) {
-		// Connections still come up, so it is no proof that the endpoint is down; but where they
-		// bring no answer in time, something is wrong with it.
+		// New connections are established, so the endpoint may not be down, but it does not answer in time:
+		// this counts as an error.
 		out.Outcome = decide.OutcomeError
 	}
 	return out
 }
 
-// Connections counts the connections that carry calls now and the idle ones.
+// Connections returns the numbers of connections in use and of idle ones.
 func (e *engineClient) Connections() (busy, idle int) { return e.conns.connections() }
 
 // Close drops the endpoint's connections.
--- a/internal/transport/upstream/factory.go
+++ b/internal/transport/upstream/factory.go
@@ -2,18 +2,18 @@
 
 import "aniseloft/internal/routing"
 
-// Factory makes the client of each endpoint by the protocol that its kind of machine speaks.
+// Factory creates a client for each endpoint. The kind of the endpoint determines the protocol.
 type Factory struct {
 	Pool      *Pool
-	KindNames []string        // by their index in the settings
-	RESTKinds map[string]bool // kinds that speak the paged REST protocol; others speak the platform's
-	User      string          // this coordinator's name towards REST endpoints
+	KindNames []string        // names of the kinds by their index in the settings
+	RESTKinds map[string]bool // kinds that speak the paged REST protocol; others speak the platform's protocol
+	User      string          // user name that this coordinator sends to REST endpoints
 }
 
-// Upstream returns a client of one endpoint, with connections of its own.
-func (f Factory) Upstream(m routing.Endpoint) routing.Upstream {
-	c := &engineClient{addr: m.Address, conns: f.Pool.endpoint(m.Name, m.Address)}
-	if m.Kind >= 0 && m.Kind < len(f.KindNames) && f.RESTKinds[f.KindNames[m.Kind]] {
+// Upstream returns a client of one endpoint. The client shares no connections with other clients.
+func (f Factory) Upstream(e routing.Endpoint) routing.Upstream {
+	c := &engineClient{addr: e.Address, conns: f.Pool.endpoint(e.Name, e.Address)}
+	if e.Kind >= 0 && e.Kind < len(f.KindNames) && f.RESTKinds[f.KindNames[e.Kind]] {
 		return &restClient{engineClient: c, user: f.User}
 	}
 	return c
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -1,4 +1,4 @@
-// Package upstream carries attempts out at endpoints: a pool of connections within a budget of
+// Package upstream runs attempts at endpoints. It has a pool of connections within a budget of
 // descriptors, and a client for each protocol that endpoints speak.
 package upstream
 
@@ -14,19 +14,19 @@
 	"aniseloft/internal/transport/violations"
 )
 
-// errNoDescriptors says that the pool's budget of descriptors is spent.
-var errNoDescriptors = errors.New("no descriptor left for an engine")
+// errNoDescriptors is returned where the pool's budget of descriptors is used up.
+var errNoDescriptors = errors.New("no descriptor left for a connection to an engine")
 
-// pooledConn is a connection to an endpoint; it is owned by one call, or by the pool while idle.
+// pooledConn is a connection to an endpoint. It is owned by one call or, while idle, by the pool.
 type pooledConn struct {
 	*netconn.Conn
-	idleSince time.Time // when its latest call ended
+	idleSince time.Time // end of the latest call
 }
 
 // Pool holds the connections to all endpoints within a budget of descriptors. It is safe for
 // concurrent use.
 type Pool struct {
-	limit          int // of connections
+	limit          int // maximum number of open connections
 	connectTimeout time.Duration
 	maxIdle        time.Duration
 	log            *slog.Logger
@@ -35,20 +35,20 @@
 	invalidNotes   violations.Counter
 	cancellations  *cancellations
 
-	// mu guards what follows and the state of each endpoint's pool.
+	// mu guards the fields below and the state of each endpointPool.
 	mu        sync.Mutex
-	open      int // connections, idle or not
+	open      int // number of connections, idle or in use
 	endpoints map[*endpointPool]struct{}
 }
 
-// NewPool returns a pool that opens at most limit connections, each within connectTimeout, and keeps
-// one idle for at most maxIdle.
+// NewPool returns a pool of at most limit connections. A connection must be established within
+// connectTimeout and is kept idle for at most maxIdle.
 func NewPool(limit int, connectTimeout, maxIdle time.Duration, log *slog.Logger) *Pool {
 	return &Pool{limit: limit, connectTimeout: connectTimeout, maxIdle: maxIdle, log: log,
 		endpoints: map[*endpointPool]struct{}{}, cancellations: newCancellations()}
 }
 
-// String is the line of counters that operators read.
+// String returns the line of counters for operators.
 func (p *Pool) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 		p.invalidReports.Count(), p.invalidNotes.Count())
 }
 
-// endpoint returns an empty pool for one endpoint.
+// endpoint adds an empty pool for one endpoint and returns it.
 func (p *Pool) endpoint(name, addr string) *endpointPool {
 	e := &endpointPool{pool: p, name: name, addr: addr}
 	p.mu.Lock()
--- a/internal/transport/upstream/pool_test.go
+++ b/internal/transport/upstream/pool_test.go
@@ -17,56 +17,57 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// A duplicate of an answer came some milliseconds late on a connection that carried the next query already, and was
-// taken for that one's result.
+// Guards against taking a duplicate answer for the result of the next query: it arrives some milliseconds late, when the
+// connection could be in use for that query already.
 func TestLateDuplicateAnswerIsNoResult(t *testing.T) {
-	for plays := 1; !lateDuplicateAnswer(t); plays++ {
-		require.Less(t, plays, 50, "the machine never ran for as long as a connection rests")
+	for tries := 1; !lateDuplicateAnswer(t); tries++ {
+		require.Less(t, tries, 50, "each try was stalled for minIdle or longer")
 	}
 }
 
-// lateDuplicateAnswer plays it once; it is no verdict where the machine stood still for as long as a connection rests.
-func lateDuplicateAnswer(t *testing.T) (verdict bool) {
+// lateDuplicateAnswer runs the case once. It returns false, without a verdict, where the machine stalled for minIdle or
+// longer.
+func lateDuplicateAnswer(t *testing.T) (conclusive bool) {
 	addr := duplicatingEngine(t)
 	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
-	p := &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
+	client := &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 	defer cancel()
-	require.Equal(t, "first\tb\tc\n", string(p.Run(ctx, attempt("first")).Body))
-	idleSince := p.conns.idle[0].idleSince            // by value: a call on that connection sets it anew
-	for time.Since(idleSince) < 25*time.Millisecond { // a copy some milliseconds late is on its way yet
+	require.Equal(t, "first\tb\tc\n", string(client.Run(ctx, attempt("first")).Body))
+	idleSince := client.conns.idle[0].idleSince       // a copy of the value, which a call on the connection changes
+	for time.Since(idleSince) < 25*time.Millisecond { // the duplicate has not been sent yet
 		time.Sleep(time.Millisecond)
 	}
-	second := p.Run(ctx, attempt("second"))
+	second := client.Run(ctx, attempt("second"))
 	if time.Since(idleSince) >= 50*time.Millisecond {
 		return false
 	}
 	require.Equal(t, "second\tb\tc\n", string(second.Body))
-	require.Eventually(t, func() bool { return netconn.HasUnread(p.conns.idle[0].Raw()) }, transporttest.Patience, time.Millisecond, "the copy")
-	require.Equal(t, "third\tb\tc\n", string(p.Run(ctx, attempt("third")).Body))
+	require.Eventually(t, func() bool { return netconn.HasUnread(client.conns.idle[0].Raw()) }, transporttest.Patience, time.Millisecond, "the duplicate")
+	require.Equal(t, "third\tb\tc\n", string(client.Run(ctx, attempt("third")).Body))
 	return true
 }
 
-// duplicatingEngine answers the query "first" twice, the second time once the query "second" is there, whatever
-// connection that took.
+// duplicatingEngine is an engine that answers the query "first" twice, the second time after it has received the query
+// "second" on any connection.
 func duplicatingEngine(t *testing.T) (addr string) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	secondIsHere := make(chan struct{})
+	secondReceived := make(chan struct{})
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go answerTwice(c, secondIsHere)
+			go answerTwice(c, secondReceived)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func answerTwice(c net.Conn, secondIsHere chan struct{}) {
+func answerTwice(c net.Conn, secondReceived chan struct{}) {
 	defer func() { _ = c.Close() }()
 	row := func(call string) string {
 		body := call + "\tb\tc\n"
@@ -80,23 +81,23 @@
 		_, _ = io.Copy(io.Discard, req.Body)
 		call := req.Header.Get("Request-Id")
 		if call == "second" {
-			close(secondIsHere)
-			time.Sleep(time.Millisecond) // the duplicate comes first where it came on the same connection
+			close(secondReceived)
+			time.Sleep(time.Millisecond) // on the same connection, the duplicate would arrive before this answer
 		}
 		_, _ = io.WriteString(c, row(call))
 		if call == "first" {
-			go func() { <-secondIsHere; _, _ = io.WriteString(c, row(call)) }()
+			go func() { <-secondReceived; _, _ = io.WriteString(c, row(call)) }()
 		}
 	}
 }
 
-// A connection is reused at the moment that its descriptor would be stolen for another engine's: exactly one of the two
-// has it, and the count of descriptors stays true. Either order is forced, and both meet many times.
+// Where one endpoint reuses an idle connection while another takes its descriptor, exactly one of them gets it, and the number
+// of open connections stays right. The test forces both orders, and runs them concurrently many times.
 func TestConnectionIsReusedOrStolenNeverBoth(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	go func() { // an engine that answers nothing and closes nothing
+	go func() { // an engine that sends nothing and keeps connections open
 		var held []net.Conn
 		for {
 			c, err := l.Accept()
@@ -109,7 +110,7 @@
 			held = append(held, c)
 		}
 	}()
-	for name, meet := range map[string]func(own, other *endpointPool) (got *pooledConn, stolen bool){
+	for name, race := range map[string]func(own, other *endpointPool) (got *pooledConn, stolen bool){
 		"reused first": func(own, other *endpointPool) (*pooledConn, bool) {
 			got := own.reuse()
 			return got, other.reserve()
@@ -118,10 +119,10 @@
 			stolen := other.reserve()
 			return own.reuse(), stolen
 		},
-		"at once": func(own, other *endpointPool) (*pooledConn, bool) {
-			begin, stolen := make(chan struct{}), make(chan bool, 1)
-			go func() { <-begin; stolen <- other.reserve() }()
-			close(begin)
+		"concurrently": func(own, other *endpointPool) (*pooledConn, bool) {
+			start, stolen := make(chan struct{}), make(chan bool, 1)
+			go func() { <-start; stolen <- other.reserve() }()
+			close(start)
 			got := own.reuse()
 			return got, transporttest.Receive(t, stolen)
 		},
@@ -132,17 +133,17 @@
 			c, err := own.dial(t.Context())
 			require.NoError(t, err)
 			own.put(c)
-			c.idleSince = time.Now().Add(-2 * minRest) // it has rested
-			got, stolen := meet(own, other)
+			c.idleSince = time.Now().Add(-2 * minIdle) // long enough to be reused
+			got, stolen := race(own, other)
 			require.NotEqual(t, stolen, got != nil, name)
-			if name != "at once" {
+			if name != "concurrently" {
 				require.Equal(t, name == "stolen first", stolen, name)
 			}
 			if stolen {
 				other.release()
 			} else {
 				_, err := got.Raw().Write([]byte("x"))
-				require.NoError(t, err, "it stands")
+				require.NoError(t, err, "the connection is open")
 				own.drop(got)
 			}
 			pool.mu.Lock()
--- a/internal/transport/upstream/restclient.go
+++ b/internal/transport/upstream/restclient.go
@@ -12,12 +12,12 @@
 	"aniseloft/internal/routing"
 )
 
-// restAnswerTimeout is how long an endpoint may hold an answer back: the public protocol's servers
-// hold a poll for up to a second.
+// restAnswerTimeout is how long an endpoint may take to answer. Servers of the public protocol hold a poll for
+// up to 1 s.
 const restAnswerTimeout = 3 * time.Second
 
-// errResultSink says that a page of the result could not be stored.
-var errResultSink = errors.New("the result can't be kept")
+// errResultSink is returned where a page of the result could not be stored.
+var errResultSink = errors.New("the result can't be stored")
 
 // restClient is a client of an endpoint that speaks the paged REST protocol.
 type restClient struct {
@@ -25,7 +25,7 @@
 	user string
 }
 
-// Run carries one attempt out on a connection of its own.
+// Run runs one attempt. No other call uses its connection at the same time.
 func (r *restClient) Run(ctx context.Context, a routing.AttemptSpec) routing.Result {
 	c, notSent := r.connect(ctx, a)
 	if notSent != nil {
@@ -50,7 +50,7 @@
 			ActualMemoryMB: res.ActualMemoryMB, Reason: res.Reason}
 	}
 	cancel := func() { r.cancel(ctx, a, q, err) }
-	if ctx.Err() == nil && errors.Is(err, errResultSink) { // through no fault of the endpoint
+	if ctx.Err() == nil && errors.Is(err, errResultSink) { // not a failure of the endpoint
 		cancelLost(a, cancel)
 		return routing.Result{Outcome: decide.OutcomeAnswerLost, Reason: err.Error()}
 	}
@@ -63,19 +63,19 @@
 	rest.OutcomeOverloaded: decide.OutcomeOverloaded,
 }
 
-// cancel gives an attempt up at its endpoint, for the error that ended its conversation.
+// cancel cancels an attempt at its endpoint. cause is the error that ended the attempt.
 func (r *restClient) cancel(ctx context.Context, a routing.AttemptSpec, q *rest.UpstreamQuery, cause error) {
 	deadline, _ := ctx.Deadline()
 	if message := q.EncodeCancel(); message != nil {
 		_ = r.sendCancel(message, a.Exclusive, deadline)
 	} else if a.Exclusive && !errors.Is(cause, syscall.ECONNREFUSED) {
-		// The endpoint has named no address to cancel it at: it may run until the timeout that it was given.
+		// The endpoint has not sent the URI for a cancellation, so the query may run until its timeout.
 		time.Sleep(time.Until(deadline))
 	}
 }
 
-// converse is engineClient.converse for this protocol, where nothing can be polled before the
-// first answer has named an address.
+// converse is engineClient.converse for this protocol, in which a query can't be polled before the first answer
+// has named a URI.
 func (r *restClient) converse(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, sink routing.ResultSink, written func()) (*rest.Result, error) {
 	out := q.EncodeStart()
 	for lost := 0; ; {
@@ -93,7 +93,7 @@
 			lost++
 		}
 		out = q.EncodeResume()
-		fresh, derr := r.conns.redial(ctx) // with nothing to poll, it still shows whether the endpoint is up
+		fresh, derr := r.conns.redial(ctx) // without a URI to poll, this still shows whether the endpoint is up
 		if derr != nil {
 			return nil, errors.Join(err, derr)
 		}
@@ -105,8 +105,8 @@
 	}
 }
 
-// exchange makes calls on one connection until the query ends or needs another, and hands the
-// connection back. answered reports whether any answer was valid.
+// exchange makes calls on one connection until the query ends or needs a new connection, and returns the
+// connection to the pool or drops it. answered reports whether any answer was valid.
 func (r *restClient) exchange(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, sink routing.ResultSink, written func()) (step rest.Step, answered bool, err error) {
 	r.conns.use(ctx, c, func() (reusable bool) {
 		for deadline := time.Now().Add(restAnswerTimeout); step.Result == nil && !step.NeedsNewConnection && err == nil; {
@@ -127,7 +127,7 @@
 	return step, answered, err
 }
 
-// restCall writes a call, if there is one, tells that it is written, and feeds what a read brings to the query.
+// restCall writes a call, if there is one, calls written, and feeds the bytes of one read to the query.
 func restCall(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, deadline time.Time, written func()) (rest.Step, error) {
 	if len(out) > 0 {
 		err := c.Write(ctx, out, deadline)
@@ -143,12 +143,12 @@
 	return q.Feed(b)
 }
 
-// Prioritize is not in this protocol.
+// Prioritize returns an error, as this protocol has no priorities.
 func (r *restClient) Prioritize(context.Context, string, int) error {
 	return fmt.Errorf("priority: %w", errors.ErrUnsupported)
 }
 
-// Probe makes a health check; this protocol brings no load report.
+// Probe makes a health check. This protocol has no load reports.
 func (r *restClient) Probe(ctx context.Context) (decide.Outcome, *decide.LoadReport) {
 	return r.probe(ctx, rest.EncodeProbe(r.addr))
 }
--- a/internal/transport/upstream/shortcalls.go
+++ b/internal/transport/upstream/shortcalls.go
@@ -12,17 +12,17 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// Statuses of answers to short calls.
+// HTTP status codes of answers to short calls.
 const (
 	statusOK        = 200
 	statusNoContent = 204
 )
 
-// shortCallTimeout bounds one short call, such as a cancellation.
+// shortCallTimeout limits one short call, such as a cancellation.
 const shortCallTimeout = 250 * time.Millisecond
 
-// shortCall makes one short call on a connection beside the queries'. All such calls are idempotent:
-// one whose connection was lost, as idle ones can be, is made once more.
+// shortCall makes one short call on a connection that no query is using. Short calls are idempotent, so a call is
+// repeated once where its connection fails, as an idle one may have been closed.
 func (e *engineClient) shortCall(ctx context.Context, message []byte) (status int, report string, err error) {
 	c, err := e.conns.get(ctx)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return e.shortCallOn(ctx, c, message)
 }
 
-// shortCallOn makes a short call on a connection and hands that back.
+// shortCallOn makes a short call on a connection, and returns the connection to the pool or drops it.
 func (e *engineClient) shortCallOn(ctx context.Context, c *pooledConn, message []byte) (status int, report string, err error) {
 	reusable := false
 	defer func() {
@@ -55,12 +55,12 @@
 	if err := c.Write(ctx, message, deadline); err != nil {
 		return 0, "", err
 	}
-	for m := engine.NewResponseParser(); ; {
+	for parser := engine.NewResponseParser(); ; {
 		b, err := c.Read(ctx, deadline)
 		if err != nil {
 			return 0, "", err
 		}
-		if status, report, reusable, err = m.Feed(b); err != nil || status != 0 {
+		if status, report, reusable, err = parser.Feed(b); err != nil || status != 0 {
 			return status, report, err
 		}
 	}
@@ -75,7 +75,7 @@
 	return err
 }
 
-// Probe makes a health check and returns the load report that came with it; nil: none.
+// Probe makes a health check and returns its load report, or nil where there is none.
 func (e *engineClient) Probe(ctx context.Context) (decide.Outcome, *decide.LoadReport) {
 	return e.probe(ctx, engine.EncodeProbe(e.addr))
 }
@@ -89,7 +89,7 @@
 		return decide.OutcomeOverloaded, e.parseLoad(report)
 	case errors.Is(err, errNoDescriptors):
 		return decide.OutcomeNotSent, nil
-	case errors.Is(err, io.EOF) || netconn.IsReset(err): // twice, on connections that came up
+	case errors.Is(err, io.EOF) || netconn.IsReset(err): // on both tries, after the connection was established
 		return decide.OutcomeAnswerLost, nil
 	case ctx.Err() != nil || netconn.IsTimeout(err):
 		return decide.OutcomeTimeout, nil
@@ -97,10 +97,10 @@
 	return decide.OutcomeConnectFailed, nil
 }
 
-// missingFigure stands in a load report for what the endpoint did not report.
+// missingFigure is the value in a load report for a figure that the endpoint did not report.
 const missingFigure = -1
 
-// parseLoad reads a load report; nil: there is none.
+// parseLoad parses a load report. It returns nil for an empty text.
 func (e *engineClient) parseLoad(text string) *decide.LoadReport {
 	if text == "" {
 		return nil
--- a/internal/transport/upstream/wire_bytes_test.go
+++ b/internal/transport/upstream/wire_bytes_test.go
@@ -14,32 +14,33 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// The files of these tests hold every byte that the drivers wrote before their packages were renamed, when all were in one
-// package: go test ./internal/transport -run WireBytes -update.
+// The golden files of these tests hold every byte that the clients read and write. To rewrite them:
+// go test ./internal/transport/upstream -run WireBytes -update
 
-// The calls of an attempt that is lost and resumed, and the short calls, to an engine of the platform's protocol.
+// Covers the calls to an engine of the platform's protocol: an attempt whose answer is lost and that is resumed, and the
+// short calls.
 func TestEngineClientWireBytes(t *testing.T) {
-	ok := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	emptyOK := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	addr, out := transporttest.TranscriptServer(t,
 		"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", "", "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n",
-		ok, "HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n")
+		emptyOK, "HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n")
 	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
-	p := &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
+	client := &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 	defer cancel()
 	a := attempt("00000000000000aa")
 	a.GrantMB, a.Priority, a.IdempotencyKey = 12.5, 3, "k"
-	res := p.Run(ctx, a)
+	res := client.Run(ctx, a)
 	require.Equal(t, decide.OutcomeSucceeded, res.Outcome, res.Reason)
-	outcome, _ := p.Probe(ctx)
+	outcome, _ := client.Probe(ctx)
 	require.Equal(t, decide.OutcomeSucceeded, outcome)
-	require.NoError(t, p.Prioritize(ctx, "00000000000000aa", 2))
-	require.NoError(t, p.sendCancel(engine.EncodeCancel(p.addr, "00000000000000aa"), false, time.Now()))
-	p.Close()
+	require.NoError(t, client.Prioritize(ctx, "00000000000000aa", 2))
+	require.NoError(t, client.sendCancel(engine.EncodeCancel(client.addr, "00000000000000aa"), false, time.Now()))
+	client.Close()
 	golden.Equal(t, "testdata/engine-client.txt", []byte(out.String()))
 }
 
-// The same to an engine of the REST protocol.
+// Covers the calls to an engine of the REST protocol: an attempt whose answer is lost and that is resumed, and a health check.
 func TestRESTEngineClientWireBytes(t *testing.T) {
 	answer := func(body string) string {
 		return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: (length)\r\n\r\n" + body
@@ -49,21 +50,21 @@
 		answer(`{"id":"q","columns":[{"name":"a","type":"varchar"},{"name":"b","type":"varchar"},{"name":"c","type":"varchar"}],"data":[["1","2","3"]],"stats":{"state":"FINISHED"}}`),
 		answer(`{"starting":false}`))
 	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
-	e := &restClient{engineClient: &engineClient{addr: addr, conns: pool.endpoint("a", addr)}, user: "n0"}
+	client := &restClient{engineClient: &engineClient{addr: addr, conns: pool.endpoint("a", addr)}, user: "n0"}
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
 	defer cancel()
 	a := attempt("00000000000000aa")
 	a.Timeout, a.IdempotencyKey = time.Second, "k"
-	res := e.Run(ctx, a)
+	res := client.Run(ctx, a)
 	require.Equal(t, decide.OutcomeSucceeded, res.Outcome, res.Reason)
-	outcome, _ := e.Probe(ctx)
+	outcome, _ := client.Probe(ctx)
 	require.Equal(t, decide.OutcomeSucceeded, outcome)
-	e.Close()
+	client.Close()
 	golden.Equal(t, "testdata/rest-engine-client.txt", []byte(out.String()))
 }
 
-// Operators' programs parse the line of counters.
-func TestPoolCountersKeepTheirForm(t *testing.T) {
+// Operators' programs parse the line of counters, so its format must not change.
+func TestPoolCountersFormat(t *testing.T) {
 	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
 	require.Equal(t, "counters engine_connections open=0 limit=8 dialled=0 reused=0 stolen=0 expired=0 stale=0 spent=0 resumed=0 odd_reports=0 odd_notes=0\n",
 		pool.String())
