--- a/internal/transport/discovery/endpoints.go
+++ b/internal/transport/discovery/endpoints.go
@@ -10,7 +10,7 @@
 	"aniseloft/internal/routing"
 )
 
-// States of an engine on the discovery service's wire.
+// States of an engine in the discovery service's protocol.
 const (
 	wireActive  = "active"
 	wireLeaving = "leaving"
@@ -23,9 +23,9 @@
 	wireLeft:    decide.EndpointRemoved,
 }
 
-// fold takes events in their order, each once, as one update: of an engine that several name the
-// latest state counts, so a replay never brings one back that was removed.
-func (w *Watcher) fold(events []journal.Event) (snapshot bool, listed []journal.Endpoint) {
+// mergeEvents merges new events into one update, with the latest state of each engine, and advances the
+// position. Events up to the current position are skipped, so that a replay never restores a removed engine.
+func (w *Watcher) mergeEvents(events []journal.Event) (snapshot bool, listed []journal.Endpoint) {
 	latest := map[string]journal.Endpoint{}
 	var order []string
 	for _, e := range events {
@@ -34,7 +34,7 @@
 		}
 		if e.Position > w.position+1 && !e.Update.Snapshot {
 			w.log.Warn("discovery events missing", "after", w.position, "next", e.Position)
-			w.position = 0 // the first event is a snapshot
+			w.position = 0 // polls again from the first event, which is a snapshot
 			break
 		}
 		if w.position = e.Position; e.Update.Snapshot {
@@ -54,26 +54,26 @@
 	return snapshot, listed
 }
 
-// endpoints maps the engines of the wire, but for those that can't be used.
+// endpoints converts the engines of the protocol to endpoints, without those that can't be used.
 func (w *Watcher) endpoints(listed []journal.Endpoint) (endpoints []routing.Endpoint) {
 	for _, s := range listed {
-		if m, ok := w.endpoint(s); ok {
-			endpoints = append(endpoints, m)
+		if e, ok := w.endpoint(s); ok {
+			endpoints = append(endpoints, e)
 		}
 	}
 	return endpoints
 }
 
-// endpoint maps an engine of the wire; ok is false for one that can't be used.
+// endpoint converts an engine of the protocol to an endpoint; ok is false for one that can't be used.
 func (w *Watcher) endpoint(s journal.Endpoint) (_ routing.Endpoint, ok bool) {
 	state, ok := endpointStates[s.State]
 	if !ok || s.ID == "" {
-		w.log.Warn("discovery event unreadable", "endpoint", s.ID, "state", s.State)
+		w.log.Warn("discovery event invalid: no id, or unknown state", "endpoint", s.ID, "state", s.State)
 		return routing.Endpoint{}, false
 	}
 	if state != decide.EndpointRemoved {
 		if _, _, err := net.SplitHostPort(s.Address); err != nil {
-			w.log.Warn("discovery event unreadable", "endpoint", s.ID, "err", err)
+			w.log.Warn("discovery event invalid: bad address", "endpoint", s.ID, "err", err)
 			return routing.Endpoint{}, false
 		}
 	}
@@ -81,9 +81,9 @@
 		Zone: nameIndex(w.settings.ZoneNames, s.Zone), Kind: nameIndex(w.settings.KindNames, s.Kind), Cell: s.Cell, State: state, StartedAt: s.StartedAtMS}}, true
 }
 
-// nameIndex is the index of a name in the settings. One that they don't have matches none of theirs,
-// so that no class that is bound to some is placed there: it gets an index below 0 of its own, the
-// same wherever it occurs. Where the settings have no names at all, all are the first.
+// nameIndex returns the index of a name in the settings. A name that they lack must match none of theirs, so
+// that no class that is confined to some of them is placed there: it gets a negative index that depends on
+// the name alone. Where the settings have no names, every name has index 0.
 func nameIndex(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 || len(names) == 0 {
 		return max(i, 0)
@@ -91,8 +91,8 @@
 	return -1 - int(endpointID(name)>>33)
 }
 
-// endpointID is the decisions' number for an engine. It depends on the name alone, so that all
-// coordinators hash alike and no state remains of engines that were removed.
+// endpointID returns the number that identifies an engine to the decisions. It is a hash of the name, so that all
+// coordinators use the same number, and no table of removed engines is needed.
 func endpointID(name string) decide.EndpointID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
--- a/internal/transport/discovery/rates_test.go
+++ b/internal/transport/discovery/rates_test.go
@@ -17,19 +17,20 @@
 	"aniseloft/internal/routing"
 )
 
-// countingService is a discovery service that counts connections and calls, by 100 ms, and can fail.
+// countingService is a discovery service that counts connections and calls per 100 ms, and can be made to fail.
 type countingService struct {
 	mu     sync.Mutex
 	addr   string
 	start  time.Time
 	dials  map[int]int
 	calls  map[int]int
-	broken bool // it takes connections and ends them
-	held   bool // it takes calls and says nothing
+	broken bool // accepts connections and closes them at once
+	held   bool // accepts calls and does not answer
 	conns  map[net.Conn]bool
 }
 
-func (c *countingService) book(m map[int]int) {
+// count adds 1 to the count of the current 100 ms. The caller holds c.mu.
+func (c *countingService) count(m map[int]int) {
 	m[int(time.Since(c.start)/(100*time.Millisecond))]++
 }
 
@@ -44,7 +45,7 @@
 		switch s {
 		case http.StateNew:
 			c.conns[conn] = true
-			if c.book(c.dials); c.broken {
+			if c.count(c.dials); c.broken {
 				_ = conn.Close()
 			}
 		case http.StateClosed:
@@ -52,7 +53,7 @@
 		}
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
-		c.book(c.calls)
+		c.count(c.calls)
 		held := c.held
 		wait, _ := strconv.Atoi(r.URL.Query().Get("max_wait"))
 		c.mu.Unlock()
@@ -82,21 +83,22 @@
 	}
 }
 
-// between sums counts over a span of the test, and returns the maximum in 100 ms.
-func (c *countingService) between(m map[int]int, from, to time.Time) (sum, most int) {
+// between returns the sum of the counts between two times, and the largest count per 100 ms.
+func (c *countingService) between(m map[int]int, from, to time.Time) (sum, peak int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for at, n := range m {
 		begin := c.start.Add(time.Duration(at) * 100 * time.Millisecond)
 		if !begin.Before(from) && begin.Before(to) {
-			sum, most = sum+n, max(most, n)
+			sum, peak = sum+n, max(peak, n)
 		}
 	}
-	return sum, most
+	return sum, peak
 }
 
-// The load of 80 coordinators on the discovery service is the sum of what each may do alone: one long poll each while it
-// is healthy, and while it is not no more dials than the backoff's shortest waits allow, spread rather than in step.
+// The load of 80 coordinators on the discovery service must not exceed the sum of their individual limits: one long poll each
+// while it is healthy, and otherwise as many dials as the shortest waits of the backoff allow. The calls must be spread and not
+// in step.
 func TestEightyWatchersStayWithinRates(t *testing.T) {
 	const n = 80
 	c := newCountingService(t)
@@ -104,34 +106,34 @@
 	var all sync.WaitGroup
 	log := slog.New(slog.DiscardHandler)
 	for range n {
-		core, err := routing.NewDispatcher(decide.Settings{Balancers: 1, TickInterval: 5, MaxAttempts: 1, Kinds: []decide.EndpointKind{{Cores: 1}},
+		dispatcher, err := routing.NewDispatcher(decide.Settings{Balancers: 1, TickInterval: 5, MaxAttempts: 1, Kinds: []decide.EndpointKind{{Cores: 1}},
 			Classes: []decide.Class{{LatencyObjective: 100, Deadline: 1000, Threads: 1}}}, 1, nil, log, 1<<20)
 		require.NoError(t, err)
-		all.Go(func() { core.Run(ctx) })
-		all.Go(func() { NewWatcher(c.addr, core, log).Run(ctx) })
+		all.Go(func() { dispatcher.Run(ctx) })
+		all.Go(func() { NewWatcher(c.addr, dispatcher, log).Run(ctx) })
 	}
 	defer func() { cancel(); all.Wait() }()
-	asked := func() bool { sum, _ := c.between(c.calls, c.start, time.Now()); return sum >= n }
-	require.Eventually(t, asked, 20*time.Second, 10*time.Millisecond)
-	within := func(what string, m map[int]int, span time.Duration, most int) (peak int) {
+	allPolled := func() bool { sum, _ := c.between(c.calls, c.start, time.Now()); return sum >= n }
+	require.Eventually(t, allPolled, 20*time.Second, 10*time.Millisecond)
+	requireRate := func(name string, m map[int]int, span time.Duration, limit int) (peak int) {
 		from := time.Now()
 		time.Sleep(span)
 		var sum int
 		sum, peak = c.between(m, from, time.Now())
-		// A machine that stands still for a while lets what was due come at once; the time that passed bounds it yet.
-		bound := float64(most) * float64(time.Since(from)) / float64(span)
-		require.LessOrEqual(t, float64(sum), bound, what)
-		t.Logf("%s: %d in %v, at most %.0f; %d in the worst 100 ms", what, sum, time.Since(from).Round(time.Millisecond), bound, peak)
+		// After a stall of the machine, overdue calls come all at once, so the limit is scaled by the time that has passed.
+		bound := float64(limit) * float64(time.Since(from)) / float64(span)
+		require.LessOrEqual(t, float64(sum), bound, name)
+		t.Logf("%s: %d in %v, at most %.0f; largest count per 100 ms: %d", name, sum, time.Since(from).Round(time.Millisecond), bound, peak)
 		return peak
 	}
-	// They started at one instant, as after a common failure; an even spread is 8 in 100 ms.
-	require.Less(t, within("calls while it is healthy", c.calls, 4*time.Second, n*5), n/2, "the polls are in step")
-	within("dials while it is healthy", c.dials, time.Second, n/10)
+	// All watchers started at the same time, as after a common failure. An even spread is 8 per 100 ms.
+	require.Less(t, requireRate("calls while it is healthy", c.calls, 4*time.Second, n*5), n/2, "the polls are in step")
+	requireRate("dials while it is healthy", c.dials, time.Second, n/10)
 	c.set(true, false)
-	// Each waits half of its backoff at least: 25, 50, 100 and 200 ms, and 250 ms from then on.
-	within("dials while it ends connections", c.dials, 2*time.Second, n*(4+2000/250+1))
+	// Each waits for at least half of its backoff: 25, 50, 100 and 200 ms, and 250 ms from then on.
+	requireRate("dials while it ends connections", c.dials, 2*time.Second, n*(4+2000/250+1))
 	c.set(false, true)
 	time.Sleep(time.Second)
-	// A call without an answer ends after its wait and slack.
-	within("calls while it answers nothing", c.calls, 2*time.Second, n*(1+2000/(pollWait+int(answerSlack/time.Millisecond))+1))
+	// A call without an answer ends after pollWait and answerSlack.
+	requireRate("calls while it answers nothing", c.calls, 2*time.Second, n*(1+2000/(pollWait+int(answerSlack/time.Millisecond))+1))
 }
--- a/internal/transport/discovery/sharedlist.go
+++ b/internal/transport/discovery/sharedlist.go
@@ -15,56 +15,57 @@
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	// heartbeatInterval is how often the coordinator that watches for all publishes that it still does.
+	// heartbeatInterval is how often the coordinator that watches for all publishes a heartbeat.
 	heartbeatInterval = 200 * time.Millisecond
-	// heartbeatTimeout is how long others rely on its last message: three lost, then each watches
-	// for itself.
+	// heartbeatTimeout is how long the other coordinators rely on its last message. After three lost
+	// heartbeats, each watches the discovery service itself.
 	heartbeatTimeout = 3 * heartbeatInterval
-	// activeSnapshotInterval is how often a snapshot is published while the list changes, for who
-	// missed a change; idleSnapshotInterval how often while it does not, for who has just started and
-	// watches for itself until then.
+	// activeSnapshotInterval is how often a snapshot is published while the list changes, for coordinators
+	// that missed a change. idleSnapshotInterval is how often one is published while the list does not
+	// change, for coordinators that have just started and watch themselves until they receive one.
 	activeSnapshotInterval = time.Second
 	idleSnapshotInterval   = 15 * time.Second
 	// idleAfter is how long after its latest change the list counts as idle.
 	idleAfter = 5 * time.Second
-	// ownReadingPriority is how long what a coordinator has read itself wins over a published list
-	// that calls an engine healthier: that list may have been on its way.
+	// ownReadingPriority is how long a state that this coordinator has read itself takes precedence over a
+	// published healthier state of the engine, or its absence from a published snapshot: those may be older.
 	ownReadingPriority = 2 * time.Second
 )
 
-// update is what the watching coordinator publishes: changes, a snapshot, or, empty, a heartbeat.
+// update is a message of the watching coordinator: changes, a snapshot or, if it is empty, a heartbeat.
 type update struct {
 	Snapshot  bool               `json:"whole,omitempty"`
 	Endpoints []journal.Endpoint `json:"servers,omitempty"`
 }
 
-// SharedList is the endpoint list as one coordinator reads it for all: the holder of the job
-// publishes it, the others follow. It is safe for concurrent use; a nil list shares nothing.
+// SharedList is an endpoint list that one coordinator reads for all. The holder of lease.JobReadJournal
+// publishes it, and the others follow it. It is safe for concurrent use. A nil list shares nothing.
 type SharedList struct {
 	fleet   leasebackend.Backend
 	self    string // this coordinator's name
 	log     *slog.Logger
-	deliver func(listed []journal.Endpoint) // takes what others have read
-
-	mu         sync.Mutex                  // guards what follows
-	endpoints  map[string]journal.Endpoint // by id, as this coordinator knows them
-	readAt     map[string]time.Time        // when it read one itself
-	sequence   uint64                      // of the latest message published or followed
-	fence      lease.Fence                 // of that message
-	receivedAt time.Time                   // when others were last known to watch
-	gap        bool                        // a message was missed: its content is not known
-	snapshotAt time.Time                   // when one was last published
-	changedAt  time.Time                   // when the list last changed
+	deliver func(listed []journal.Endpoint) // receives the changes that other coordinators publish
+
+	mu         sync.Mutex                  // guards the fields below
+	endpoints  map[string]journal.Endpoint // latest known state of each engine, by id
+	readAt     map[string]time.Time        // when this coordinator last read an engine's state itself, by id
+	sequence   uint64                      // sequence number of the latest message published or received
+	fence      lease.Fence                 // fence of that message
+	receivedAt time.Time                   // when the latest message without a gap before it was received
+	gap        bool                        // a message was missed, and no snapshot has been received since
+	snapshotAt time.Time                   // when this coordinator last published a snapshot
+	changedAt  time.Time                   // when this coordinator last read a change
 }
 
-// NewSharedList returns a list that the fleet's members share.
+// NewSharedList returns a list that is shared with the other coordinators of the fleet.
 func NewSharedList(fleet leasebackend.Backend, self string, log *slog.Logger) *SharedList {
 	l := &SharedList{fleet: fleet, self: self, log: log, endpoints: map[string]journal.Endpoint{}, readAt: map[string]time.Time{}}
 	fleet.Subscribe(l.receive)
 	return l
 }
 
-// WatchedElsewhere reports whether another coordinator watches for this one, by its message of just now.
+// WatchedElsewhere reports whether another coordinator watches for this one: its latest message is more recent
+// than heartbeatTimeout, and none is missing.
 func (l *SharedList) WatchedElsewhere() bool {
 	if l == nil || l.fleet.Holds(lease.JobReadJournal) {
 		return false
@@ -74,7 +75,7 @@
 	return !l.gap && time.Since(l.receivedAt) < heartbeatTimeout
 }
 
-// Update takes what this coordinator has read itself, and publishes it where it watches for all.
+// Update stores the engines that this coordinator has read itself, and publishes them where it watches for all.
 func (l *SharedList) Update(snapshot bool, listed []journal.Endpoint) {
 	if l == nil {
 		return
@@ -96,7 +97,7 @@
 	}
 }
 
-// PublishHeartbeat publishes, where this coordinator watches for all, that it still does.
+// PublishHeartbeat publishes a heartbeat where this coordinator watches for all.
 func (l *SharedList) PublishHeartbeat() {
 	if l != nil {
 		l.publish(update{})
@@ -115,7 +116,7 @@
 	}
 }
 
-// prepare numbers an update, and makes it a snapshot where one is due.
+// prepare returns an update with its sequence number. It turns the update into a snapshot where one is due.
 func (l *SharedList) prepare(u update, fence lease.Fence) (update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,19 +140,19 @@
 	return u, l.sequence
 }
 
-// receive follows what the watching coordinator publishes; its fence has been checked and stored by then.
+// receive handles a message of the watching coordinator. Its fence has already been checked and stored.
 func (l *SharedList) receive(p leasebackend.Publication) {
 	if p.Job != lease.JobReadJournal || p.HolderName == l.self {
 		return
 	}
 	var u update
 	if err := codec.Unmarshal(p.Data, &u); err != nil {
-		l.log.Warn("shared endpoint list unreadable", "from", p.HolderName, "err", err)
+		l.log.Warn("shared endpoint list dropped: invalid JSON", "from", p.HolderName, "err", err)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p.Fence == l.fence && p.Seq <= l.sequence { // repeated, or overtaken
+	if p.Fence == l.fence && p.Seq <= l.sequence { // a duplicate, or older than the latest message
 		return
 	}
 	l.gap = (l.gap || p.Fence != l.fence || p.Seq != l.sequence+1) && !u.Snapshot
@@ -164,8 +165,8 @@
 	}
 }
 
-// merge takes an update into the list and returns what it changes. What a snapshot leaves out was
-// removed. The lock is held.
+// merge merges an update into the list and returns the engines that have changed. Engines that are missing in
+// a snapshot have been removed. The caller holds l.mu.
 func (l *SharedList) merge(u update) (changed []journal.Endpoint) {
 	named := map[string]bool{}
 	for _, s := range u.Endpoints {
@@ -189,8 +190,8 @@
 	return changed
 }
 
-// ignores reports whether a published engine changes nothing: it is known so, or this coordinator
-// has just read itself that it is less healthy.
+// ignores reports whether a published state of an engine is to be ignored: it is known already, or this
+// coordinator has recently read itself that the engine is less healthy.
 func (l *SharedList) ignores(s journal.Endpoint) bool {
 	known, ok := l.endpoints[s.ID]
 	if !ok {
@@ -200,7 +201,7 @@
 	return known == s || recent && s.StartedAtMS <= known.StartedAtMS && healthRank(s.State) > healthRank(known.State)
 }
 
-// healthRank orders the states of the wire; one that is not known ranks with the removed.
+// healthRank returns a number that is larger for healthier states. An unknown state ranks like a removed engine.
 func healthRank(state string) int {
 	switch state {
 	case wireActive:
--- a/internal/transport/discovery/watcher.go
+++ b/internal/transport/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery watches the discovery service (the journal service of the protocol) by long poll
-// and hands its endpoint list on. One coordinator may watch for all and publish what it reads.
+// Package discovery watches the discovery service (the journal service of the protocol) by long polling
+// and passes its endpoint list to the dispatcher. One coordinator may watch for all and publish the list.
 package discovery
 
 import (
@@ -20,53 +20,53 @@
 )
 
 const (
-	// pollWait is how long the service may hold a poll, in ms. It allows more, but a stopped
-	// service whose connection stays open must show soon: an event counts as known to coordinators 2 s
-	// after the end of the wait, received or not.
+	// pollWait is how long the service may hold a poll, in ms. The protocol allows more, but a stopped
+	// service whose connection stays open must be detected soon: an event counts as known to
+	// coordinators 2 s after the end of the wait, whether or not it was received.
 	pollWait = 1000
-	// answerSlack is how long past its wait an answer may take.
+	// answerSlack is how long after the end of its wait the answer to a poll may take.
 	answerSlack = 600 * time.Millisecond
-	// maxAnswerSlack is the longest that a list may take to arrive, once its first bytes came in
+	// maxAnswerSlack is the limit to which the slack grows for a list whose first bytes arrive in
 	// time: an event counts as known 7 s afterwards, and the service may have held the poll for 1 s.
 	maxAnswerSlack = 6 * time.Second
-	// minBackoff and maxBackoff bound the pause after a lost connection. It stays short: the
+	// minBackoff and maxBackoff limit the pause after a lost connection. The pause is short because the
 	// time allowed for a drain counts from when the service announces it.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
-	// emptyAnswerPause is the minimum time between polls that bring nothing new, so that a service
-	// that answers at once does not fill the dispatcher. It is also how often a coordinator that
-	// relies on another's watch checks whether it still may.
+	// emptyAnswerPause is the minimum time between polls without new events, so that a service that
+	// answers at once does not overload the dispatcher. It is also how often a coordinator that
+	// relies on another's watch checks whether it still can.
 	emptyAnswerPause = 50 * time.Millisecond
 	connectTimeout   = 500 * time.Millisecond
 )
 
 var (
-	// errWatchedElsewhere ends this coordinator's own watch: another watches for all.
-	errWatchedElsewhere = errors.New("another coordinator reads for all")
+	// errWatchedElsewhere ends this coordinator's own watch where another coordinator watches for all.
+	errWatchedElsewhere = errors.New("another coordinator watches the journal service for all")
 	errClosedByService  = errors.New("closed by the journal service")
 )
 
 // Watcher follows the endpoint list of the discovery service. Run owns the connection and the
-// position in the list; Redirect and Calls may be used from any goroutine.
+// position in the list. Redirect and Calls may be used from any goroutine.
 type Watcher struct {
-	// Calls counts the polls.
+	// Calls is the number of polls.
 	Calls atomic.Int64
 
 	settings   decide.Settings
 	dispatcher *routing.Dispatcher
 	log        *slog.Logger
-	shared     *SharedList // the list that one coordinator reads for all; nil: each reads for itself
-	position   int64       // of the latest event
-	// slack is how long past its wait an answer may take now. It grows while lists are
-	// not complete in time: each try would else be cut off where the one before was.
+	shared     *SharedList // the list that one coordinator reads for all; nil: each coordinator reads it itself
+	position   int64       // position of the latest event
+	// slack is the current answerSlack. It grows while lists are not complete in time, as otherwise each
+	// try would be cut off at the same point as the one before.
 	slack time.Duration
 
-	mu        sync.Mutex         // guards what follows
-	addr      string             // of the service
-	interrupt context.CancelFunc // ends the poll at addr
+	mu        sync.Mutex         // guards the fields below
+	addr      string             // address of the service
+	interrupt context.CancelFunc // cancels the poll at addr
 }
 
-// NewWatcher returns a watcher of the service at addr, which hands endpoints to the dispatcher.
+// NewWatcher returns a watcher of the service at addr that passes endpoints to the dispatcher.
 func NewWatcher(addr string, dispatcher *routing.Dispatcher, log *slog.Logger) *Watcher {
 	return &Watcher{addr: addr, settings: dispatcher.Settings(), dispatcher: dispatcher, log: log, slack: answerSlack}
 }
@@ -74,18 +74,18 @@
 // Share lets one coordinator watch for all; it must be called before Run.
 func (w *Watcher) Share(l *SharedList) { w.shared, l.deliver = l, w.deliverShared }
 
-// LoadCached takes the events known at the start: together they are one list, possibly stale. It
-// must be called before Run.
+// LoadCached passes a batch of events that is known at the start to the dispatcher, as a list that may be
+// stale. It must be called before Run.
 func (w *Watcher) LoadCached(b journal.Batch) {
-	_, listed := w.fold(b.Events)
+	_, listed := w.mergeEvents(b.Events)
 	w.position = max(w.position, b.Position)
 	w.shared.Update(true, listed)
 	endpoints := w.endpoints(listed)
-	w.dispatcher.UpdateEndpoints(decide.UpdateCached, slices.DeleteFunc(endpoints, func(m routing.Endpoint) bool { return m.State == decide.EndpointRemoved }))
+	w.dispatcher.UpdateEndpoints(decide.UpdateCached, slices.DeleteFunc(endpoints, func(e routing.Endpoint) bool { return e.State == decide.EndpointRemoved }))
 }
 
-// Redirect goes on at another address at once. The old service announces nothing more, so a poll that
-// waits there would miss a drain until its end.
+// Redirect moves the watch to another address at once. The old service announces no more events, so a poll that
+// continued there would delay the news of a drain until the poll ends.
 func (w *Watcher) Redirect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// currentService returns the address to poll, and a context that ends once it changes.
+// currentService returns the address to poll, and a context that ends when the address changes.
 func (w *Watcher) currentService(ctx context.Context) (string, context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,11 +104,11 @@
 	return w.addr, pollCtx, cancel
 }
 
-// Run keeps a long poll up until ctx ends.
+// Run polls the service until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		if w.shared.WatchedElsewhere() { // its end shows within one of these pauses
+		if w.shared.WatchedElsewhere() { // an end of the other's watch is noticed within one pause
 			pause(ctx, emptyAnswerPause)
 			continue
 		}
@@ -116,8 +116,8 @@
 	}
 }
 
-// watch polls at one address until the connection is lost or the address changes, waits for the
-// backoff, and returns the next one.
+// watch polls one address until the connection is lost or the address changes. After a loss it waits for the
+// backoff. It returns the next backoff.
 func (w *Watcher) watch(ctx context.Context, backoff time.Duration) time.Duration {
 	addr, ctx, cancel := w.currentService(ctx)
 	defer cancel()
@@ -139,11 +139,11 @@
 	return backoff
 }
 
-// pause waits for so long, or until ctx ends.
-func pause(ctx context.Context, long time.Duration) {
+// pause waits for the given duration or until ctx ends.
+func pause(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(long):
+	case <-time.After(duration):
 	}
 }
 
@@ -158,8 +158,8 @@
 	c := netconn.New(raw, netconn.PageBuffer)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer func() { stop(); _ = c.Close() }()
-	// Coordinators that lost the service together come back together; a random first wait keeps
-	// their polls from reaching it in step ever after.
+	// Coordinators that lose the service at the same time reconnect at the same time. A random first wait
+	// keeps their polls from reaching the service in step from then on.
 	wait := 1 + rand.IntN(pollWait)
 	for poll := journal.NewPollParser(); ; answered = true {
 		if w.shared.WatchedElsewhere() {
@@ -182,8 +182,8 @@
 	}
 }
 
-// poll makes one call, which the service may hold for wait ms, and reads its answer; reusable
-// reports whether the connection can carry another.
+// poll makes one call, which the service may hold for wait ms, and reads its answer. reusable reports whether
+// the connection can be used for another call.
 func (w *Watcher) poll(ctx context.Context, c *netconn.Conn, p *journal.PollParser, addr string, wait int) (batch journal.Batch, reusable bool, err error) {
 	w.Calls.Add(1)
 	if err := c.Write(ctx, journal.EncodePoll(addr, w.position, wait), time.Now().Add(answerSlack)); err != nil {
@@ -208,8 +208,8 @@
 	}
 }
 
-// read waits for bytes of an answer. While the poll is in flight and not overdue, all who rely on this
-// coordinator's watch get heartbeats.
+// read waits for bytes of an answer. Until the deadline of the poll it publishes heartbeats to the coordinators
+// that rely on this one's watch.
 func (w *Watcher) read(ctx context.Context, c *netconn.Conn, deadline time.Time) ([]byte, error) {
 	if w.shared == nil {
 		return c.Read(ctx, deadline)
@@ -224,9 +224,9 @@
 	}
 }
 
-// apply hands on what a poll brought.
+// apply passes the events of a poll to the shared list and the dispatcher.
 func (w *Watcher) apply(b journal.Batch) {
-	snapshot, listed := w.fold(b.Events)
+	snapshot, listed := w.mergeEvents(b.Events)
 	w.shared.Update(snapshot, listed)
 	endpoints := w.endpoints(listed)
 	if snapshot {
@@ -236,7 +236,7 @@
 	}
 }
 
-// deliverShared hands on what another coordinator has read.
+// deliverShared passes changes that another coordinator has read to the dispatcher.
 func (w *Watcher) deliverShared(listed []journal.Endpoint) {
 	if endpoints := w.endpoints(listed); len(endpoints) > 0 {
 		w.dispatcher.UpdateEndpoints(decide.UpdateIncremental, endpoints)
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -17,8 +17,9 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// scriptedService is a discovery service over raw sockets: each connection is served by the next of the scripts, and all
-// later ones by the last. A script gets the connection once a call of it is read, with the position that it polls from.
+// scriptedService starts a discovery service on raw sockets and returns its address. Each connection is served by the next
+// script, and further connections by the last one. A script is called for each poll on its connection, with the position
+// from which it polls.
 func scriptedService(t *testing.T, scripts ...func(c net.Conn, tail int)) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -62,28 +63,28 @@
 	oneLeaving = `{"id":"one","addr":"127.0.0.1:1","zone":"a","kind":"k","cell":0,"state":"leaving","weight":1,"started_ms":0}`
 )
 
-// A watch gets no answer, ends or is cut in the middle of a list, gets a byte at a time and stops, or gets garbage: a
-// partial answer changes nothing, and the next connection polls again from the same position and receives all.
+// After a missing, partial, slow or invalid answer, the next connection must poll from the same position and receive all
+// events: a partial answer changes nothing.
 func TestBrokenWatchResumesAtPosition(t *testing.T) {
-	news := pollAnswer(3, entry(2, false, oneLeaving), entry(3, false, twoActive))
+	answer := pollAnswer(3, entry(2, false, oneLeaving), entry(3, false, twoActive))
 	hold := func(net.Conn, int) { <-t.Context().Done() }
 	for name, broken := range map[string]func(c net.Conn){
 		"silent":         func(c net.Conn) { hold(c, 0) },
-		"ends mid-list":  func(c net.Conn) { _, _ = io.WriteString(c, news[:len(news)-40]); _ = c.Close() },
-		"stops mid-list": func(c net.Conn) { _, _ = io.WriteString(c, news[:len(news)-40]); hold(c, 0) },
+		"ends mid-list":  func(c net.Conn) { _, _ = io.WriteString(c, answer[:len(answer)-40]); _ = c.Close() },
+		"stops mid-list": func(c net.Conn) { _, _ = io.WriteString(c, answer[:len(answer)-40]); hold(c, 0) },
 		"reset mid-list": func(c net.Conn) {
-			_, _ = io.WriteString(c, news[:80])
+			_, _ = io.WriteString(c, answer[:80])
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		},
 		"a byte at a time": func(c net.Conn) {
-			for _, b := range []byte(news[:200]) {
+			for _, b := range []byte(answer[:200]) {
 				_, _ = c.Write([]byte{b})
 			}
 			hold(c, 0)
 		},
-		"garbage":           func(c net.Conn) { _, _ = io.WriteString(c, pollAnswer(3, `{"pos":2,"hosts":`)) },
-		"its end by a zero": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") },
+		"garbage":    func(c net.Conn) { _, _ = io.WriteString(c, pollAnswer(3, `{"pos":2,"hosts":`)) },
+		"empty body": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -101,17 +102,17 @@
 			}, func(c net.Conn, tail int) {
 				tails <- tail
 				if tail == 1 {
-					_, _ = io.WriteString(c, news)
+					_, _ = io.WriteString(c, answer)
 				} else {
 					hold(c, tail)
 				}
 			})
 			ctx, cancel := context.WithCancel(t.Context())
-			over := make(chan struct{})
-			go func() { defer close(over); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
-			defer func() { cancel(); <-over }()
+			ended := make(chan struct{})
+			go func() { defer close(ended); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
+			defer func() { cancel(); <-ended }()
 			transporttest.Receive(t, first)
-			require.Equal(t, 1, transporttest.Receive(t, tails), "from where the last whole answer ended")
+			require.Equal(t, 1, transporttest.Receive(t, tails), "the position after the last complete answer")
 			require.Eventually(t, func() bool {
 				b := dispatcher.DescribeEndpoints()
 				return strings.Contains(b, "name=one id=") && strings.Contains(b, "addr=127.0.0.1:1 ready=false") && strings.Contains(b, "addr=127.0.0.1:2 ready=true")
@@ -120,7 +121,8 @@
 	}
 }
 
-// A list that arrived slowly and steadily, but not within the time of a poll, was cut off and begun again for ever.
+// Guards against repeating a poll forever: a list that arrived slowly but steadily was cut off at the end of each poll's time
+// limit.
 func TestSlowListIsReceivedEventually(t *testing.T) {
 	dispatcher, _ := transporttest.Dispatcher(t, false)
 	addr := scriptedService(t, func(c net.Conn, tail int) {
@@ -129,7 +131,7 @@
 			return
 		}
 		list := pollAnswer(1, entry(1, true, oneActive))
-		// In 30 pieces, longer than a poll's whole time: the wait and the slack.
+		// The list is sent in 30 pieces and takes longer than the time limit of a poll, which is pollWait plus answerSlack.
 		pause := (pollWait*time.Millisecond + 2*answerSlack) / 30
 		for n := 30; n > 0 && len(list) > 0; n-- {
 			size := (len(list) + n - 1) / n
@@ -141,8 +143,8 @@
 		}
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan struct{})
-	go func() { defer close(over); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
-	defer func() { cancel(); <-over }()
+	ended := make(chan struct{})
+	go func() { defer close(ended); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
+	defer func() { cancel(); <-ended }()
 	require.Eventually(t, func() bool { return strings.Contains(dispatcher.DescribeEndpoints(), "name=one id=") }, transporttest.Patience, time.Millisecond)
 }
--- a/internal/transport/discovery/wire_bytes_test.go
+++ b/internal/transport/discovery/wire_bytes_test.go
@@ -17,10 +17,10 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// The files of these tests hold every byte that the drivers wrote before their packages were renamed, when all were in one
-// package: go test ./internal/transport -run WireBytes -update.
+// The golden files of these tests hold every byte that the package writes. To rewrite them:
+// go test ./internal/transport/discovery -run WireBytes -update
 
-// What the coordinator that watches for all publishes.
+// Covers the messages that the coordinator that watches for all publishes.
 func TestSharedListWireBytes(t *testing.T) {
 	h := &holder{fence: 4}
 	l := NewSharedList(h, "n1", slog.New(slog.DiscardHandler))
@@ -32,17 +32,17 @@
 	golden.Equal(t, "testdata/shared-list.txt", []byte(strings.Join(append(h.published, string(out)), "\n")+"\n"))
 }
 
-// A poll of the discovery service, and one from a later position.
+// Covers a first poll of the discovery service, and one from a later position.
 func TestDiscoveryWireBytes(t *testing.T) {
 	dispatcher, _ := transporttest.Dispatcher(t, false)
 	addr, out := transporttest.TranscriptServer(t, pollAnswer(1, entry(1, true, oneActive)))
 	out.Patterns = map[*regexp.Regexp]string{regexp.MustCompile(`max_wait=\d+`): "max_wait=(ms)"}
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan struct{})
-	go func() { defer close(over); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
+	ended := make(chan struct{})
+	go func() { defer close(ended); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
 	require.Eventually(t, func() bool { return strings.Count(out.String(), "> \"GET") >= 2 }, transporttest.Patience, time.Millisecond)
 	cancel()
-	<-over
+	<-ended
 	calls := strings.SplitAfter(out.String(), "> \"\\r\\n\"\n")
 	golden.Equal(t, "testdata/discovery.txt", []byte(strings.Join(calls[:2], "")))
 }
