--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip carries datagrams between coordinators. They may be late, lost, repeated or forged:
-// what arrives is only a hint for the decisions, which know no socket.
+// Package gossip sends and receives datagrams between coordinators. A datagram may be late, lost, duplicated or
+// forged, so its content is only a hint for the decisions, which use no sockets themselves.
 package gossip
 
 import (
@@ -17,30 +17,31 @@
 	"aniseloft/internal/transport/violations"
 )
 
-// MaxDatagram is the maximum length of one message, in bytes: the protocol's limit. Sending a longer
-// one breaks a rule.
+// MaxDatagram is the protocol's maximum length of one message, in bytes. Longer messages are not sent, as they
+// would violate the protocol.
 const MaxDatagram = 256
 
-// readErrorPause is the time to the next read after one that failed, such as for an ICMP error that
-// says a peer's port is closed.
+// readErrorPause is the pause after a failed read. Reads fail, for example, after an ICMP error that reports a
+// peer's port as closed.
 const readErrorPause = time.Millisecond
 
-// Transport sends and receives datagrams. SendGossip may be called from any goroutine; Run owns the
-// receiving and closes the socket.
+// Transport sends and receives datagrams. SendGossip may be called from any goroutine. Run receives
+// datagrams and closes the socket.
 type Transport struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort // by the coordinator's index
+	peers     []netip.AddrPort // addresses by the coordinator's index
 	indexes   map[netip.AddrPort]int
-	broadcast netip.AddrPort // reaches every other; the zero value: each is sent its own
-	self      int
+	broadcast netip.AddrPort // address that reaches all others; zero: each peer is sent a copy
+	self      int            // index of this coordinator
 	log       *slog.Logger
 
 	unknownSender, oversized, malformed violations.Counter
 	sent, received, unsent              atomic.Int64
 }
 
-// Listen opens the address where datagrams arrive. The n-th of peers is coordinator n's address;
-// broadcast, where not empty, reaches every one. Errors name the field of the configuration.
+// Listen opens the socket that receives datagrams at the address listen. peers holds the addresses of the
+// coordinators by index. broadcast is empty, or an address that reaches all of them. Errors name the
+// configuration field.
 func Listen(listen string, peers []string, broadcast string, self int, log *slog.Logger) (*Transport, error) {
 	t := &Transport{indexes: map[netip.AddrPort]int{}, self: self, log: log}
 	for i, text := range peers {
@@ -49,7 +50,7 @@
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
 		if other, duplicate := t.indexes[addr]; duplicate {
-			return nil, fmt.Errorf("peers[%d]: %s is peers[%d] already", i, text, other)
+			return nil, fmt.Errorf("peers[%d]: %s is also the address of peers[%d]", i, text, other)
 		}
 		t.peers = append(t.peers, addr)
 		t.indexes[addr] = i
@@ -64,7 +65,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	// During an upgrade the old process is still there: each datagram reaches one of the two.
+	// During an upgrade the old process still listens: each datagram reaches one of the two processes.
 	conf := net.ListenConfig{Control: netconn.ReusePort}
 	c, err := conf.ListenPacket(context.Background(), "udp4", addr.String())
 	if err != nil {
@@ -74,8 +75,8 @@
 	return t, nil
 }
 
-// SendGossip sends one datagram to a coordinator, or to all; what can't be sent at once is lost, as
-// any datagram may be.
+// SendGossip sends one datagram to a coordinator, or to all others. A datagram that can't be sent at once is
+// dropped and counted, as any datagram may be lost.
 func (t *Transport) SendGossip(to int, data []byte) {
 	switch {
 	case len(data) > MaxDatagram:
@@ -103,12 +104,12 @@
 	t.sent.Add(1)
 }
 
-// Run delivers each valid datagram, as a copy, with the index of the coordinator that sent it, until
-// ctx ends.
+// Run passes a copy of each valid datagram, and the index of the coordinator that sent it, to deliver until ctx
+// ends.
 func (t *Transport) Run(ctx context.Context, deliver func(from int, data []byte)) {
 	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() })
 	defer stop()
-	var buf [MaxDatagram + 1]byte // one more than allowed shows what is too long
+	var buf [MaxDatagram + 1]byte // one byte more than allowed, to detect datagrams that are too long
 	for {
 		n, addr, err := t.conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// accept returns the index of a datagram's sender; ok is false for one that is dropped.
+// accept returns the index of a datagram's sender. ok is false for a datagram that is dropped.
 func (t *Transport) accept(addr netip.AddrPort, data []byte) (from int, ok bool) {
 	from, known := t.indexes[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 	switch {
@@ -145,7 +146,7 @@
 	c.Record(t.log, "datagram dropped; more of the kind are only counted", kind, from.String())
 }
 
-// String is the line of counters that operators read.
+// String returns the line of counters for operators.
 func (t *Transport) String() string {
 	return fmt.Sprintf("counters peers sent=%d unsent=%d heard=%d stranger=%d oversize=%d unreadable=%d\n", t.sent.Load(), t.unsent.Load(),
 		t.received.Load(), t.unknownSender.Count(), t.oversized.Count(), t.malformed.Count())
--- a/internal/transport/gossip/wire_bytes_test.go
+++ b/internal/transport/gossip/wire_bytes_test.go
@@ -13,28 +13,29 @@
 	"aniseloft/internal/transport/transporttest"
 )
 
-// The files of these tests hold every byte that the drivers wrote before their packages were renamed, when all were in one
-// package: go test ./internal/transport -run WireBytes -update.
+// The golden file holds every byte that the transport sends. To rewrite it:
+// go test ./internal/transport/gossip -run WireBytes -update
 
-// A datagram goes and comes as the module worded it, and the counters' line keeps its form.
+// Datagrams are sent unchanged to one coordinator and to all, those that must not be sent are only counted, and the format of
+// the counters' line does not change.
 func TestGossipWireBytes(t *testing.T) {
-	at, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer func() { _ = at.Close() }()
-	p, err := Listen("127.0.0.1:0", []string{"127.0.0.1:9", at.LocalAddr().String()}, "", 0, slog.New(slog.DiscardHandler))
+	defer func() { _ = peer.Close() }()
+	transport, err := Listen("127.0.0.1:0", []string{"127.0.0.1:9", peer.LocalAddr().String()}, "", 0, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	defer func() { _ = p.conn.Close() }()
-	p.SendGossip(1, []byte{1, 2, 3, 0xff})
-	p.SendGossip(decide.AllPeers, []byte("all"))
-	p.SendGossip(1, make([]byte, MaxDatagram+1))
-	p.SendGossip(0, []byte("self"))
+	defer func() { _ = transport.conn.Close() }()
+	transport.SendGossip(1, []byte{1, 2, 3, 0xff})
+	transport.SendGossip(decide.AllPeers, []byte("all"))
+	transport.SendGossip(1, make([]byte, MaxDatagram+1))
+	transport.SendGossip(0, []byte("self"))
 	out, buf := &transporttest.Transcript{}, make([]byte, MaxDatagram+1)
-	require.NoError(t, at.SetReadDeadline(time.Now().Add(transporttest.Patience)))
+	require.NoError(t, peer.SetReadDeadline(time.Now().Add(transporttest.Patience)))
 	for range 2 {
-		n, err := at.Read(buf)
+		n, err := peer.Read(buf)
 		require.NoError(t, err)
 		out.Add("<", string(buf[:n]))
 	}
-	out.Add("=", p.String())
+	out.Add("=", transport.String())
 	golden.Equal(t, "testdata/gossip.txt", []byte(out.String()))
 }
