--- a/internal/transport/transporttest/transcript.go
+++ b/internal/transport/transporttest/transcript.go
@@ -17,47 +17,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Transcript is a conversation as text. It is safe for concurrent use.
+// Transcript records the messages of two sides as text. It is safe for concurrent use.
 type Transcript struct {
 	mu   sync.Mutex
 	text bytes.Buffer
-	// Replaced and Patterns replace what differs from run to run.
+	// Replaced and Patterns replace text that differs from run to run.
 	Replaced *strings.Replacer
 	Patterns map[*regexp.Regexp]string
 }
 
-// Add adds what one side wrote, line by line.
-func (r *Transcript) Add(who, bytes string) {
+// Add adds a message, line by line. Each line begins with the mark of the side that sent the message.
+func (r *Transcript) Add(side, message string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.Replaced != nil {
-		bytes = r.Replaced.Replace(bytes)
+		message = r.Replaced.Replace(message)
 	}
-	for p, by := range r.Patterns {
-		bytes = p.ReplaceAllString(bytes, by)
+	for pattern, replacement := range r.Patterns {
+		message = pattern.ReplaceAllString(message, replacement)
 	}
-	for _, line := range strings.SplitAfter(bytes, "\n") {
+	for _, line := range strings.SplitAfter(message, "\n") {
 		if line != "" {
-			fmt.Fprintf(&r.text, "%s %q\n", who, line)
+			fmt.Fprintf(&r.text, "%s %q\n", side, line)
 		}
 	}
 }
 
-// String is the conversation so far.
+// String returns the text recorded so far.
 func (r *Transcript) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.String()
 }
 
-// ByteReader reads no byte beyond an answer, which would be the next one's.
+// ByteReader returns one byte per read, so that a buffered reader on it reads no bytes beyond one message.
 type ByteReader struct{ From io.Reader }
 
 // Read reads one byte.
-func (o *ByteReader) Read(b []byte) (int, error) { return o.From.Read(b[:1]) }
+func (r *ByteReader) Read(b []byte) (int, error) { return r.From.Read(b[:1]) }
 
-// TranscriptServer is an HTTP server that records each call and answers it by the next of the scripts. An empty
-// script ends the connection; in a script "(engine)" stands for the address and "(length)" for the body's length.
+// TranscriptServer starts an HTTP server that records each call and sends the next of the answers. An empty answer closes the
+// connection, as does a call after the last answer. In an answer, "(engine)" stands for the server's address and "(length)" for
+// the length of the body.
 func TranscriptServer(t *testing.T, answers ...string) (addr string, out *Transcript) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -65,7 +66,7 @@
 	addr = l.Addr().String()
 	out = &Transcript{Replaced: strings.NewReplacer(addr, "(engine)"),
 		Patterns: map[*regexp.Regexp]string{regexp.MustCompile(`(?i)(timeout(?:-ms)?: ?)[0-9.]+`): "${1}(ms)", regexp.MustCompile(`max_execution_time=\d+`): "max_execution_time=(ms)"}}
-	var turns atomic.Int64 // calls come one after the other, whatever connections they take
+	var calls atomic.Int64 // the calls of all connections are made one after the other
 	serve := func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		for {
@@ -76,16 +77,16 @@
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
 			out.Add(">", raw.String())
-			turn := int(turns.Add(1)) - 1
-			if turn >= len(answers) {
+			n := int(calls.Add(1)) - 1
+			if n >= len(answers) {
 				return
 			}
-			script := answers[turn]
-			out.Add("<", script)
-			if script == "" { // the connection ends
+			answer := answers[n]
+			out.Add("<", answer)
+			if answer == "" { // closes the connection
 				return
 			}
-			head, body, _ := strings.Cut(strings.ReplaceAll(script, "(engine)", addr), "\r\n\r\n")
+			head, body, _ := strings.Cut(strings.ReplaceAll(answer, "(engine)", addr), "\r\n\r\n")
 			_, _ = io.WriteString(c, strings.ReplaceAll(head, "(length)", strconv.Itoa(len(body)))+"\r\n\r\n"+body)
 		}
 	}
