--- a/internal/transport/clients/close_test.go
+++ b/internal/transport/clients/close_test.go
@@ -55,7 +55,7 @@
 // connection at the moment when the reader checks for a drain.
 func TestRequestBeforeDrainCheckIsAnswered(t *testing.T) {
 	for _, tc := range bothServers(t) {
-		client, server := transporttest.Pair(t)
+		client, server := transporttest.ConnPair(t)
 		var checks atomic.Int64
 		l := newListener(t, 4, tc.serve(func() bool {
 			switch checks.Add(1) {
@@ -79,7 +79,7 @@
 // an orderly close, after which it sends the request again, and no reset, which may lose earlier answers.
 func TestRequestArrivingDuringCloseCausesNoReset(t *testing.T) {
 	for _, tc := range bothServers(t) {
-		client, server := transporttest.Pair(t)
+		client, server := transporttest.ConnPair(t)
 		var checks, closes atomic.Int64
 		c := &hookedConn{server, func() {
 			if closes.Add(1) == 1 {
@@ -104,12 +104,12 @@
 	srv, endpoint := jsonrpcServer(t, true)
 	served := make(chan context.Context, 1)
 	l := newListener(t, 4, func(ctx context.Context, c *listener.Conn) { served <- ctx; srv.Serve(ctx, c) })
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	l.ServeConn(server)
 	transporttest.Write(t, client, lookRequest(1))
 	end := transporttest.Receive(t, endpoint.Runs)
 	closed := make(chan struct{})
-	go func() { defer close(closed); l.Close(time.Now().Add(transporttest.Patience)) }()
+	go func() { defer close(closed); l.Close(time.Now().Add(transporttest.WaitTimeout)) }()
 	<-transporttest.Receive(t, served).Done()
 	transporttest.Write(t, client, lookRequest(2)) // the client can't know of the shutdown yet
 	second := transporttest.Receive(t, endpoint.Runs)
@@ -125,7 +125,7 @@
 func TestCloseCutsOffAtDeadline(t *testing.T) {
 	srv, endpoint := jsonrpcServer(t, true)
 	l := newListener(t, 4, srv.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	l.ServeConn(server)
 	transporttest.Write(t, client, lookRequest(1))
 	transporttest.Receive(t, endpoint.Runs)
@@ -146,7 +146,7 @@
 		c, err := net.Dial("tcp4", l.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
-		require.NoError(t, c.SetDeadline(time.Now().Add(transporttest.Patience)))
+		require.NoError(t, c.SetDeadline(time.Now().Add(transporttest.WaitTimeout)))
 		transporttest.Write(t, c, lookRequest(id))
 		return c
 	}
@@ -158,7 +158,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	closed := make(chan struct{})
-	go func() { defer close(closed); l.Close(time.Now().Add(transporttest.Patience)) }()
+	go func() { defer close(closed); l.Close(time.Now().Add(transporttest.WaitTimeout)) }()
 	for i, c := range clients {
 		end <- transporttest.Succeeded
 		line, err := bufio.NewReader(c).ReadString('\n')
@@ -177,18 +177,18 @@
 func TestClientSendingMessageIsReported(t *testing.T) {
 	srv, _ := jsonrpcServer(t, false)
 	l := newListener(t, 4, srv.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	l.ServeConn(server)
 	require.False(t, l.ReceivingMessage())
 	message := `{"jsonrpc":"2.0","id":1,"method":"alive"}` + "\n"
 	require.Eventually(t, func() bool { // if the machine stalls, the client counts as stopped until it sends another byte
 		transporttest.Write(t, client, " ")
 		return l.ReceivingMessage()
-	}, transporttest.Patience, time.Millisecond)
+	}, transporttest.WaitTimeout, time.Millisecond)
 	transporttest.Write(t, client, message)
 	_, err := bufio.NewReader(client).ReadString('\n')
 	require.NoError(t, err)
 	require.False(t, l.ReceivingMessage(), "the message is complete")
 	transporttest.Write(t, client, message[:10])
-	require.Eventually(t, func() bool { return !l.ReceivingMessage() }, transporttest.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !l.ReceivingMessage() }, transporttest.WaitTimeout, time.Millisecond)
 }
--- a/internal/transport/clients/jsonrpc.go
+++ b/internal/transport/clients/jsonrpc.go
@@ -87,7 +87,7 @@
 // readMessages reads and handles messages until the connection is to be closed, and returns the reason.
 func (j *jsonrpcConn) readMessages(ctx context.Context, in *netconn.Conn) error {
 	for {
-		b, at, err := j.conn.ReadMessages(ctx, in, jsonrpcIdleTimeout, j.server.Drain.Draining)
+		b, at, err := j.conn.ReadBytes(ctx, in, jsonrpcIdleTimeout, j.server.Drain.Draining)
 		if err != nil {
 			return err
 		}
--- a/internal/transport/clients/jsonrpc_test.go
+++ b/internal/transport/clients/jsonrpc_test.go
@@ -57,7 +57,7 @@
 func TestDisconnectIsNoticedBehindFlood(t *testing.T) {
 	srv, _ := jsonrpcServer(t, false)
 	l := newListener(t, 4, srv.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	transporttest.Write(t, client, lookRequest(1)+strings.Repeat(floodLine, floodLines))
 	require.NoError(t, client.CloseWrite())
 	transporttest.WaitUnread(t, server)
@@ -74,7 +74,7 @@
 func TestCancelIsNoticedBehindFlood(t *testing.T) {
 	srv, _ := jsonrpcServer(t, false)
 	l := newListener(t, 4, srv.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	transporttest.Write(t, client, lookRequest(1)+strings.Repeat(floodLine, floodLines)+cancelFirst)
 	transporttest.WaitUnread(t, server)
 	l.ServeConn(server)
@@ -98,7 +98,7 @@
 func TestRequestCancelledBeforeHandlingIsNotSubmitted(t *testing.T) {
 	srv, endpoint := jsonrpcServer(t, true)
 	l := newListener(t, 4, srv.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	transporttest.Write(t, client, strings.Repeat(floodLine, 40)+lookRequest(1)+cancelFirst+`{"jsonrpc":"2.0","id":9,"method":"alive"}`+"\n")
 	transporttest.WaitUnread(t, server)
 	l.ServeConn(server)
@@ -121,7 +121,7 @@
 func TestFloodBeyondMaxLineIsCutOff(t *testing.T) {
 	srv, _ := jsonrpcServer(t, false)
 	l := newListener(t, 4, srv.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	go func() { // ends when the connection is closed
 		for {
 			if _, err := io.WriteString(client, strings.Repeat(floodLine, 100)); err != nil {
--- a/internal/transport/clients/rest.go
+++ b/internal/transport/clients/rest.go
@@ -81,7 +81,7 @@
 	parser, budgeted := rest.NewRequestParser(), 0
 	defer func() { s.InputBudget.Adjust(budgeted, 0) }()
 	for {
-		b, at, err := c.ReadMessages(ctx, buffered, restIdleTimeout, s.Drain.Draining)
+		b, at, err := c.ReadBytes(ctx, buffered, restIdleTimeout, s.Drain.Draining)
 		if err != nil {
 			return
 		}
--- a/internal/transport/clients/wire_bytes_test.go
+++ b/internal/transport/clients/wire_bytes_test.go
@@ -34,7 +34,7 @@
 	admitted := true
 	base.Drain.Admit = func(time.Time, time.Duration) bool { return admitted }
 	l := newListener(t, 4, base.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	l.ServeConn(server)
 	r, out := bufio.NewReader(client), &transporttest.Transcript{}
 	request := func(id int, extra string) string {
@@ -90,7 +90,7 @@
 	defer cancel()
 	require.NoError(t, restServer.Start(ctx))
 	l := newListener(t, 4, restServer.Serve)
-	client, server := transporttest.Pair(t)
+	client, server := transporttest.ConnPair(t)
 	l.ServeConn(server)
 	r := bufio.NewReader(client)
 	out := &transporttest.Transcript{Patterns: map[*regexp.Regexp]string{regexp.MustCompile("[0-9a-f]{24}"): "(token)"}}
@@ -150,7 +150,7 @@
 	out := &transporttest.Transcript{}
 	for _, line := range []string{"STATUS\n", "SUSPEND east-1\n", "RESTORE east-1\n", "PAUSE\n", "RESUME\n", "SUSPEND\n", "none\n", "STATU", "\n"} {
 		l := newListener(t, 4, a.Serve)
-		client, server := transporttest.Pair(t)
+		client, server := transporttest.ConnPair(t)
 		l.ServeConn(server)
 		out.Add(">", line)
 		transporttest.Write(t, client, line)
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -116,7 +116,7 @@
 			require.Eventually(t, func() bool {
 				b := dispatcher.DescribeEndpoints()
 				return strings.Contains(b, "name=one id=") && strings.Contains(b, "addr=127.0.0.1:1 ready=false") && strings.Contains(b, "addr=127.0.0.1:2 ready=true")
-			}, transporttest.Patience, time.Millisecond)
+			}, transporttest.WaitTimeout, time.Millisecond)
 		})
 	}
 }
@@ -146,5 +146,5 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
 	defer func() { cancel(); <-ended }()
-	require.Eventually(t, func() bool { return strings.Contains(dispatcher.DescribeEndpoints(), "name=one id=") }, transporttest.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(dispatcher.DescribeEndpoints(), "name=one id=") }, transporttest.WaitTimeout, time.Millisecond)
 }
--- a/internal/transport/discovery/wire_bytes_test.go
+++ b/internal/transport/discovery/wire_bytes_test.go
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
-	require.Eventually(t, func() bool { return strings.Count(out.String(), "> \"GET") >= 2 }, transporttest.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(out.String(), "> \"GET") >= 2 }, transporttest.WaitTimeout, time.Millisecond)
 	cancel()
 	<-ended
 	calls := strings.SplitAfter(out.String(), "> \"\\r\\n\"\n")
--- a/internal/transport/gossip/wire_bytes_test.go
+++ b/internal/transport/gossip/wire_bytes_test.go
@@ -30,7 +30,7 @@
 	transport.SendGossip(1, make([]byte, MaxDatagram+1))
 	transport.SendGossip(0, []byte("self"))
 	out, buf := &transporttest.Transcript{}, make([]byte, MaxDatagram+1)
-	require.NoError(t, peer.SetReadDeadline(time.Now().Add(transporttest.Patience)))
+	require.NoError(t, peer.SetReadDeadline(time.Now().Add(transporttest.WaitTimeout)))
 	for range 2 {
 		n, err := peer.Read(buf)
 		require.NoError(t, err)
--- a/internal/transport/listener/conn.go
+++ b/internal/transport/listener/conn.go
@@ -168,11 +168,11 @@
 	return closing
 }
 
-// ReadMessages waits for bytes from the client and returns them with the time of the read. in is the
+// ReadBytes waits for bytes from the client and returns them with the time of the read. in is the
 // connection's buffer; the bytes are valid until its next read. The error is ErrClosing once this side closes
 // the connection: it was idle for the timeout, took too long for a message, was evicted, or has no open requests
 // while draining reports true (nil: never) or after ctx has ended.
-func (c *Conn) ReadMessages(ctx context.Context, in *netconn.Conn, idleTimeout time.Duration, draining func() bool) ([]byte, time.Time, error) {
+func (c *Conn) ReadBytes(ctx context.Context, in *netconn.Conn, idleTimeout time.Duration, draining func() bool) ([]byte, time.Time, error) {
 	for {
 		shutdown := ctx.Err() != nil
 		drain := shutdown || draining != nil && draining()
--- a/internal/transport/listener/listener_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -49,7 +49,7 @@
 	close(proceed)
 	require.False(t, transporttest.Receive(t, accepted["one\n"]), "the connection is being closed")
 	require.True(t, transporttest.Receive(t, accepted["two\n"]))
-	require.NoError(t, first.SetReadDeadline(time.Now().Add(transporttest.Patience)))
+	require.NoError(t, first.SetReadDeadline(time.Now().Add(transporttest.WaitTimeout)))
 	_, err = first.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF, "the connection must be closed and not reset")
 }
@@ -58,7 +58,7 @@
 // bytes are a request that arrived in time.
 func TestCloseIsNotClaimedOverUnreadBytes(t *testing.T) {
 	for reason := range closeEvicted + 1 {
-		client, server := transporttest.Pair(t)
+		client, server := transporttest.ConnPair(t)
 		c := &Conn{Conn: server, listener: &Listener{}, sentMessage: true}
 		transporttest.Write(t, client, "x")
 		transporttest.WaitUnread(t, server)
@@ -81,7 +81,7 @@
 func TestSlowWriterIsEvictedLast(t *testing.T) {
 	l := &Listener{limit: 3, conns: map[*Conn]struct{}{}}
 	add := func(lastActive time.Time) *Conn {
-		_, server := transporttest.Pair(t)
+		_, server := transporttest.ConnPair(t)
 		c := &Conn{Conn: server, listener: l, lastActive: lastActive}
 		l.conns[c] = struct{}{}
 		return c
@@ -116,7 +116,7 @@
 // end before it is killed.
 func TestCloseEndsWhileClientsKeepConnecting(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 2, slog.New(slog.DiscardHandler), func(ctx context.Context, c *Conn) {
-		_, _, _ = c.ReadMessages(ctx, netconn.New(c, netconn.SmallBuffer), time.Hour, nil)
+		_, _, _ = c.ReadBytes(ctx, netconn.New(c, netconn.SmallBuffer), time.Hour, nil)
 	})
 	require.NoError(t, err)
 	go l.Run()
--- a/internal/transport/transporttest/transporttest.go
+++ b/internal/transport/transporttest/transporttest.go
@@ -17,15 +17,15 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// Patience is the timeout of each wait for an event that must happen. No result depends on how soon it happens.
-const Patience = 20 * time.Second
+// WaitTimeout is the timeout of each wait for an event that must happen. No result depends on how soon it happens.
+const WaitTimeout = 20 * time.Second
 
-// Receive returns the next value of a channel, and fails the test if none arrives within Patience.
+// Receive returns the next value of a channel, and fails the test if none arrives within WaitTimeout.
 func Receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		require.FailNow(t, "no value was received in time")
 	}
 	return v
@@ -86,8 +86,8 @@
 	return d, e
 }
 
-// Pair returns the two ends of a connection over loopback.
-func Pair(t *testing.T) (client, server *net.TCPConn) {
+// ConnPair returns the two ends of a connection over loopback.
+func ConnPair(t *testing.T) (client, server *net.TCPConn) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -96,7 +96,7 @@
 	s, err := l.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close(); _ = s.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(Patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(WaitTimeout)))
 	return c.(*net.TCPConn), s.(*net.TCPConn)
 }
 
@@ -110,5 +110,5 @@
 // WaitUnread waits until a connection has unread bytes.
 func WaitUnread(t *testing.T, c net.Conn) {
 	t.Helper()
-	require.Eventually(t, func() bool { return netconn.HasUnread(c) }, Patience, 100*time.Microsecond)
+	require.Eventually(t, func() bool { return netconn.HasUnread(c) }, WaitTimeout, 100*time.Microsecond)
 }
--- a/internal/transport/upstream/cancel_test.go
+++ b/internal/transport/upstream/cancel_test.go
@@ -26,7 +26,7 @@
 		handle(r.Method, w, r)
 	}))
 	t.Cleanup(srv.Close)
-	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
+	pool := NewPool(8, transporttest.WaitTimeout, transporttest.WaitTimeout, slog.New(slog.DiscardHandler))
 	addr := srv.Listener.Addr().String()
 	return &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
 }
@@ -57,7 +57,7 @@
 			w.WriteHeader(418)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, attempt("1")).Outcome)
 	transporttest.Receive(t, cancelling)
@@ -80,7 +80,7 @@
 			w.WriteHeader(http.StatusAccepted)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	a := attempt("1")
 	a.OnProgress = func(decide.ProgressKind, float64) { cancel() }
@@ -106,7 +106,7 @@
 			w.WriteHeader(418)
 		}
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, attempt("1")).Outcome)
 	transporttest.Receive(t, cancelling)
@@ -124,7 +124,7 @@
 	for name, want := range map[string]decide.Outcome{"cancelled": decide.OutcomeCancelled, "lost": decide.OutcomeAnswerLost} {
 		var deletes atomic.Int64
 		var cancelled atomic.Bool
-		ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+		ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 		defer cancel()
 		client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
 			switch {
@@ -162,7 +162,7 @@
 		lastCall.Store(time.Now().UnixNano())
 		w.WriteHeader(418)
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	a := attempt("1")
 	a.Exclusive = true
@@ -186,7 +186,7 @@
 			}
 		})
 		rest := &restClient{engineClient: client, user: "n0"}
-		ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+		ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 		if exclusive {
 			ctx, cancel = context.WithTimeout(t.Context(), 300*time.Millisecond)
 		}
--- a/internal/transport/upstream/pool_test.go
+++ b/internal/transport/upstream/pool_test.go
@@ -29,9 +29,9 @@
 // longer.
 func lateDuplicateAnswer(t *testing.T) (conclusive bool) {
 	addr := duplicatingEngine(t)
-	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
+	pool := NewPool(8, transporttest.WaitTimeout, transporttest.WaitTimeout, slog.New(slog.DiscardHandler))
 	client := &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	require.Equal(t, "first\tb\tc\n", string(client.Run(ctx, attempt("first")).Body))
 	idleSince := client.conns.idle[0].idleSince       // a copy of the value, which a call on the connection changes
@@ -43,7 +43,7 @@
 		return false
 	}
 	require.Equal(t, "second\tb\tc\n", string(second.Body))
-	require.Eventually(t, func() bool { return netconn.HasUnread(client.conns.idle[0].Raw()) }, transporttest.Patience, time.Millisecond, "the duplicate")
+	require.Eventually(t, func() bool { return netconn.HasUnread(client.conns.idle[0].Raw()) }, transporttest.WaitTimeout, time.Millisecond, "the duplicate")
 	require.Equal(t, "third\tb\tc\n", string(client.Run(ctx, attempt("third")).Body))
 	return true
 }
@@ -128,7 +128,7 @@
 		},
 	} {
 		for range 200 {
-			pool := NewPool(1, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
+			pool := NewPool(1, transporttest.WaitTimeout, transporttest.WaitTimeout, slog.New(slog.DiscardHandler))
 			own, other := pool.endpoint("a", l.Addr().String()), pool.endpoint("b", l.Addr().String())
 			c, err := own.dial(t.Context())
 			require.NoError(t, err)
--- a/internal/transport/upstream/wire_bytes_test.go
+++ b/internal/transport/upstream/wire_bytes_test.go
@@ -24,9 +24,9 @@
 	addr, out := transporttest.TranscriptServer(t,
 		"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", "", "HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n",
 		emptyOK, "HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n")
-	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
+	pool := NewPool(8, transporttest.WaitTimeout, transporttest.WaitTimeout, slog.New(slog.DiscardHandler))
 	client := &engineClient{addr: addr, conns: pool.endpoint("a", addr)}
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	a := attempt("00000000000000aa")
 	a.GrantMB, a.Priority, a.IdempotencyKey = 12.5, 3, "k"
@@ -49,9 +49,9 @@
 		answer(`{"id":"q","nextUri":"http://(engine)/v1/statement/q/1","stats":{"state":"RUNNING"}}`), "",
 		answer(`{"id":"q","columns":[{"name":"a","type":"varchar"},{"name":"b","type":"varchar"},{"name":"c","type":"varchar"}],"data":[["1","2","3"]],"stats":{"state":"FINISHED"}}`),
 		answer(`{"starting":false}`))
-	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
+	pool := NewPool(8, transporttest.WaitTimeout, transporttest.WaitTimeout, slog.New(slog.DiscardHandler))
 	client := &restClient{engineClient: &engineClient{addr: addr, conns: pool.endpoint("a", addr)}, user: "n0"}
-	ctx, cancel := context.WithTimeout(t.Context(), transporttest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	a := attempt("00000000000000aa")
 	a.Timeout, a.IdempotencyKey = time.Second, "k"
@@ -65,7 +65,7 @@
 
 // Operators' programs parse the line of counters, so its format must not change.
 func TestPoolCountersFormat(t *testing.T) {
-	pool := NewPool(8, transporttest.Patience, transporttest.Patience, slog.New(slog.DiscardHandler))
+	pool := NewPool(8, transporttest.WaitTimeout, transporttest.WaitTimeout, slog.New(slog.DiscardHandler))
 	require.Equal(t, "counters engine_connections open=0 limit=8 dialled=0 reused=0 stolen=0 expired=0 stale=0 spent=0 resumed=0 odd_reports=0 odd_notes=0\n",
 		pool.String())
 }
