--- a/internal/transport/coordination/accept.go
+++ b/internal/transport/coordination/accept.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	acceptBackoff = 50 * time.Millisecond // after an error of Accept, such as too many open files
-	maxConns      = 1024                  // accepted connections at a time
+	acceptBackoff = 50 * time.Millisecond // pause after an error of Accept, such as too many open files
+	maxConns      = 1024                  // maximum number of open accepted connections
 )
 
-// accept takes connections of other replicas, of clients and of operators until ctx ends.
+// accept serves connections from other replicas, clients and operators until ctx ends.
 func (h *replicaHost) accept(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = h.listener.Close() })
 	defer stop()
--- a/internal/transport/coordination/adminclient.go
+++ b/internal/transport/coordination/adminclient.go
@@ -16,22 +16,23 @@
 var (
 	ErrNoReplica      = errors.New("no seat of the council answers")
 	ErrUnknownReplica = errors.New("is no seat")
-	errNotLeader      = errors.New("which answers otherwise")
+	errNoLeader       = errors.New("no response from a leader after one redirect")
 )
 
-// Admin sends an operator's request to the replicas in turn until one responds, and follows it to the leader where only
-// the leader can respond. If first is set, only that replica and its leader are asked; a name that is no replica is
-// ErrUnknownReplica. The timeout bounds each exchange. Without a response the error wraps ErrNoReplica.
+// Admin sends an operator's request to the replicas in turn until one responds. It follows a redirect to the leader
+// where only the leader can respond. If first is set, only that replica and the leader that it names are asked; a name
+// that is not a replica's returns an error wrapping ErrUnknownReplica. The timeout bounds each exchange. If no replica
+// responds, the error wraps ErrNoReplica.
 func Admin(ctx context.Context, conf fleetconf.Config, first string, request lease.AdminRequest, timeout time.Duration) (lease.AdminResponse, error) {
 	names := conf.ReplicaNames()
 	if first != "" {
 		if conf.ReplicaAddr(first) == "" {
-			return lease.AdminResponse{}, fmt.Errorf("%q %w; %v are", first, ErrUnknownReplica, names)
+			return lease.AdminResponse{}, fmt.Errorf("%q %w; the seats (replicas) are %v", first, ErrUnknownReplica, names)
 		}
 		names = []string{first}
 	}
 	var lastErr error
-	for attempt := range 2 * len(names) { // replicas may name a leader that has changed since, during an election
+	for attempt := range 2 * len(names) { // two rounds: during an election a replica may name an outdated leader
 		response, err := sendAndFollowLeader(ctx, conf, names[attempt%len(names)], request, timeout)
 		if err == nil {
 			return response, nil
@@ -41,7 +42,8 @@
 	return lease.AdminResponse{}, errors.Join(ErrNoReplica, lastErr)
 }
 
-// sendAndFollowLeader sends a request to a replica, and to the leader if that is named instead of a response.
+// sendAndFollowLeader sends a request to a replica. If that replica redirects to the leader instead of responding, the
+// request is sent to the leader, once.
 func sendAndFollowLeader(ctx context.Context, conf fleetconf.Config, name string, request lease.AdminRequest, timeout time.Duration) (lease.AdminResponse, error) {
 	response, err := exchange(ctx, conf, name, request, timeout)
 	if err != nil {
@@ -53,12 +55,12 @@
 		}
 	}
 	if response.RedirectTo != "" {
-		return response, fmt.Errorf("the seats name %s as their leader, %w", response.RedirectTo, errNotLeader)
+		return response, fmt.Errorf("redirected to %s as the leader: %w", response.RedirectTo, errNoLeader)
 	}
 	return response, nil
 }
 
-// exchange sends one request to one replica on a connection of its own, and waits for the response.
+// exchange sends one request to one replica on a new connection, and waits for the response.
 func exchange(ctx context.Context, conf fleetconf.Config, name string, request lease.AdminRequest, timeout time.Duration) (response lease.AdminResponse, err error) {
 	socket, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp4", conf.ReplicaAddr(name))
 	if err != nil {
@@ -74,7 +76,7 @@
 	for {
 		n, err := socket.Read(buf)
 		if err != nil {
-			return response, fmt.Errorf("%w; is it of installation %q?", err, conf.Installation)
+			return response, fmt.Errorf("%w; check that the replica belongs to installation %q", err, conf.Installation)
 		}
 		frames, err := decoder.Feed(buf[:n])
 		if err != nil {
--- a/internal/transport/coordination/adminerrors.go
+++ b/internal/transport/coordination/adminerrors.go
@@ -7,8 +7,8 @@
 	"aniseloft/internal/consensus"
 )
 
-// adminErrorText is the text that an operator is shown for an error of an admin request. The texts go over the wire and
-// use the words of the operators' pages; they stay word for word.
+// adminErrorText returns the text that an operator is shown for an error of an admin request. The texts are sent over
+// the wire and use the terms of the operators' documentation; they must not change.
 func adminErrorText(err error) string {
 	var unknownOperation consensus.UnknownOperationError
 	var unknownJob consensus.UnknownJobError
--- a/internal/transport/coordination/adminerrors_test.go
+++ b/internal/transport/coordination/adminerrors_test.go
@@ -9,8 +9,8 @@
 	"aniseloft/internal/consensus"
 )
 
-// The texts are those of the release before the errors were typed.
-func TestAdminErrorTextsStayWordForWord(t *testing.T) {
+// The texts are part of the protocol. They must stay those of the release before the errors had types of their own.
+func TestAdminErrorTextsUnchanged(t *testing.T) {
 	for text, err := range map[string]error{
 		"the council has another leader since; ask again":                                                     consensus.ErrLeadershipLost,
 		"the council has no leader now: nothing can be changed until a majority of its seats hear each other": consensus.ErrNoLeader,
--- a/internal/transport/coordination/client.go
+++ b/internal/transport/coordination/client.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// keepAlive sends a request if one is due, or at once.
+// keepAlive sends a keep-alive request if one is due or if sendNow is set.
 func (n *Node) keepAlive(ctx context.Context, sendNow bool) {
 	now := n.Clock()
 	n.mu.Lock()
@@ -54,7 +54,8 @@
 	}
 }
 
-// connToLeader is the connection to a replica. Without one it starts to dial and returns nil; the request is lost.
+// connToLeader returns the connection to the replica that the resolver takes for the leader. If there is none, it
+// starts to dial and returns nil; the caller drops its request.
 func (n *Node) connToLeader(ctx context.Context, replica string) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,7 +86,7 @@
 	n.resolver.SendNow(n.Clock())
 }
 
-// handleFromLeader handles a frame on the client's connection.
+// handleFromLeader handles a frame that arrives on the client's connection to the leader.
 func (n *Node) handleFromLeader(_ *conn, f fleet.Frame) error {
 	switch f.Kind {
 	case fleet.KeepAliveResponse:
--- a/internal/transport/coordination/conn.go
+++ b/internal/transport/coordination/conn.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	writeTimeout = 2 * time.Second // a peer that does not read is disconnected
-	queueLimit   = 256             // frames queued for one connection, and tasks for the replica; more are dropped
+	writeTimeout = 2 * time.Second // a peer that reads nothing for this long is disconnected
+	queueLimit   = 256             // frames queued per connection, and tasks queued for the replica; more are dropped
 	readBuffer   = 16 << 10        // bytes
 )
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// send queues a frame. If the queue is full, as the peer does not read, the frame is dropped.
+// send queues a frame. If the queue is full because the peer does not read, the frame is dropped.
 func (c *conn) send(frame []byte) {
 	select {
 	case c.frames <- frame:
@@ -53,8 +53,8 @@
 	}
 }
 
-// serve starts the reader and the writer goroutine of a connection. Both end when it closes; it closes on an error and
-// when ctx ends.
+// serve starts the reader and the writer goroutine of a connection. Both end when the connection
+// closes, which it does on an error and when ctx ends.
 func (n *Node) serve(ctx context.Context, socket net.Conn, handle frameHandler) *conn {
 	c := &conn{socket: socket, frames: make(chan []byte, queueLimit), closed: make(chan struct{}), counters: &n.counters}
 	stop := context.AfterFunc(ctx, c.close)
@@ -85,7 +85,7 @@
 	}
 }
 
-// read handles frames until the connection ends; an error says that the peer broke the protocol.
+// read handles frames until the connection ends. It returns an error only if the peer violated the protocol.
 func (c *conn) read(decoder *fleet.Decoder, handle frameHandler) error {
 	buf := make([]byte, readBuffer)
 	for {
@@ -106,8 +106,8 @@
 	}
 }
 
-// logRejected logs a connection that broke the protocol. Of those from other installations only the first is logged, as
-// they come again and again.
+// logRejected logs a connection whose peer violated the protocol. One from another installation is logged only if it is
+// the first rejected connection, as its peer keeps reconnecting.
 func (n *Node) logRejected(c *conn, err error) {
 	first := n.counters.rejectedConns.Add(1) == 1
 	if first || !errors.Is(err, fleet.ErrOtherInstallation) {
--- a/internal/transport/coordination/disk.go
+++ b/internal/transport/coordination/disk.go
@@ -20,7 +20,7 @@
 const (
 	dbFile    = "council.db" // a replica's database in its directory
 	dbVersion = 1            // newest format that this release reads, and the one it writes
-	lockWait  = time.Second  // for another process to close the database
+	lockWait  = time.Second  // how long to wait for another process to close the database
 )
 
 // Buckets and keys of the database. Numbers are stored as 8 bytes, big-endian, so that log entries are in order.
@@ -39,14 +39,14 @@
 // Errors of openDisk. Their texts tell the operator what to do.
 var (
 	ErrDiskInUse   = errors.New("in use by another process; each replica needs a directory of its own")
-	ErrForeignDisk = errors.New("it is of another installation; give this one a directory of its own")
+	ErrForeignDisk = errors.New("it belongs to another installation; give this one a directory of its own")
 )
 
 // DiskVersionError is returned for a database that a later release has written.
 type DiskVersionError struct{ Version uint64 }
 
 func (e DiskVersionError) Error() string {
-	return fmt.Sprintf("it has format %d, this program knows formats up to %d", e.Version, dbVersion)
+	return fmt.Sprintf("it has format %d, but this release reads only formats up to %d", e.Version, dbVersion)
 }
 
 // disk is the database of a replica's persistent state. It is not safe for concurrent use.
@@ -54,7 +54,7 @@
 	path         string
 	installation uint64
 	database     *bbolt.DB
-	replicaID    uint64       // drawn when the database was created
+	replicaID    uint64       // random, chosen when the database was created
 	fault        func() error // runs before each save; its error fails the save; nil: none
 }
 
@@ -71,7 +71,7 @@
 		return nil, state, fmt.Errorf("consensus: %s is %w", d.path, ErrDiskInUse)
 	}
 	if err != nil {
-		return nil, state, fmt.Errorf("consensus: %s: %w; if it cannot be repaired, move it away: the replica is then added again", d.path, err)
+		return nil, state, fmt.Errorf("consensus: %s: %w; if it cannot be repaired, move it away: the replica is then added to the group again", d.path, err)
 	}
 	d.database = db
 	if err := db.Update(func(tx *bbolt.Tx) error { return d.load(tx, &state) }); err != nil {
@@ -81,7 +81,7 @@
 	return d, state, nil
 }
 
-// load creates what the database lacks, checks whose it is and reads the state.
+// load creates missing buckets, checks that the database belongs to this installation and reads the state.
 func (d *disk) load(tx *bbolt.Tx, state *consensus.PersistentState) error {
 	if err := d.loadMeta(tx); err != nil {
 		return err
@@ -91,10 +91,10 @@
 		return fmt.Errorf("create bucket: %w", err)
 	}
 	if state.HardState, err = loadMessage(stateBucket, keyHardState, &raftpb.HardState{}); err != nil {
-		return fmt.Errorf("state: %w", err)
+		return fmt.Errorf("decode the hard state: %w", err)
 	}
 	if state.Snapshot, err = loadMessage(stateBucket, keySnapshot, &raftpb.Snapshot{}); err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("decode the snapshot: %w", err)
 	}
 	entries, err := tx.CreateBucketIfNotExists(bucketLog)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return entries.ForEach(func(_, raw []byte) error {
 		entry := &raftpb.Entry{}
 		if err := proto.Unmarshal(raw, entry); err != nil {
-			return fmt.Errorf("log: %w", err)
+			return fmt.Errorf("decode a log entry: %w", err)
 		}
 		state.Entries = append(state.Entries, entry)
 		return nil
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// createMeta draws the replica ID of a new database. 0 is no ID.
+// createMeta initializes a new database with a random replica ID. 0 is not a valid ID.
 func (d *disk) createMeta(meta *bbolt.Bucket) error {
 	var replicaID uint64
 	for replicaID == 0 {
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// saveEntries deletes the entries that a snapshot replaces, and writes new ones. A new entry makes all old ones from its
-// index on void.
+// saveEntries deletes the entries that a snapshot replaces, and writes new ones. A new entry invalidates all stored
+// entries from its index on.
 func saveEntries(log *bbolt.Bucket, update *consensus.PersistentState, compactIndex uint64) error {
 	if update.Snapshot != nil {
 		last := update.Snapshot.GetMetadata().GetIndex()
@@ -214,7 +214,7 @@
 
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// loadMessage decodes a key's value into m; nil: the key is absent.
+// loadMessage decodes a key's value into m. It returns nil if the key is absent.
 func loadMessage[M proto.Message](b *bbolt.Bucket, key []byte, m M) (loaded M, err error) {
 	raw := b.Get(key)
 	if raw == nil {
@@ -233,7 +233,7 @@
 
 func (d *disk) close() error { return d.database.Close() }
 
-// remove closes and deletes the database. The next one gets a replica ID of its own.
+// remove closes and deletes the database. A database that is created afterwards gets a new replica ID.
 func (d *disk) remove() error {
 	_ = d.database.Close()
 	return os.Remove(d.path)
--- a/internal/transport/coordination/disk_test.go
+++ b/internal/transport/coordination/disk_test.go
@@ -14,7 +14,8 @@
 	"aniseloft/internal/testdir"
 )
 
-// drawUpdate draws what a replica may want persisted after a log that ends at lastIndex. It returns the log's new end.
+// drawUpdate draws an update that a replica may persist while its log ends at lastIndex, with the update's compact
+// index and the log's new last index.
 func drawUpdate(rt *rapid.T, lastIndex uint64) (update consensus.PersistentState, compactIndex, newLastIndex uint64) {
 	if rapid.Bool().Draw(rt, "hard") {
 		update.HardState = &raftpb.HardState{Term: new(rapid.Uint64().Draw(rt, "term"))}
@@ -41,8 +42,8 @@
 	return update, compactIndex, first + uint64(count) - 1
 }
 
-// After any sequence of saves the database holds what PersistentState.Merge makes of them.
-func TestDiskReturnsWhatWasSaved(t *testing.T) {
+// After any sequence of saves openDisk must return the state that PersistentState.Merge computes from them.
+func TestDiskRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(testdir.Dir(t), "replica")
 		require.NoError(rt, err)
@@ -79,12 +80,12 @@
 	require.ErrorContains(t, err, "in use by another process")
 	require.NoError(t, d.close())
 	_, _, err = openDisk(dir, 8)
-	require.ErrorContains(t, err, "of another installation")
+	require.ErrorContains(t, err, "belongs to another installation")
 	removedID := d.replicaID
 	require.NoError(t, d.remove())
 	d, _, err = openDisk(dir, 8)
 	require.NoError(t, err)
-	require.NotEqual(t, removedID, d.replicaID, "an emptied disk is another one")
+	require.NotEqual(t, removedID, d.replicaID, "a new database must have a new replica ID")
 	require.NoError(t, d.close())
 	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFile), []byte("not a database, but long enough to be looked at"), 0o600))
 	_, _, err = openDisk(dir, 8)
--- a/internal/transport/coordination/fences.go
+++ b/internal/transport/coordination/fences.go
@@ -10,12 +10,12 @@
 	"aniseloft/internal/lease"
 )
 
-// fencesFile holds the newest assignment of each job that this coordinator has followed, in the fleet's directory. The
-// file of the same name in the root of a shared spool is another one: it holds the fences that the spool has accepted as
+// fencesFile holds the newest assignment of each job that this coordinator has followed, in the fleet's directory. It
+// is not the file of the same name in the root of a shared spool, which holds the fences that the spool has accepted as
 // the target of operations (internal/spool/fence.go).
 const fencesFile = "fences.json"
 
-// loadFollowedFences reads the assignments that an earlier run has followed.
+// loadFollowedFences reads the assignments that an earlier run stored.
 func (n *Node) loadFollowedFences() error {
 	path := filepath.Join(n.conf.Directory, fencesFile)
 	raw, err := os.ReadFile(path)
--- a/internal/transport/coordination/node.go
+++ b/internal/transport/coordination/node.go
@@ -1,5 +1,5 @@
-// Package coordination runs a coordinator's part in the fleet over TCP and a disk: a lease client, and a consensus
-// replica if the configuration names this coordinator as one. All decisions are made in internal/lease and
+// Package coordination connects a coordinator to the fleet over TCP. It runs a lease client, and a consensus replica
+// with its disk if the configuration names this coordinator as one. All decisions are made in internal/lease and
 // internal/consensus. The package needs the raft library and bbolt, which a lean build leaves out.
 package coordination
 
@@ -25,7 +25,7 @@
 
 // Errors of Reload.
 var (
-	ErrImmutable      = errors.New("fleet: only the replicas (seats) and the generation are reloaded: other changes need a restart")
+	ErrImmutable      = errors.New("fleet: only the replicas (seats) and the generation can be reloaded; other changes need a restart")
 	ErrAddressChanged = errors.New("fleet: the address of this replica cannot change while it runs")
 )
 
@@ -36,10 +36,10 @@
 }
 
 func (e OlderGenerationError) Error() string {
-	return fmt.Sprintf("fleet: generation %d is older than %d", e.Generation, e.Current)
+	return fmt.Sprintf("fleet: generation %d of the new configuration is older than the current generation %d", e.Generation, e.Current)
 }
 
-// Node is a coordinator's part in the fleet.
+// Node is one coordinator in the fleet: its lease client, and its consensus replica if it has one.
 //
 // Run starts two goroutines and waits for them. The client goroutine sends keep-alive requests. The replica goroutine
 // owns replicaHost; others reach it through tasks only. It starts the goroutine that accepts connections, and one for
@@ -50,9 +50,9 @@
 	name         string
 	installation uint64
 	diskFault    func() error     // see InjectDiskFaults
-	draining     atomic.Bool      // leadership is still to be transferred before the end
+	draining     atomic.Bool      // set by Drain, until a leading replica has transferred leadership
 	reconfigured chan struct{}    // signals a new conf to the replica goroutine; holds one signal
-	tasks        chan replicaTask // to the replica goroutine; bounded, see enqueue
+	tasks        chan replicaTask // for the replica goroutine; bounded, see enqueue
 	replicaHost  *replicaHost
 	counters     counters
 
@@ -60,7 +60,7 @@
 	conf           fleetconf.Config
 	resolver       *lease.LeaderResolver
 	leaderConn     *conn  // to the replica named by leaderConnName; nil: none
-	leaderConnName string // replica
+	leaderConnName string // replica that leaderConn is to
 	dialingLeader  bool
 	subscriber     func(leasebackend.Publication) // nil: publications are not delivered
 }
@@ -68,13 +68,13 @@
 // counters are printed by Node.String.
 type counters struct {
 	keepAlives, responses, raftMessages           atomic.Int64
-	publications, followed, stalePublications     atomic.Int64
+	publications, delivered, stalePublications    atomic.Int64
 	rejectedConns, droppedFrames                  atomic.Int64
 	bytesWritten, bytesRead, persistedReadyStates atomic.Int64
 }
 
 // New opens the replica's disk and listener if the configuration names this coordinator as a replica, and reads the
-// fences that an earlier run has followed. The clock is the coordinator's monotonic clock.
+// followed fences that an earlier run stored. The clock is the coordinator's monotonic clock.
 func New(conf fleetconf.Config, name string, clock func() lease.Millis, log *slog.Logger) (*Node, error) {
 	n := &Node{
 		Client:       leasebackend.NewClient(name, conf.Jobs, conf.Capacity, conf.Timing().DriftBound, clock, log),
@@ -97,11 +97,11 @@
 	return n, nil
 }
 
-// InjectDiskFaults has f run before each write of the replica's disk, as a drill wants; an error of f is the write's. It
-// must be called before Run.
+// InjectDiskFaults makes each write to the replica's disk call f first and fail with the error of f, if any. Drills use
+// it. It must be called before Run.
 func (n *Node) InjectDiskFaults(f func() error) { n.diskFault = f }
 
-// Run takes part in the fleet until ctx ends.
+// Run runs the client and the replica until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { n.replicaHost.run(ctx) })
@@ -109,13 +109,13 @@
 	goroutines.Wait()
 }
 
-// Drain gives back every lease. A replica that leads then transfers leadership.
+// Drain releases every lease. If the replica leads, it transfers leadership afterwards.
 func (n *Node) Drain() {
 	n.draining.Store(true)
 	n.Client.Drain()
 }
 
-// Reload follows a new configuration. Only the replicas, their addresses and the generation may change; anything else
+// Reload applies a new configuration. Only the replicas, their addresses and the generation may change; anything else
 // returns ErrImmutable, ErrAddressChanged or an OlderGenerationError.
 func (n *Node) Reload(conf fleetconf.Config) error {
 	old := n.config()
@@ -134,7 +134,7 @@
 	n.mu.Unlock()
 	select {
 	case n.reconfigured <- struct{}{}:
-	default: // the replica goroutine has yet to see an earlier change, and reads the newest
+	default: // an earlier signal is pending: the replica goroutine will read the newest configuration
 	}
 	return nil
 }
@@ -144,14 +144,14 @@
 	return lease.NewLeaderResolver(conf.ReplicaNames(), first, conf.Timing().LeaseTTL)
 }
 
-// config is the configuration that is followed now.
+// config returns the current configuration.
 func (n *Node) config() fleetconf.Config {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.conf
 }
 
-// tickInterval is half of the replicas' tick, so that no tick of theirs is missed.
+// tickInterval returns half of the replicas' tick, so that no tick of a replica is missed.
 func (n *Node) tickInterval() time.Duration {
 	return time.Duration(n.config().Timing().Tick / 2 * float64(time.Millisecond))
 }
@@ -160,6 +160,6 @@
 func (n *Node) String() string {
 	c := &n.counters
 	return fmt.Sprintf("counters fleet beats=%d replies=%d agreed=%d published=%d followed=%d unfollowed=%d strangers=%d lost=%d sent_bytes=%d read_bytes=%d syncs=%d %s\n",
-		c.keepAlives.Load(), c.responses.Load(), c.raftMessages.Load(), c.publications.Load(), c.followed.Load(), c.stalePublications.Load(),
+		c.keepAlives.Load(), c.responses.Load(), c.raftMessages.Load(), c.publications.Load(), c.delivered.Load(), c.stalePublications.Load(),
 		c.rejectedConns.Load(), c.droppedFrames.Load(), c.bytesWritten.Load(), c.bytesRead.Load(), c.persistedReadyStates.Load(), n.Client)
 }
--- a/internal/transport/coordination/node_test.go
+++ b/internal/transport/coordination/node_test.go
@@ -44,7 +44,7 @@
 	return func() lease.Millis { return float64(time.Since(start)) / float64(time.Millisecond) }
 }
 
-// freeAddr is an address on loopback that nothing listens on.
+// freeAddr returns a loopback address that nothing listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -69,22 +69,22 @@
 	return n, conf, log
 }
 
-// A connection whose frames are foreign, damaged or incomplete is counted and closed, and no lease changes.
-func TestNodeRejectsForeignFramesAndGrantsNothing(t *testing.T) {
+// A connection with foreign, corrupted or incomplete frames must be counted and closed without a change of any lease.
+func TestNodeRejectsForeignFrames(t *testing.T) {
 	n, conf, log := startSingleNode(t)
 	before, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
 	require.NoError(t, err)
-	request := lease.KeepAliveRequest{Holder: lease.Holder{Name: "thief", Incarnation: 1}, SentAt: 1, Capacity: 1e9, Jobs: conf.Jobs, HigherFences: []lease.GrantID{{Job: "no-such-job", Fence: 99}}}
+	request := lease.KeepAliveRequest{Holder: lease.Holder{Name: "intruder", Incarnation: 1}, SentAt: 1, Capacity: 1e9, Jobs: conf.Jobs, HigherFences: []lease.GrantID{{Job: "no-such-job", Fence: 99}}}
 	whole := fleet.AppendJSON(nil, fleet.Installation("here"), fleet.KeepAliveRequest, request)
 	otherVersion := bytes.Clone(whole)
 	otherVersion[3]++
 	for name, raw := range map[string][]byte{
-		"http":                 []byte("GET /journal?tail=0&max_wait=1 HTTP/1.1\r\nHost: a\r\n\r\n"),
-		"another installation": fleet.AppendJSON(nil, fleet.Installation("there"), fleet.KeepAliveRequest, request),
-		"another version":      otherVersion,
-		"malformed":            fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.KeepAliveRequest, Payload: []byte("{")}),
-		"malformed agreement":  fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.RaftMessage, Payload: []byte{0xff}}),
-		"cut short":            whole[:len(whole)-3],
+		"http":                   []byte("GET /journal?tail=0&max_wait=1 HTTP/1.1\r\nHost: a\r\n\r\n"),
+		"another installation":   fleet.AppendJSON(nil, fleet.Installation("there"), fleet.KeepAliveRequest, request),
+		"another version":        otherVersion,
+		"malformed":              fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.KeepAliveRequest, Payload: []byte("{")}),
+		"malformed raft message": fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.RaftMessage, Payload: []byte{0xff}}),
+		"cut short":              whole[:len(whole)-3],
 	} {
 		conn := dialAndWrite(t, conf.Replicas[0].Addr, raw)
 		if name == "cut short" {
@@ -98,8 +98,8 @@
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "%s: the connection stays open", name)
 		_ = conn.Close()
 	}
-	// A well-formed publication under a stale fence is dropped.
-	stale := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: lease.JobReadJournal}, HolderName: "thief"}}
+	// A well-formed publication under a stale fence must be dropped.
+	stale := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: lease.JobReadJournal}, HolderName: "intruder"}}
 	conn := dialAndWrite(t, conf.Replicas[0].Addr, fleet.AppendJSON(nil, fleet.Installation("here"), fleet.Publication, stale))
 	require.Eventually(t, func() bool { return strings.Contains(log.String(), "its fence is stale") }, 10*time.Second, 10*time.Millisecond)
 	_ = conn.Close()
@@ -119,7 +119,7 @@
 	return conn
 }
 
-// A publication under a stale fence is dropped after a restart too, and without a reachable replica.
+// A publication under a stale fence must be dropped after a restart too, even if no replica can be reached.
 func TestFollowedFencesSurviveRestart(t *testing.T) {
 	dir := testdir.Dir(t)
 	conf := fleetconf.Config{Installation: "here", Generation: 1, Directory: dir, Jobs: []string{lease.JobReadJournal},
@@ -147,21 +147,21 @@
 	require.ErrorContains(t, err, "move it away")
 }
 
-// A move sets the preferred holder; a request that cannot be carried out is answered with the reason.
+// A move must set the preferred holder. The response to a request that cannot be carried out must state the reason.
 func TestNodeAnswersAdminRequests(t *testing.T) {
 	_, conf, _ := startSingleNode(t)
 	for _, c := range []struct {
-		call lease.AdminRequest
-		says string
+		request   lease.AdminRequest
+		wantError string
 	}{
 		{lease.AdminRequest{Operation: "dance"}, "is no call"},
 		{lease.AdminRequest{Operation: lease.AdminMove, Job: "no-such-job"}, "is no job"},
 		{lease.AdminRequest{Operation: lease.AdminMove, Job: lease.JobPruneRecord, Target: "n9"}, "nothing is heard of"},
 		{lease.AdminRequest{Operation: lease.AdminStepDown}, "no other seat"},
 	} {
-		a, err := Admin(t.Context(), conf, "", c.call, 5*time.Second)
+		a, err := Admin(t.Context(), conf, "", c.request, 5*time.Second)
 		require.NoError(t, err)
-		require.Contains(t, a.Error, c.says)
+		require.Contains(t, a.Error, c.wantError)
 	}
 	a, err := Admin(t.Context(), conf, "n0", lease.AdminRequest{Operation: lease.AdminMove, Job: lease.JobPruneRecord, Target: "n0"}, 5*time.Second)
 	require.NoError(t, err)
--- a/internal/transport/coordination/peer.go
+++ b/internal/transport/coordination/peer.go
@@ -15,7 +15,7 @@
 	maxDialBackoff = 800 * time.Millisecond
 )
 
-// peer is another replica. It belongs to the replica goroutine.
+// peer holds the connection to another replica. Only the replica goroutine uses it.
 type peer struct {
 	conn     *conn // nil: never connected
 	backoff  time.Duration
@@ -28,8 +28,8 @@
 	}
 }
 
-// sendToPeer sends a frame to another replica. Without a connection it dials, with exponential backoff; frames in the
-// meantime are lost, as raft allows.
+// sendToPeer sends a frame to another replica. Without a connection it dials, with exponential backoff; frames sent
+// until then are dropped, which raft tolerates.
 func (h *replicaHost) sendToPeer(ctx context.Context, name string, frame []byte) {
 	p := h.peers[name]
 	if p == nil {
@@ -50,10 +50,10 @@
 	go h.dialPeer(ctx, p, p.backoff, h.node.config().ReplicaAddr(name), frame)
 }
 
-// jitter draws a pause from half a backoff to one and a half.
+// jitter returns a random pause between half the backoff and one and a half times the backoff.
 func jitter(backoff time.Duration) time.Duration { return backoff/2 + rand.N(backoff) }
 
-// dialPeer runs on a goroutine of its own and hands the connection to the replica goroutine.
+// dialPeer dials a peer on its own goroutine and hands the connection to the replica goroutine, which sends the frame.
 func (h *replicaHost) dialPeer(ctx context.Context, p *peer, backoff time.Duration, addr string, frame []byte) {
 	socket, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp4", addr)
 	queued := h.node.enqueue(func(*consensus.Replica) {
--- a/internal/transport/coordination/publication.go
+++ b/internal/transport/coordination/publication.go
@@ -9,16 +9,17 @@
 	"aniseloft/internal/transport/leasebackend"
 )
 
-// Subscribe has f receive what job holders publish, once the fence of the publication is stored. f is called from
-// reader goroutines and from the replica goroutine, and must not block. It replaces an earlier subscriber.
+// Subscribe sets the function that receives the publications of job holders. f is called once the fence of a
+// publication is stored, from reader goroutines and from the replica goroutine, and must not block. It replaces an
+// earlier subscriber.
 func (n *Node) Subscribe(f func(leasebackend.Publication)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.subscriber = f
 }
 
-// Publish sends data to all clients of the leader under the grant of a job. Delivery is not guaranteed: the publisher
-// repeats itself, numbered by seq.
+// Publish sends data to all clients of the leader under the grant of a job; seq numbers the publications under that
+// grant. Delivery is not guaranteed, so the publisher has to repeat its data.
 func (n *Node) Publish(job string, fence lease.Fence, seq uint64, data []byte) {
 	p := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: job, Fence: fence}, HolderName: n.name}, Seq: seq, Data: data}
 	raw, err := codec.Marshal(p)
@@ -49,7 +50,7 @@
 }
 
 // handlePublication delivers a publication to the subscriber unless its fence is stale. A new fence is stored before
-// that, so that a stale holder is not followed after a restart either.
+// the delivery, so that publications of a stale holder are dropped after a restart too.
 func (n *Node) handlePublication(raw []byte) error {
 	var p leasebackend.Publication
 	if err := codec.Unmarshal(raw, &p); err != nil {
@@ -60,18 +61,18 @@
 	}
 	var err error
 	var latest lease.Assignment
-	follow := false
+	accepted := false
 	n.With(func(client *lease.Client) {
 		latest = client.LatestAssignment(p.Job)
-		follow = client.ObserveAssignment(p.Assignment)
-		if follow && (p.Fence > latest.Fence || p.HolderName != latest.HolderName) {
+		accepted = client.ObserveAssignment(p.Assignment)
+		if accepted && (p.Fence > latest.Fence || p.HolderName != latest.HolderName) {
 			err = n.storeFollowedFences(client)
 		}
 	})
 	switch {
 	case err != nil:
 		n.Log.Error("fleet publication dropped, its fence cannot be stored", "err", err)
-	case !follow:
+	case !accepted:
 		n.counters.stalePublications.Add(1)
 		n.Log.Warn("fleet publication dropped, its fence is stale", "job", p.Job, "holder", p.HolderName, "fence", p.Fence, "latest_fence", latest.Fence)
 	default:
@@ -81,7 +82,7 @@
 }
 
 func (n *Node) deliver(p leasebackend.Publication) {
-	n.counters.followed.Add(1)
+	n.counters.delivered.Add(1)
 	n.mu.Lock()
 	subscriber := n.subscriber
 	n.mu.Unlock()
--- a/internal/transport/coordination/ready.go
+++ b/internal/transport/coordination/ready.go
@@ -9,7 +9,7 @@
 	"aniseloft/internal/protocol/fleet"
 )
 
-// execute carries out what the replica wants done: it persists first and sends afterwards.
+// execute carries out the effects that the replica has requested. It persists state before it sends messages.
 func (h *replicaHost) execute(ctx context.Context, ready consensus.Ready) {
 	h.logEvents(ready.Events)
 	if err := h.persist(ready); err != nil {
@@ -60,7 +60,7 @@
 	return h.disk.save(ready.Persist, ready.CompactIndex)
 }
 
-// announce introduces this replica to all others, and forgets connections that have closed.
+// announce sends the announcement of this replica to all others, and removes closed connections.
 func (h *replicaHost) announce(ctx context.Context) {
 	maps.DeleteFunc(h.clientConns, func(_ string, c *conn) bool { return c != nil && c.isClosed() })
 	maps.DeleteFunc(h.adminConns, func(_ uint64, c *conn) bool { return c.isClosed() })
--- a/internal/transport/coordination/replicahost.go
+++ b/internal/transport/coordination/replicahost.go
@@ -13,11 +13,11 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// msgReplicaNotStarted is logged where a replica cannot be opened; the coordinator runs on without one.
+// msgReplicaNotStarted is logged if the replica cannot be opened; the coordinator continues without one.
 const msgReplicaNotStarted = "consensus replica not started"
 
-// replicaHost gives a replica its disk, its listener and its connections. All of it belongs to the replica goroutine;
-// open may also be called before that goroutine starts.
+// replicaHost holds a replica with its disk, its listener and its connections. Only the replica goroutine uses it; open
+// may also be called before that goroutine starts.
 type replicaHost struct {
 	node     *Node
 	replica  *consensus.Replica // nil: this coordinator has none
@@ -25,8 +25,8 @@
 	listener net.Listener
 
 	peers       map[string]*peer // other replicas, by name
-	clientConns map[string]*conn // where a client's requests come from, by holder; nil: from this process
-	adminConns  map[uint64]*conn // where an admin request came from, by its ID
+	clientConns map[string]*conn // connection of each client, by holder; nil: the client of this process
+	adminConns  map[uint64]*conn // connection that each admin request came from, by request ID
 	lastAdminID uint64
 }
 
@@ -45,7 +45,7 @@
 		Generation: conf.Generation, Jobs: conf.Jobs, Timing: conf.Timing(), Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), State: state})
 	if err != nil {
 		_ = d.close()
-		return fmt.Errorf("consensus: %s: %w; move it away: the replica is then added again", d.path, err)
+		return fmt.Errorf("consensus: %s: %w; move it away: the replica is then added to the group again", d.path, err)
 	}
 	if err := h.listen(ctx, conf.ReplicaAddr(h.node.name)); err != nil {
 		_ = d.close()
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// run is the replica goroutine: it runs one task after another and carries out what the replica wants done.
+// run is the replica goroutine: it runs tasks one at a time and carries out the effects that the replica
+// requests after each.
 func (h *replicaHost) run(ctx context.Context) {
 	if h.listener != nil {
 		go h.accept(ctx)
@@ -109,8 +110,9 @@
 	h.transferLeadership(r)
 }
 
-// transferLeadership has another replica lead before this process ends; otherwise the group has no leader until an
-// election. It does so once: where all replicas end together each would hand leadership to the next.
+// transferLeadership asks another replica to lead before this process ends; otherwise the group would have no leader
+// until an election. It does so only once: if all replicas shut down together, each would pass leadership on to the
+// next.
 func (h *replicaHost) transferLeadership(r *consensus.Replica) {
 	if h.node.draining.Load() && r.IsLeader() && h.node.Idle() {
 		h.node.draining.Store(false)
@@ -118,8 +120,8 @@
 	}
 }
 
-// reconfigure follows a new configuration. This coordinator may have become a replica. One that is a replica no longer
-// runs on until the group has removed it.
+// reconfigure applies a new configuration. It starts a replica if this coordinator has become one. A replica that the
+// configuration no longer names keeps running until the group has removed it.
 func (h *replicaHost) reconfigure(ctx context.Context) {
 	conf := h.node.config()
 	if h.replica != nil {
@@ -139,13 +141,13 @@
 	}
 }
 
-// stop ends the replica until a restart of the process. The coordinator serves requests without it.
+// stop stops the replica until the process restarts. The coordinator continues to serve requests.
 func (h *replicaHost) stop() {
 	_ = h.disk.close()
 	h.replica, h.disk = nil, nil
 }
 
-// recreate starts a new replica after the disk was found to have lost entries.
+// recreate deletes the database and starts a new replica, after the disk was found to have lost entries.
 func (h *replicaHost) recreate(ctx context.Context) {
 	h.node.Log.Error("consensus disk regressed, replica is recreated", "path", h.disk.path)
 	if err := errors.Join(h.disk.remove(), h.open(ctx)); err != nil {
--- a/internal/transport/coordination/replicatask.go
+++ b/internal/transport/coordination/replicatask.go
@@ -5,7 +5,8 @@
 // replicaTask is a call on the replica that runs on the replica goroutine.
 type replicaTask func(*consensus.Replica)
 
-// enqueue has the replica goroutine run a task; false: the queue is full and the task is lost, as any message may be.
+// enqueue queues a task for the replica goroutine. It returns false if the queue is full: the task is then dropped,
+// which the protocol tolerates like any lost message.
 func (n *Node) enqueue(task replicaTask) bool {
 	select {
 	case n.tasks <- task:
--- a/internal/transport/coordination/stored_test.go
+++ b/internal/transport/coordination/stored_test.go
@@ -25,27 +25,28 @@
 	"aniseloft/internal/transport/leasebackend"
 )
 
-// The files under testdata were written by the release before the first rename of what they hold, with
+// The files under testdata were written by the release before the types stored in them were first renamed, with
 //
-//	go test ./internal/transport/coordination -run 'TestStored|TestRaftMessage|TestPublished' -update
-var update = flag.Bool("update", false, "write the fixtures anew")
+//	go test ./internal/transport/coordination -run 'TestStored|TestRaftMessage|TestPublication' -update
+var update = flag.Bool("update", false, "rewrite the fixtures")
 
+// golden returns the content of a fixture, after writing it if -update is set.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
 		require.NoError(t, os.WriteFile(path, got, 0o644))
 	}
-	kept, err := os.ReadFile(path)
+	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	return kept
+	return want
 }
 
 const storedInstallation = 7
 
 var storedJobs = []string{lease.JobPruneRecord, lease.JobReadJournal}
 
-// startStored starts the only replica of a group from a state.
+// startStored starts the only replica of a group from a stored state.
 func startStored(t *testing.T, replicaID uint64, state consensus.PersistentState) *consensus.Replica {
 	t.Helper()
 	r, err := consensus.NewReplica(consensus.Config{Name: "n0", ReplicaID: replicaID, Replicas: []string{"n0"}, Generation: 3, Jobs: storedJobs,
@@ -54,8 +55,8 @@
 	return r
 }
 
-// writeStored plays a group of one until its log has been compacted, and leaves its data directory.
-func writeStored(t *testing.T, dir string) {
+// writeDataDir runs a group of one replica until its log has been compacted, and leaves the data directory in dir.
+func writeDataDir(t *testing.T, dir string) {
 	t.Helper()
 	d, saved, err := openDisk(dir, storedInstallation)
 	require.NoError(t, err)
@@ -80,15 +81,15 @@
 	require.NoError(t, d.close())
 }
 
-// describe returns the content of a data directory as JSON.
-func describe(t *testing.T, number uint64, saved consensus.PersistentState) []byte {
+// describeDataDir returns the content of a data directory as JSON.
+func describeDataDir(t *testing.T, replicaID uint64, saved consensus.PersistentState) []byte {
 	t.Helper()
 	type entry struct {
 		Index, Term uint64
 		Type        string
 		Data        string
 	}
-	whole := struct {
+	content := struct {
 		Number             uint64
 		Term, Vote, Commit uint64
 		SnapshotIndex      uint64
@@ -96,18 +97,18 @@
 		Voters             []uint64
 		Snapshot           json.RawMessage
 		Entries            []entry
-	}{number, saved.HardState.GetTerm(), saved.HardState.GetVote(), saved.HardState.GetCommit(), saved.Snapshot.GetMetadata().GetIndex(),
+	}{replicaID, saved.HardState.GetTerm(), saved.HardState.GetVote(), saved.HardState.GetCommit(), saved.Snapshot.GetMetadata().GetIndex(),
 		saved.Snapshot.GetMetadata().GetTerm(), saved.Snapshot.GetMetadata().GetConfState().GetVoters(), saved.Snapshot.GetData(), nil}
 	for _, e := range saved.Entries {
-		whole.Entries = append(whole.Entries, entry{e.GetIndex(), e.GetTerm(), e.GetType().String(), string(e.GetData())})
+		content.Entries = append(content.Entries, entry{e.GetIndex(), e.GetTerm(), e.GetType().String(), string(e.GetData())})
 	}
-	raw, err := json.MarshalIndent(whole, "", " ")
+	raw, err := json.MarshalIndent(content, "", " ")
 	require.NoError(t, err)
 	return append(raw, '\n')
 }
 
-// buckets is every key and value of a database.
-func buckets(t *testing.T, path string) map[string]string {
+// readBuckets returns every key and value of a database.
+func readBuckets(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 	require.NoError(t, err)
@@ -124,12 +125,13 @@
 	return all
 }
 
-// The data directory of an earlier release is read whole, its replica goes on from it, and what it holds is written alike.
-func TestStoredDataDirectoryIsReadAndWrittenAlike(t *testing.T) {
+// The data directory of an earlier release must be read completely, a replica must start from it, and the same state
+// must be stored in the same form.
+func TestStoredDataDirectoryRoundTrip(t *testing.T) {
 	const fixture = "testdata/council.db"
 	if *update {
 		dir := t.TempDir()
-		writeStored(t, dir)
+		writeDataDir(t, dir)
 		raw, err := os.ReadFile(filepath.Join(dir, dbFile))
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(fixture, raw, 0o644))
@@ -140,80 +142,80 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFile), raw, 0o600))
 	d, saved, err := openDisk(dir, storedInstallation)
 	require.NoError(t, err)
-	number := d.replicaID
+	storedID := d.replicaID
 	require.NoError(t, d.close())
-	got := describe(t, number, saved)
+	got := describeDataDir(t, storedID, saved)
 	require.Equal(t, string(golden(t, "council.json", got)), string(got))
 
-	r := startStored(t, number, saved)
+	r := startStored(t, storedID, saved)
 	for now := 0.0; now < 5000 && !r.IsLeader(); now += 50 {
 		r.Tick(now)
 	}
 	require.True(t, r.IsLeader())
-	answers := struct {
+	responses := struct {
 		Status  *lease.Status
 		History []lease.HistoryEntry
 	}{Status: r.Status()}
 	r.HandleAdmin(5000, lease.AdminRequest{Operation: lease.AdminHistory})
 	for _, a := range r.Ready().AdminResults {
-		answers.History = a.Response.History
+		responses.History = a.Response.History
 	}
-	state, err := json.MarshalIndent(answers, "", " ")
+	state, err := json.MarshalIndent(responses, "", " ")
 	require.NoError(t, err)
 	require.Equal(t, string(golden(t, "council-state.json", state)), string(state))
 
-	again := testdir.Dir(t)
-	d, _, err = openDisk(again, storedInstallation)
+	copyDir := testdir.Dir(t)
+	d, _, err = openDisk(copyDir, storedInstallation)
 	require.NoError(t, err)
 	require.NoError(t, d.save(&saved, saved.Snapshot.GetMetadata().GetIndex()))
 	require.NoError(t, d.close())
-	want, wrote := buckets(t, filepath.Join(dir, dbFile)), buckets(t, filepath.Join(again, dbFile))
-	own := fmt.Sprintf("meta/%x", "number") // each disk draws its own
-	require.NotEmpty(t, wrote[own])
-	delete(want, own)
-	delete(wrote, own)
-	require.Equal(t, want, wrote)
+	want, written := readBuckets(t, filepath.Join(dir, dbFile)), readBuckets(t, filepath.Join(copyDir, dbFile))
+	idKey := fmt.Sprintf("meta/%x", "number") // the replica ID is random in each database
+	require.NotEmpty(t, written[idKey])
+	delete(want, idKey)
+	delete(written, idKey)
+	require.Equal(t, want, written)
 }
 
-// The fences that a coordinator has followed are read from an earlier release's file and written alike.
-func TestStoredFencesAreReadAndWrittenAlike(t *testing.T) {
+// The fences that a coordinator has followed must be read from an earlier release's file and stored in the same form.
+func TestStoredFencesRoundTrip(t *testing.T) {
 	dir := testdir.Dir(t)
 	conf := fleetconf.Config{Installation: "here", Generation: 1, Directory: dir, Jobs: []string{lease.JobPruneRecord, lease.JobReadJournal},
 		Replicas: []fleetconf.Replica{{Name: "far", Addr: "127.0.0.1:1"}}}
-	owners := map[string]lease.Assignment{}
+	assignments := map[string]lease.Assignment{}
 	for n, job := range conf.Jobs {
-		owners[job] = lease.Assignment{GrantID: lease.GrantID{Job: job, Fence: lease.Fence(4 + n)}, HolderName: fmt.Sprint("n", n+1)}
+		assignments[job] = lease.Assignment{GrantID: lease.GrantID{Job: job, Fence: lease.Fence(4 + n)}, HolderName: fmt.Sprint("n", n+1)}
 	}
 	c, err := New(conf, "n7", monotonicClock(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	for _, o := range owners {
-		raw, err := codec.Marshal(leasebackend.Publication{Assignment: o})
+	for _, a := range assignments {
+		raw, err := codec.Marshal(leasebackend.Publication{Assignment: a})
 		require.NoError(t, err)
 		require.NoError(t, c.handlePublication(raw))
 	}
-	wrote, err := os.ReadFile(filepath.Join(dir, fencesFile))
+	written, err := os.ReadFile(filepath.Join(dir, fencesFile))
 	require.NoError(t, err)
-	kept := golden(t, fencesFile, wrote)
-	require.Equal(t, string(kept), string(wrote))
+	want := golden(t, fencesFile, written)
+	require.Equal(t, string(want), string(written))
 
-	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFile), kept, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFile), want, 0o600))
 	c, err = New(conf, "n7", monotonicClock(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	c.With(func(m *lease.Client) {
-		for job, o := range owners {
-			require.Equal(t, o, m.LatestAssignment(job))
+	c.With(func(client *lease.Client) {
+		for job, a := range assignments {
+			require.Equal(t, a, client.LatestAssignment(job))
 		}
 	})
 }
 
-func TestRaftMessageKeepsItsBytes(t *testing.T) {
+func TestRaftMessageBytesUnchanged(t *testing.T) {
 	m := &raftpb.Message{Type: raftpb.MsgApp.Enum(), To: new(uint64(2)), From: new(uint64(1)), Term: new(uint64(5)), LogTerm: new(uint64(4)),
 		Index: new(uint64(17)), Commit: new(uint64(16)), Entries: []*raftpb.Entry{{Type: raftpb.EntryNormal.Enum(), Term: new(uint64(5)), Index: new(uint64(18)),
 			Data: []byte(`{"k":"assign","j":"prune-record","f":7,"h":{"name":"n1","boot":32570},"w":"by hand"}`)}}}
 	got := hex.EncodeToString(fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.RaftMessage, GroupID: 12, Payload: consensus.EncodeMessage(m)})) + "\n"
-	kept := golden(t, "raft-message.hex", []byte(got))
-	require.Equal(t, string(kept), got)
-	raw, err := hex.DecodeString(strings.TrimSpace(string(kept)))
+	want := golden(t, "raft-message.hex", []byte(got))
+	require.Equal(t, string(want), got)
+	raw, err := hex.DecodeString(strings.TrimSpace(string(want)))
 	require.NoError(t, err)
 	frames, err := fleet.NewDecoder(fleet.Installation("here")).Feed(raw)
 	require.NoError(t, err)
@@ -224,13 +226,13 @@
 	require.True(t, proto.Equal(m, read))
 }
 
-func TestPublishedListKeepsItsJSON(t *testing.T) {
+func TestPublicationJSONUnchanged(t *testing.T) {
 	p := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: lease.JobReadJournal, Fence: 4}, HolderName: "n1"}, Seq: 9, Data: []byte(`{"whole":true}`)}
-	wrote, err := codec.Marshal(p)
+	written, err := codec.Marshal(p)
 	require.NoError(t, err)
-	kept := golden(t, "published.json", append(wrote, '\n'))
-	require.Equal(t, string(kept), string(wrote)+"\n")
+	want := golden(t, "published.json", append(written, '\n'))
+	require.Equal(t, string(want), string(written)+"\n")
 	var read leasebackend.Publication
-	require.NoError(t, codec.Unmarshal(kept, &read))
+	require.NoError(t, codec.Unmarshal(want, &read))
 	require.Equal(t, p, read)
 }
