--- a/internal/transport/leasebackend/backend.go
+++ b/internal/transport/leasebackend/backend.go
@@ -1,5 +1,6 @@
-// Package leasebackend defines what grants this coordinator leases on fleet-wide jobs, and what all implementations of it
-// share. There are two: internal/transport/coordination and internal/transport/leasetable.
+// Package leasebackend defines the interface to the service that grants this coordinator leases on fleet-wide jobs, and
+// the code that its implementations share. There are two: internal/transport/coordination and
+// internal/transport/leasetable.
 package leasebackend
 
 import (
@@ -10,37 +11,37 @@
 	"aniseloft/internal/lease"
 )
 
-// Backend is this coordinator's part in the fleet: which jobs one coordinator does for all, whether an operation of one
-// may begin here, and what job holders publish. It is safe for concurrent use.
+// Backend tells this coordinator which jobs one coordinator does for the whole fleet and whether it may begin an
+// operation of such a job, and carries the publications of job holders. It is safe for concurrent use.
 type Backend interface {
-	// HasJob reports whether the fleet does the job at all.
+	// HasJob reports whether the job is one that a single coordinator does for the whole fleet.
 	HasJob(job string) bool
 	// Holds reports whether this coordinator holds the job now. It is for display: use Begin before an operation.
 	Holds(job string) bool
-	// Begin reports whether an operation of the job may begin, and under which fence and holder. Each Begin that succeeds
-	// needs an End.
+	// Begin reports whether an operation of the job may begin, and under which fence and holder. Each Begin that
+	// succeeds needs an End.
 	Begin(job string) (fence lease.Fence, holder string, ok bool)
 	// End ends an operation that Begin has begun.
 	End(job string, fence lease.Fence)
-	// ReportStaleFence drops the lease on a job whose target has refused an operation.
+	// ReportStaleFence drops the lease on a job after its target has refused an operation for its fence.
 	ReportStaleFence(job string, refusal lease.StaleFenceError)
-	// Publish sends data of the job to all coordinators, under a fence that Begin returned. Messages under one fence are
-	// numbered from 1. Delivery is not guaranteed.
+	// Publish sends data of the job to all coordinators, under a fence that Begin returned. Messages under one fence
+	// are numbered from 1. Delivery is not guaranteed.
 	Publish(job string, fence lease.Fence, sequence uint64, data []byte)
-	// Subscribe has f called with what job holders publish. It must be called before Run.
+	// Subscribe sets the function that receives the publications of job holders. It must be called before Run.
 	Subscribe(f func(Publication))
-	// Drain gives back every lease once its active operations have ended, and takes no more.
+	// Drain releases every lease once its active operations have ended, and takes no new ones.
 	Drain()
 	// Idle reports whether no lease is held and all releases are acknowledged.
 	Idle() bool
-	// Run takes part in the fleet until ctx ends.
+	// Run keeps the leases and delivers publications until ctx ends.
 	Run(ctx context.Context)
-	// String is the line of counters that operators read.
+	// String returns the line of counters for operators.
 	String() string
 }
 
-// Publication is what the holder of a job publishes to all coordinators: the grant that it is sent under, its number
-// under that grant, and the data of the job.
+// Publication is a message from the holder of a job to all coordinators. The embedded Assignment is the grant that it
+// is sent under.
 type Publication struct {
 	lease.Assignment
 	Seq  uint64              `json:"seq"` // counts from 1 under each grant
--- a/internal/transport/leasebackend/client.go
+++ b/internal/transport/leasebackend/client.go
@@ -15,7 +15,7 @@
 // Client is a lease.Client that is safe for concurrent use and logs its events. A lease backend embeds it and
 // exchanges the keep-alive messages.
 type Client struct {
-	// KeepAliveNow receives a value when the next keep-alive request is due at once. It has room for one value and is
+	// KeepAliveNow receives a value when the next keep-alive request is due at once. It buffers one value and is
 	// never closed; the backend's goroutine receives from it.
 	KeepAliveNow chan struct{}
 	Clock        func() lease.Millis // the coordinator's monotonic clock
@@ -28,8 +28,8 @@
 	staleFences atomic.Int64 // operations that a target has refused
 }
 
-// NewClient returns the client of a new incarnation of the named coordinator. The capacity is relative; 0 stands
-// for 1.
+// NewClient returns the client of a new incarnation of the named coordinator. The capacity is relative to that of other
+// coordinators; 0 means 1.
 func NewClient(name string, jobs []string, capacity, driftBound float64, clock func() lease.Millis, log *slog.Logger) *Client {
 	if capacity == 0 {
 		capacity = 1
@@ -39,7 +39,7 @@
 		client: lease.NewClient(self, jobs, capacity, driftBound)}
 }
 
-// With runs f on the client under the lock, and logs the events that come of it. f must not call methods of c.
+// With runs f on the client under the lock, and logs the resulting events. f must not call methods of c.
 func (c *Client) With(f func(*lease.Client)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 // Self identifies this incarnation of the coordinator.
 func (c *Client) Self() lease.Holder { return c.self }
 
-// HasJob reports whether the fleet does the job at all.
+// HasJob reports whether the job is one that a single coordinator does for the whole fleet.
 func (c *Client) HasJob(job string) bool { return slices.Contains(c.jobs, job) }
 
 // Begin reports whether an operation of the job may begin, and under which fence and holder. Each Begin that succeeds
@@ -78,7 +78,7 @@
 	c.With(func(client *lease.Client) { client.End(c.Clock(), job, fence) })
 }
 
-// ReportStaleFence drops the lease on a job whose target has refused an operation.
+// ReportStaleFence drops the lease on a job after its target has refused an operation for its fence.
 func (c *Client) ReportStaleFence(job string, refusal lease.StaleFenceError) {
 	c.staleFences.Add(1)
 	c.Log.Warn("lease operation refused, fence is stale", "job", job, "fence", refusal.Fence, "highest_fence", refusal.Highest)
@@ -92,7 +92,7 @@
 	return held
 }
 
-// Drain gives back every lease once its active operations have ended, and takes no more.
+// Drain releases every lease once its active operations have ended, and takes no new ones.
 func (c *Client) Drain() {
 	c.With(func(client *lease.Client) { client.Drain(c.Clock()) })
 	c.RequestKeepAlive()
--- a/internal/transport/leasetable/conformance_test.go
+++ b/internal/transport/leasetable/conformance_test.go
@@ -32,7 +32,8 @@
 // backend starts coordinators of one installation and grants them leases.
 type backend struct {
 	start func(ctx context.Context, t *testing.T, name string) leasebackend.Backend
-	// setDown makes who grants the leases unavailable, and available again; nil: the backend cannot be taken down alone.
+	// setDown makes the service that grants the leases unavailable or available again; nil: it cannot be stopped
+	// separately.
 	setDown func(down bool)
 }
 
@@ -57,7 +58,7 @@
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	conf := fleetconf.Config{Installation: "here", Generation: 1, Jobs: []string{job}, LeaseMS: 600,
-		Replicas: []fleetconf.Replica{{Name: "seat", Addr: l.Addr().String()}}}
+		Replicas: []fleetconf.Replica{{Name: "replica", Addr: l.Addr().String()}}}
 	require.NoError(t, l.Close())
 	start := func(_ context.Context, t *testing.T, name string) leasebackend.Backend {
 		c := conf
@@ -66,42 +67,43 @@
 		require.NoError(t, err)
 		return n
 	}
-	replica := start(t.Context(), t, "seat")
-	replica.Drain() // it is the group's replica only, and takes no lease
+	replica := start(t.Context(), t, "replica")
+	replica.Drain() // it only runs the group's replica, and takes no lease
 	go replica.Run(t.Context())
 	return backend{start: start}
 }
 
 var backends = map[string]func(t *testing.T) backend{
-	"a row in SQLite": func(t *testing.T) backend { return recordBackend(filepath.Join(testdir.Dir(t), "record.db"), nil) },
-	"a row in PostgreSQL": func(t *testing.T) backend {
+	"SQLite record": func(t *testing.T) backend { return recordBackend(filepath.Join(testdir.Dir(t), "record.db"), nil) },
+	"PostgreSQL record": func(t *testing.T) backend {
 		pg := pgtest.NewServer(t)
 		return recordBackend(pg.DSN, func(down bool) { pg.Unavailable.Store(down) })
 	},
-	"a row in PostgreSQL whose answers get lost": func(t *testing.T) backend {
+	"PostgreSQL record with lost replies": func(t *testing.T) backend {
 		pg := pgtest.NewServer(t)
 		var n atomic.Int64
-		pg.DropReply = func(statement string) bool { // after the commit: the client does not know its outcome
+		pg.DropReply = func(statement string) bool { // after the commit, so that the client does not know the outcome
 			return strings.Contains(statement, "lease") && strings.Contains(statement, "RETURNING") && n.Add(1)%3 == 0
 		}
 		return recordBackend(pg.DSN, func(down bool) { pg.Unavailable.Store(down) })
 	},
-	"a council": consensusBackend,
+	"consensus group": consensusBackend,
 }
 
-// target is where the job's operations take place. It checks the fence of each.
+// target is the resource that the job's operations change. It checks the fence of each operation.
 type target struct {
 	mu     sync.Mutex
 	record lease.FenceRecord
 }
 
-// operate has a coordinator carry out one operation; false: it may not, or the target refused it.
-func (x *target) operate(f leasebackend.Backend) bool {
-	fence, holder, may := f.Begin(job)
-	if !may {
+// operate lets a coordinator carry out one operation. It returns false if the coordinator may not begin one or the
+// target refuses it.
+func (x *target) operate(node leasebackend.Backend) bool {
+	fence, holder, ok := node.Begin(job)
+	if !ok {
 		return false
 	}
-	defer f.End(job, fence)
+	defer node.End(job, fence)
 	time.Sleep(rand.N(3 * time.Millisecond))
 	x.mu.Lock()
 	next, err := x.record.Admit(job, fence, holder)
@@ -111,7 +113,7 @@
 	x.mu.Unlock()
 	var stale lease.StaleFenceError
 	if errors.As(err, &stale) {
-		f.ReportStaleFence(job, stale)
+		node.ReportStaleFence(job, stale)
 	}
 	return err == nil
 }
@@ -122,22 +124,24 @@
 	return x.record.Fence
 }
 
-// skipFences has the target have seen fences that no backend has granted, as one whose state was lost.
+// skipFences makes the target record a fence that the backend has not granted yet, as if the backend had lost its
+// state.
 func (x *target) skipFences(count lease.Fence) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.record = lease.FenceRecord{Fence: x.record.Fence + count, Holder: "of before"}
+	x.record = lease.FenceRecord{Fence: x.record.Fence + count, Holder: "former holder"}
 }
 
-// claimFence has the target have accepted its highest fence from a holder of a former backend that granted it too.
+// claimFence makes the target record its highest fence as accepted from another holder, as if a former backend had
+// granted the same fence.
 func (x *target) claimFence() (claimed lease.Fence) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.record.Holder = "of before"
+	x.record.Holder = "former holder"
 	return x.record.Fence
 }
 
-// cluster is three coordinators that compete for the job.
+// cluster holds three coordinators that compete for the job.
 type cluster struct {
 	nodes  []leasebackend.Backend
 	stops  []context.CancelFunc
@@ -156,12 +160,12 @@
 	return c
 }
 
-// holder is the first coordinator that holds the job; -1: none does.
+// holder returns the index of the first coordinator that holds the job, or -1.
 func (c *cluster) holder() int {
-	return slices.IndexFunc(c.nodes, func(f leasebackend.Backend) bool { return f.Holds(job) })
+	return slices.IndexFunc(c.nodes, func(node leasebackend.Backend) bool { return node.Holds(job) })
 }
 
-// countDoubleHolders counts, until ctx ends, how often two coordinators hold the job at one time.
+// countDoubleHolders counts, until ctx ends, how often two coordinators hold the job at the same time.
 func (c *cluster) countDoubleHolders(ctx context.Context, count *atomic.Int64) {
 	for ctx.Err() == nil {
 		first := c.holder()
@@ -174,7 +178,7 @@
 	}
 }
 
-// eventually waits for a condition. The bound is for a slow machine; it measures nothing.
+// eventually waits for a condition. The timeout allows for a slow machine and is no requirement.
 func eventually(t *testing.T, condition func() bool, msgAndArgs ...any) {
 	t.Helper()
 	require.Eventually(t, condition, 20*time.Second, 5*time.Millisecond, msgAndArgs...)
@@ -185,8 +189,9 @@
 	eventually(t, func() bool { return c.target.operate(c.nodes[n]) })
 }
 
-// Every backend must grant the job to one coordinator at a time, under a higher fence each time: to another when the
-// holder drains or dies, past a fence that the target has seen from it or from another, and to nobody while the backend is down.
+// Every backend must grant the job to one coordinator at a time, under a higher fence each time: to another coordinator
+// after the holder drains or crashes, under a fence above those that the target has recorded for any holder, and to no
+// coordinator while the backend is down.
 func TestBackendsConform(t *testing.T) {
 	for name, newBackend := range backends {
 		t.Run(name, func(t *testing.T) {
@@ -204,7 +209,7 @@
 			second := c.holder()
 			c.eventuallyOperates(t, second)
 
-			c.stops[second]() // it dies
+			c.stops[second]() // crash
 			third := 3 - first - second
 			c.eventuallyOperates(t, third)
 			require.False(t, c.nodes[second].Holds(job) && c.nodes[third].Holds(job))
@@ -219,11 +224,11 @@
 
 			if b.setDown != nil {
 				b.setDown(true)
-				eventually(t, func() bool { return c.holder() < 0 }, "it owns on while nobody can be asked")
+				eventually(t, func() bool { return c.holder() < 0 }, "a coordinator still holds the job while the backend is down")
 				b.setDown(false)
 				c.eventuallyOperates(t, third)
 			}
-			require.Zero(t, doubleHolders.Load(), "two owners at one time")
+			require.Zero(t, doubleHolders.Load(), "two coordinators held the job at the same time")
 		})
 	}
 }
--- a/internal/transport/leasetable/leasetable.go
+++ b/internal/transport/leasetable/leasetable.go
@@ -1,6 +1,6 @@
 // Package leasetable grants the fleet's leases from rows of the shared REST record, by the record's clock. It is the
-// lease backend of installations that share a record and run no consensus group. While the record is down leases expire
-// and nobody holds a job; requests are served as ever.
+// lease backend of installations that share a record and run no consensus group. While the record is down, leases
+// expire and no coordinator holds a job; requests are still served.
 package leasetable
 
 import (
@@ -20,16 +20,16 @@
 )
 
 // ErrImmutable is returned by Reload for a change that needs a restart.
-var ErrImmutable = errors.New("fleet: the installation and the lease backend cannot change while it runs")
+var ErrImmutable = errors.New("fleet: the installation and the lease backend cannot change while the coordinator runs; restart it")
 
-// Node is one coordinator's lease client over the record.
+// Node is a coordinator's lease client that exchanges keep-alive messages with the record.
 //
 // The goroutine of Run owns the unexported state; the methods of the embedded client may be called from any goroutine.
 type Node struct {
 	*leasebackend.Client
 	store     *store.Store
 	conf      fleetconf.Config
-	freeSince map[string]lease.Millis // when a job was first seen free, by job
+	freeSince map[string]lease.Millis // time at which each free job was first seen free, by job
 
 	polls, consecutiveFailures atomic.Int64
 }
@@ -37,7 +37,7 @@
 // New creates the lease table if it is missing, and returns a node that Run starts.
 func New(ctx context.Context, conf fleetconf.Config, name string, record *store.Store, clock func() lease.Millis, log *slog.Logger) (*Node, error) {
 	if err := record.CreateLeaseTable(ctx); err != nil {
-		return nil, fmt.Errorf("fleet: prepare the lease table: %w", err)
+		return nil, fmt.Errorf("fleet: create the lease table: %w", err)
 	}
 	return &Node{Client: leasebackend.NewClient(name, conf.Jobs, conf.Capacity, conf.Timing().DriftBound, clock, log),
 		store: record, conf: conf, freeSince: map[string]lease.Millis{}}, nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// poll carries out one keep-alive request on the record. If any part fails the client gets no response, and its leases
+// poll carries out one keep-alive request on the record. If any part fails, the client gets no response, and its leases
 // expire by its own clock.
 func (n *Node) poll(ctx context.Context, timeout time.Duration) {
 	var request lease.KeepAliveRequest
@@ -80,13 +80,15 @@
 	n.With(func(client *lease.Client) { client.HandleResponse(n.Clock(), response) })
 }
 
-// execute raises fences, releases and then renews or takes leases. It goes on after an error, and returns all of them.
+// execute raises fences, releases leases and then renews or takes leases. It continues after an error, and returns all
+// errors joined.
 func (n *Node) execute(ctx context.Context, request lease.KeepAliveRequest) (lease.KeepAliveResponse, error) {
 	holder := request.Holder.String()
 	var errs []error
 	for _, id := range request.HigherFences {
 		errs = append(errs, n.store.RaiseFence(ctx, id.Job, id.Fence))
-		// A fence that is this client's own was accepted from another holder: once the job is free the next grant passes it.
+		// If this client's own grant has the same fence, the target has accepted that fence from another holder. The
+		// release frees the job, so that the next grant has a higher fence.
 		errs = append(errs, n.store.ReleaseLease(ctx, id.Job, holder, id.Fence))
 	}
 	for _, id := range request.Released {
@@ -110,7 +112,7 @@
 	return response, errors.Join(errs...)
 }
 
-// observe keeps since when a job has been seen free.
+// observe records when a job was first seen free.
 func (n *Node) observe(job string, row store.LeaseRow) {
 	if !row.Free {
 		delete(n.freeSince, job)
@@ -120,7 +122,8 @@
 }
 
 // mayTake reports whether this coordinator may try to take a free job yet. Each coordinator waits for a fraction of the
-// keep-alive interval that is the hash of job and name, so that jobs spread and not all coordinators try at once.
+// keep-alive interval that is derived from a hash of the job and its name, so that jobs are spread over the
+// coordinators and not all of them try at once.
 func (n *Node) mayTake(job, name string) bool {
 	since, seen := n.freeSince[job]
 	fraction := float64(xxhash.Sum64String(job+"\x00"+name)>>11) / (1 << 53)
@@ -133,8 +136,8 @@
 // Publish does nothing: the record carries no publications.
 func (n *Node) Publish(string, lease.Fence, uint64, []byte) {}
 
-// Reload returns ErrImmutable if the new configuration changes the installation or the backend; other changes wait for a
-// restart.
+// Reload returns ErrImmutable if the new configuration changes the installation or the backend; other changes take
+// effect after a restart.
 func (n *Node) Reload(conf fleetconf.Config) error {
 	if conf.Installation != n.conf.Installation || conf.Backend != n.conf.Backend {
 		return ErrImmutable
