--- a/internal/fleetconf/fleetconf.go
+++ b/internal/fleetconf/fleetconf.go
@@ -1,5 +1,5 @@
-// Package fleetconf reads and validates deploy/fleet.json, the operators' file of what coordinators of one installation
-// do together. Without the file, or while it names no installation, a coordinator takes part in nothing.
+// Package fleetconf parses and validates deploy/fleet.json, in which operators configure the jobs that the coordinators
+// of one installation share. Without the file, or if it names no installation, a coordinator joins no fleet.
 package fleetconf
 
 import (
@@ -8,7 +8,7 @@
 	"aniseloft/internal/lease"
 )
 
-// File is the path of the file, from the working directory.
+// File is the path of the file, relative to the working directory.
 const File = "deploy/fleet.json"
 
 // strict rejects unknown and misspelt fields.
@@ -16,31 +16,31 @@
 
 // Replica is one member of the consensus group.
 type Replica struct {
-	Name string `json:"name"` // of a coordinator
-	Addr string `json:"addr"` // IP address and port where it listens for the others
+	Name string `json:"name"` // name of the coordinator
+	Addr string `json:"addr"` // IP address and port on which it listens for other coordinators
 }
 
-// Config is the content of the file. The JSON names are the operators' words; docs/leases.md maps them.
+// Config is the content of the file. docs/leases.md maps the JSON names to the terms of the code.
 type Config struct {
 	Schema       string    `json:"$schema"`
 	Installation string    `json:"installation"` // empty: disabled
 	Generation   uint64    `json:"generation"`   // grows with each change of the replicas
-	Backend      string    `json:"by,omitempty"` // who grants leases: BackendConsensus, the default, or BackendRecord
+	Backend      string    `json:"by,omitempty"` // what grants leases: BackendConsensus, the default, or BackendRecord
 	Replicas     []Replica `json:"seats"`        // 1, 3 or 5; the first bootstraps the group
-	Directory    string    `json:"directory"`    // of the replica's database and the followed fences; outlives a restart
-	Jobs         []string  `json:"jobs"`         // done by one coordinator for all; the rest each does for itself
+	Directory    string    `json:"directory"`    // of the replica's database and the followed fences; must survive restarts
+	Jobs         []string  `json:"jobs"`         // done by one coordinator for all; each coordinator does all other jobs itself
 	LeaseMS      float64   `json:"lease_ms"`     // length of a lease in milliseconds; 0: the default
 	DriftBound   float64   `json:"drift_bound"`  // upper bound on how far the rate of a clock differs from 1; 0: the default
-	Capacity     float64   `json:"room"`         // of this coordinator for jobs, relative to the others' 1; 0: 1
+	Capacity     float64   `json:"room"`         // share of jobs for this coordinator, relative to 1 for the others; 0: 1
 }
 
 // Lease backends, as Config.Backend.
 const (
 	BackendConsensus = "council" // a consensus group of coordinators
-	BackendRecord    = "record"  // rows of the REST record that all share, by the record's clock
+	BackendRecord    = "record"  // rows of the shared REST record, by the record's clock
 )
 
-// Parse reads and validates the content of the file. The error is the first FieldError.
+// Parse parses and validates the content of the file. The error is the FieldError of the first fault.
 func Parse(raw []byte) (Config, error) {
 	var c Config
 	if err := strict.Unmarshal(raw, &c); err != nil {
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// Enabled reports whether the file switches anything on.
+// Enabled reports whether the file names an installation, so that the coordinator joins a fleet.
 func (c Config) Enabled() bool { return c.Installation != "" }
 
 // ReplicaNames returns the names of the replicas in the file's order.
@@ -63,7 +63,7 @@
 	return names
 }
 
-// ReplicaAddr returns the address of a replica; empty: the coordinator is none.
+// ReplicaAddr returns the address of a replica, or an empty string if the file names no such replica.
 func (c Config) ReplicaAddr(name string) string {
 	for _, r := range c.Replicas {
 		if r.Name == name {
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// Timing returns the intervals that the file asks for. The tick is scaled with the lease, so that an election keeps its
-// length relative to a lease.
+// Timing returns the configured intervals, or their defaults. The tick is scaled with the lease, so that an election
+// keeps its length relative to a lease.
 func (c Config) Timing() lease.Timing {
 	t := lease.DefaultTiming()
 	if c.LeaseMS > 0 {
--- a/internal/fleetconf/fleetconf_test.go
+++ b/internal/fleetconf/fleetconf_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestParseNamesTheFieldAtFault(t *testing.T) {
+func TestParseReportsInvalidField(t *testing.T) {
 	const seats = `"seats":[{"name":"a","addr":"127.0.0.1:1"},{"name":"b","addr":"127.0.0.1:2"},{"name":"c","addr":"127.0.0.1:3"}]`
 	for raw, pointer := range map[string]string{
 		`{"installation":"x","generation":1,"directory":"d",` + seats + `}`: "",
@@ -46,7 +46,7 @@
 }
 
 func TestTimingScalesWithLease(t *testing.T) {
-	usual, scaled := Config{}.Timing(), Config{LeaseMS: 8000}.Timing()
-	require.Equal(t, usual.Tick*4, scaled.Tick)
-	require.Less(t, usual.Tick*float64(2*usual.ElectionTicks), usual.LeaseTTL, "an election ends within a lease")
+	defaults, scaled := Config{}.Timing(), Config{LeaseMS: 8000}.Timing()
+	require.Equal(t, defaults.Tick*4, scaled.Tick)
+	require.Less(t, defaults.Tick*float64(2*defaults.ElectionTicks), defaults.LeaseTTL, "an election must end within a lease")
 }
--- a/internal/fleetconf/json_test.go
+++ b/internal/fleetconf/json_test.go
@@ -10,9 +10,9 @@
 	"aniseloft/internal/lease"
 )
 
-// testdata/fleet.json names every field that operators may set; it was written by hand from schema/fleet.schema.json
-// and is read and written alike by the release before the first rename of these types.
-func TestFileIsReadAndWrittenAlike(t *testing.T) {
+// testdata/fleet.json sets every field that operators may set. It was written by hand from schema/fleet.schema.json,
+// and the release before these types were first renamed reads and writes it in the same form.
+func TestFileRoundTrip(t *testing.T) {
 	raw, err := os.ReadFile("testdata/fleet.json")
 	require.NoError(t, err)
 	want := Config{Schema: "../schema/fleet.schema.json", Installation: "harbour-east", Generation: 4, Backend: BackendConsensus,
@@ -21,16 +21,16 @@
 	read, err := Parse(raw)
 	require.NoError(t, err)
 	require.Equal(t, want, read)
-	wrote, err := json.Marshal(read)
+	written, err := json.Marshal(read)
 	require.NoError(t, err)
-	require.Equal(t, string(raw), string(wrote)+"\n")
+	require.Equal(t, string(raw), string(written)+"\n")
 }
 
-// testdata/fault.json is a fault as aniseloftctl check fleet prints it.
-func TestFaultKeepsItsJSON(t *testing.T) {
-	kept, err := os.ReadFile("testdata/fault.json")
+// testdata/fault.json is a FieldError as aniseloftctl check fleet prints it.
+func TestFieldErrorJSONUnchanged(t *testing.T) {
+	want, err := os.ReadFile("testdata/fault.json")
 	require.NoError(t, err)
-	wrote, err := json.Marshal(FieldError{Pointer: "/seats", Problem: "2 seats", Remedy: "name 1, 3 or 5"})
+	written, err := json.Marshal(FieldError{Pointer: "/seats", Problem: "2 seats", Remedy: "name 1, 3 or 5"})
 	require.NoError(t, err)
-	require.Equal(t, string(kept), string(wrote)+"\n")
+	require.Equal(t, string(want), string(written)+"\n")
 }
