--- a/internal/protocol/admin/admin_test.go
+++ b/internal/protocol/admin/admin_test.go
@@ -16,7 +16,7 @@
 	return
 }
 
-func TestCommandIsReadFromAnyPieces(t *testing.T) {
+func TestFeedReassemblesCommandFromAnyChunks(t *testing.T) {
 	for line, want := range map[string]Command{
 		"STATUS\n":             {Verb: Status},
 		"status\r\n":           {Verb: Status},
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestInvalidLineReturnsItsError(t *testing.T) {
+func TestFeedRejectsInvalidLine(t *testing.T) {
 	for line, want := range map[string]error{
 		"FLY\n":             ErrUnknownVerb,
 		"SUSPEND\n":         ErrMissingID,
@@ -53,26 +53,26 @@
 	}
 }
 
-func TestTooLongLineEndsBeforeItsLineFeed(t *testing.T) {
+func TestFeedRejectsTooLongLineBeforeItsLineFeed(t *testing.T) {
 	var parser Parser
 	_, done, err := parser.Feed([]byte(strings.Repeat("x", MaxLineBytes-1)))
 	require.False(t, done)
 	require.NoError(t, err)
 	_, done, err = parser.Feed([]byte("x"))
-	require.True(t, done, "no need to wait for the end of what is too long already")
+	require.True(t, done, "a line that is too long must be rejected before its end")
 	require.ErrorIs(t, err, ErrTooLong)
 	_, _, err = parser.Feed([]byte("\n"))
-	require.Error(t, err, "one command a connection")
+	require.Error(t, err, "a connection carries only one command")
 }
 
-func TestIncompleteLineIsNoCommand(t *testing.T) {
+func TestFinishRejectsIncompleteLine(t *testing.T) {
 	var parser Parser
 	_, done, _ := parser.Feed([]byte("STATUS"))
 	require.False(t, done)
 	require.ErrorIs(t, parser.Finish(), ErrIncomplete)
 }
 
-func TestAnswerIsOneLine(t *testing.T) {
+func TestResponseIsOneLine(t *testing.T) {
 	require.Equal(t, "ACK serving\n", string(Ack("serving")))
 	require.Equal(t, "NAK a b\n", string(Nak("a\nb")))
 	require.Equal(t, "ACK\n", string(Ack("")))
--- a/internal/protocol/admin/command.go
+++ b/internal/protocol/admin/command.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' line protocol on the second address. A connection carries one line, a command, and gets
-// one line back that begins with ACK or NAK. It is fed bytes and knows no socket.
+// Package admin implements the operators' line protocol on the second address. A connection carries one command line
+// and gets one response line that begins with ACK or NAK. The package does no I/O: the parser is fed bytes.
 package admin
 
 import (
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// Verb is what a command asks for.
+// Verb is the operation that a command requests.
 type Verb int
 
 // Verbs of the protocol.
 const (
 	Status  Verb = iota // whether this process can serve
 	Suspend             // take the endpoint out of rotation
-	Restore             // end its Suspend
+	Restore             // end the suspension of the endpoint
 	Pause               // begin a drain: send clients away
 	Resume              // end the drain
 )
 
-// verbs are the verbs as they are written.
+// verbs holds the name of each verb on the wire and whether it takes an argument.
 var verbs = [...]struct {
 	name       string
-	onEndpoint bool // an endpoint's id follows
+	onEndpoint bool // an endpoint ID follows the verb
 }{
 	Status:  {"STATUS", false},
 	Suspend: {"SUSPEND", true},
@@ -32,16 +32,16 @@
 	Resume:  {"RESUME", false},
 }
 
-// String returns the verb as it is written.
+// String returns the name of the verb on the wire.
 func (v Verb) String() string { return verbs[v].name }
 
-// Command is one command.
+// Command is one command of an operator.
 type Command struct {
 	Verb       Verb
 	EndpointID string // for Suspend and Restore
 }
 
-// String returns the command as it is written, without its line feed.
+// String returns the command line without its line feed.
 func (c Command) String() string {
 	if verbs[c.Verb].onEndpoint {
 		return c.Verb.String() + " " + c.EndpointID
@@ -49,7 +49,7 @@
 	return c.Verb.String()
 }
 
-// Errors of a line that is no command. Each is answered with a NAK and its text.
+// Errors of a line that is not a valid command. The response is a NAK with the text of the error.
 var (
 	ErrTooLong      = errors.New("line too long")
 	ErrNotText      = errors.New("not text")
@@ -60,8 +60,8 @@
 	ErrIncomplete   = errors.New("the line did not end")
 )
 
-// Parse reads one line without its line feed: words of printable ASCII, separated by spaces or tabs. A verb may be in any
-// case; an id is taken as it is written.
+// Parse reads one line without its line feed: words of printable ASCII, separated by spaces or tabs. The verb is
+// not case-sensitive; the ID is returned unchanged.
 func Parse(line string) (Command, error) {
 	for _, r := range line {
 		if r != '\t' && (r < ' ' || r > '~') {
@@ -99,7 +99,7 @@
 	return 0, false
 }
 
-// maxEchoBytes bounds what a NAK repeats of a caller's line.
+// maxEchoBytes bounds the part of an unknown verb that a NAK repeats.
 const maxEchoBytes = 32
 
 func truncate(s string) string {
@@ -109,13 +109,13 @@
 	return s
 }
 
-// Ack returns the line of a command that was carried out, with what it says.
-func Ack(text string) []byte { return encodeAnswer("ACK", text) }
+// Ack returns the response line to a command that was carried out, with a text.
+func Ack(text string) []byte { return encodeResponse("ACK", text) }
 
-// Nak returns the line of a command that was not carried out, with its reason.
-func Nak(reason string) []byte { return encodeAnswer("NAK", reason) }
+// Nak returns the response line to a command that was not carried out, with the reason.
+func Nak(reason string) []byte { return encodeResponse("NAK", reason) }
 
-func encodeAnswer(word, text string) []byte {
+func encodeResponse(word, text string) []byte {
 	if text == "" {
 		return []byte(word + "\n")
 	}
--- a/internal/protocol/admin/golden_test.go
+++ b/internal/protocol/admin/golden_test.go
@@ -11,12 +11,12 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/calls.txt is what operators send, a line a connection. testdata/answers.golden was written at d9ce9f6:
-// go test ./internal/protocol/admin -update
-func TestRecordedCommandsAreReadAndAnsweredAsRecorded(t *testing.T) {
+// testdata/calls.txt holds commands of operators, one line per connection. testdata/answers.golden was written at
+// commit d9ce9f6 by go test ./internal/protocol/admin -update
+func TestRecordedCommandsMatchGolden(t *testing.T) {
 	raw, err := os.ReadFile("testdata/calls.txt")
 	require.NoError(t, err)
-	var calls []Command
+	var commands []Command
 	var out []byte
 	for line := range strings.Lines(string(raw)) {
 		c, done, err := (&Parser{}).Feed([]byte(line))
@@ -25,11 +25,11 @@
 			out = append(out, Nak(err.Error())...)
 			continue
 		}
-		calls = append(calls, c)
+		commands = append(commands, c)
 		out = append(out, Ack(c.String())...)
 	}
 	require.Equal(t, []Command{{Verb: Status}, {Verb: Status}, {Verb: Suspend, EndpointID: "s-00000007"}, {Verb: Restore, EndpointID: "s-00000007"},
-		{Verb: Pause}, {Verb: Resume}}, calls)
+		{Verb: Pause}, {Verb: Resume}}, commands)
 	unfinished := (&Parser{}).Finish()
 	require.Error(t, unfinished)
 	out = slices.Concat(out, Nak(unfinished.Error()), Ack(""), Ack("serving\npaused"), Nak(ErrTooLong.Error()))
--- a/internal/protocol/admin/parser.go
+++ b/internal/protocol/admin/parser.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// MaxLineBytes bounds a command with its line feed. The longest is a verb and an endpoint's id.
+// MaxLineBytes bounds a command with its line feed. The longest command is a verb and an endpoint ID.
 const MaxLineBytes = 512
 
 var errAlreadyRead = errors.New("admin: the call was read already")
@@ -16,8 +16,8 @@
 	done   bool
 }
 
-// Feed takes bytes as they come. It returns done once the line is complete or can be no command; err then says what is wrong
-// with it. Later bytes are ignored.
+// Feed takes bytes as they come. It returns done once the line is complete or too long; err then says why the line is
+// not a valid command, if it is not. Later bytes are ignored.
 func (p *Parser) Feed(b []byte) (c Command, done bool, err error) {
 	if p.done {
 		return Command{}, true, errAlreadyRead
@@ -40,8 +40,8 @@
 	return c, true, err
 }
 
-// Finish ends a line whose connection ended or waited too long: without a line feed it is no command, and ErrIncomplete is
-// returned. It is nil where the line was complete.
+// Finish must be called when the connection has ended or timed out. It returns ErrIncomplete if Feed has not returned
+// done, as a line without a line feed is not a command, else nil.
 func (p *Parser) Finish() error {
 	if p.done {
 		return nil
--- a/internal/protocol/engine/calls.go
+++ b/internal/protocol/engine/calls.go
@@ -6,7 +6,7 @@
 	"aniseloft/internal/protocol/httpmsg"
 )
 
-// EncodeCancel returns the request that withdraws a query.
+// EncodeCancel returns the request that cancels a query.
 func EncodeCancel(host, callID string) []byte {
 	return httpmsg.AppendRequest(nil, "DELETE", "/data/"+callID, host, nil, nil)
 }
@@ -21,7 +21,7 @@
 	return httpmsg.AppendRequest(nil, "GET", "/-/gauges", host, nil, nil)
 }
 
-// ResponseParser reads the response to one such request.
+// ResponseParser parses the response to one cancel, priority or probe request.
 type ResponseParser struct{ parser *httpmsg.Parser }
 
 // NewResponseParser returns a parser of one response.
@@ -29,7 +29,7 @@
 	return &ResponseParser{httpmsg.NewResponseParser(maxBodyBytes)}
 }
 
-// Feed takes bytes. The status is 0 until the response is complete; loadReport is read by ParseLoadReport.
+// Feed takes bytes. The status is 0 until the response is complete; loadReport can be parsed by ParseLoadReport.
 func (p *ResponseParser) Feed(b []byte) (status int, loadReport string, keepConnection bool, err error) {
 	p.parser.Feed(b)
 	m, err := p.parser.Next()
--- a/internal/protocol/engine/golden_test.go
+++ b/internal/protocol/engine/golden_test.go
@@ -9,23 +9,23 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/calls.golden was written at d9ce9f6: go test ./internal/protocol/engine -update
-func TestCallsAreWrittenAsRecorded(t *testing.T) {
+// testdata/calls.golden was written at commit d9ce9f6 by go test ./internal/protocol/engine -update
+func TestRequestsMatchGolden(t *testing.T) {
 	const host = "127.0.0.1:9001"
-	all := NewQuery(host, StartRequest{CallID: "9b1f03aa5c7e2d41", Class: "timetable-load", Statement: []byte("insert into sales_17.trips"),
+	allFields := NewQuery(host, StartRequest{CallID: "9b1f03aa5c7e2d41", Class: "timetable-load", Statement: []byte("insert into sales_17.trips"),
 		TimeoutMS: 1500, GrantMB: 64, Priority: 2, IdempotencyKey: "once-17"})
-	few := NewQuery(host, StartRequest{CallID: "9b1f03aa5c7e2d42", Class: "trip-lookup", Statement: []byte("select 1"), TimeoutMS: 900, Priority: -1})
-	golden.Equal(t, "testdata/calls.golden", slices.Concat(all.EncodeStart(), few.EncodeStart(), all.EncodeResume(), EncodeCancel(host, "9b1f03aa5c7e2d41"),
+	fewFields := NewQuery(host, StartRequest{CallID: "9b1f03aa5c7e2d42", Class: "trip-lookup", Statement: []byte("select 1"), TimeoutMS: 900, Priority: -1})
+	golden.Equal(t, "testdata/calls.golden", slices.Concat(allFields.EncodeStart(), fewFields.EncodeStart(), allFields.EncodeResume(), EncodeCancel(host, "9b1f03aa5c7e2d41"),
 		EncodePriority(host, "9b1f03aa5c7e2d41", 3), EncodeProbe(host)))
 }
 
-func TestRecordedAnswersAreReadWhole(t *testing.T) {
+func TestFeedParsesRecordedResponses(t *testing.T) {
 	start := func() *Query {
 		return NewQuery("127.0.0.1:9001", StartRequest{CallID: "9b1f03aa5c7e2d41", Class: "trip-lookup", Statement: []byte("select 1"), TimeoutMS: 900})
 	}
 	q := start()
-	for answer, want := range map[string]*Progress{"so_far\r\nX-Num: 0.5": {ProgressRatio, 0.5}, "lacking\r\nX-Num: 120": {ProgressSpilled, 120}, "waiting\r\nX-Num: 2": {ProgressWaiting, 2}} {
-		step, err := q.Feed([]byte("HTTP/1.1 202 Accepted\r\nOutcome: " + answer + "\r\nContent-Length: 0\r\n\r\n"))
+	for headers, want := range map[string]*Progress{"so_far\r\nX-Num: 0.5": {ProgressRatio, 0.5}, "lacking\r\nX-Num: 120": {ProgressSpilled, 120}, "waiting\r\nX-Num: 2": {ProgressWaiting, 2}} {
+		step, err := q.Feed([]byte("HTTP/1.1 202 Accepted\r\nOutcome: " + headers + "\r\nContent-Length: 0\r\n\r\n"))
 		require.NoError(t, err)
 		require.Equal(t, want, step.Progress)
 	}
--- a/internal/protocol/engine/headers.go
+++ b/internal/protocol/engine/headers.go
@@ -1,6 +1,6 @@
 package engine
 
-// Headers of the protocol, under the names that the platform gives them.
+// Header names of the platform's protocol.
 const (
 	headerCallID         = "Request-Id"
 	headerClass          = "Kind"
--- a/internal/protocol/engine/loadreport.go
+++ b/internal/protocol/engine/loadreport.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxLoadValue is more than any engine holds or distributes; a larger value is no report of load.
+	// maxLoadValue exceeds any load that an engine can have or share out; a larger value is invalid.
 	maxLoadValue = 1e6
-	// maxLoadFields bounds the fields of a report; what follows the last separator counts as one.
+	// maxLoadFields bounds the fields of a report; the rest of a longer report counts as the last field.
 	maxLoadFields = 16
 )
 
-// ParseLoadReport reads a report such as "inflight:7;util:0.61" by field. A field that is unreadable, below 0, above any
-// engine's load or repeated is left out and makes the report invalid; the others can be used.
+// ParseLoadReport parses a report such as "inflight:7;util:0.61" into values by field. A field that is malformed, below
+// 0, above maxLoadValue or repeated is left out and makes the report invalid; the others can be used.
 func ParseLoadReport(text string) (values map[string]float64, invalid bool) {
 	values = map[string]float64{}
 	repeated := map[string]bool{}
--- a/internal/protocol/engine/loadreport_test.go
+++ b/internal/protocol/engine/loadreport_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLoadReportKeepsUsableFields(t *testing.T) {
+func TestParseLoadReportKeepsValidFields(t *testing.T) {
 	for text, want := range map[string]struct {
 		values  map[string]float64
 		invalid bool
--- a/internal/protocol/engine/progress.go
+++ b/internal/protocol/engine/progress.go
@@ -7,29 +7,30 @@
 	"aniseloft/internal/protocol/httpmsg"
 )
 
-// Progress is what an engine reports of a query that is running.
+// Progress is an engine's report on a running query.
 type Progress struct {
 	Kind  ProgressKind
-	Value float64 // its unit hangs on Kind
+	Value float64 // the unit depends on Kind
 }
 
-// ProgressKind is what a Progress reports.
+// ProgressKind is the quantity that a Progress reports.
 type ProgressKind int
 
 // Kinds of progress.
 const (
-	ProgressRatio   ProgressKind = iota + 1 // the part done, from 0 to 1
-	ProgressSpilled                         // memory that is missing, in MB
-	ProgressWaiting                         // 1: for memory, 2: for a load
+	ProgressRatio   ProgressKind = iota + 1 // fraction that is done, from 0 to 1
+	ProgressSpilled                         // missing memory in MB
+	ProgressWaiting                         // what the query waits for; 1: memory, 2: a load
 )
 
-// progressKinds maps the protocol's names.
+// progressKinds maps the protocol's names to kinds.
 var progressKinds = map[string]ProgressKind{"so_far": ProgressRatio, "lacking": ProgressSpilled, "waiting": ProgressWaiting}
 
-// maxProgressValue is more than any engine lacks, in MB.
+// maxProgressValue exceeds the memory in MB that any engine can lack.
 const maxProgressValue = 1e9
 
-// parseProgress reads the progress that a response may carry. Invalid: it carries one that cannot be used.
+// parseProgress parses the optional progress of a response. invalid is true if the response has one that cannot be
+// used.
 func parseProgress(m *httpmsg.Message) (p *Progress, invalid bool) {
 	name := strings.TrimSpace(m.Header.Get(headerProgressKind))
 	if name == "" {
--- a/internal/protocol/engine/progress_test.go
+++ b/internal/protocol/engine/progress_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestProgressOfARunningQueryIsRead(t *testing.T) {
+func TestFeedParsesProgress(t *testing.T) {
 	for head, want := range map[string]*Progress{
 		"Outcome: so_far\r\nX-Num: 0.25\r\n":   {ProgressRatio, 0.25},
 		"Outcome: lacking\r\nX-Num: 640\r\n":   {ProgressSpilled, 640},
@@ -26,6 +26,6 @@
 		require.NoError(t, err)
 		require.Equal(t, want, step.Progress, head)
 		require.Equal(t, want == nil && head != "", step.InvalidProgress, head)
-		require.NotEmpty(t, step.Send, "the query goes on, whatever its progress")
+		require.NotEmpty(t, step.Send, "the query must continue whatever its progress")
 	}
 }
--- a/internal/protocol/engine/query.go
+++ b/internal/protocol/engine/query.go
@@ -1,5 +1,5 @@
-// Package engine speaks the platform's protocol to engines: one query as a state machine that is fed bytes, and the
-// single calls beside it. It knows no socket.
+// Package engine implements the platform's protocol towards engines: Query is a state machine for one query, and other
+// functions encode the requests to cancel, reprioritize and probe. It does no I/O: parsers are fed bytes.
 package engine
 
 import (
@@ -19,15 +19,16 @@
 	MaxResultBytes = 48000
 	maxPageBytes   = 6000
 	maxPages       = 4096
-	maxBodyBytes   = 16 << 10 // of any response: a page, or a line of text
-	columns        = 3        // of a row
+	maxBodyBytes   = 16 << 10 // body of any response: a page, or a line of text
+	columns        = 3        // per row
 )
 
 // Errors of a query's connection.
 var (
-	// ErrCorruptResponse is returned for a response that does not answer the request. Nothing is known by it: EncodeResume asks again.
-	ErrCorruptResponse = errors.New("engine: spoilt answer")
-	errAfterEnd        = errors.New("engine: bytes after the end")
+	// ErrCorruptResponse is returned for a response that violates the protocol. It says nothing about the state of the
+	// query: EncodeResume repeats the request.
+	ErrCorruptResponse = errors.New("engine: corrupt response")
+	errAfterEnd        = errors.New("engine: data received after the end of the query")
 )
 
 // Outcome is how a query ended.
@@ -38,21 +39,21 @@
 	OutcomeSucceeded  Outcome = iota + 1
 	OutcomeFailed             // it may have run
 	OutcomeOverloaded         // it never ran
-	OutcomeExpired            // its time was up before it began: it never ran
+	OutcomeExpired            // its time was up before it started: it never ran
 	OutcomeAnswerLost         // it may have run: its connection was lost, and the engine does not know it
 )
 
-// StartRequest is what a query is started with.
+// StartRequest holds the parameters of a query to be started.
 type StartRequest struct {
 	CallID, Class  string
 	Statement      []byte
 	TimeoutMS      int64
-	GrantMB        int64  // 0: none is named
-	Priority       int    // -1: the engine's own choice
+	GrantMB        int64  // 0: not sent
+	Priority       int    // -1: not sent, the engine chooses it
 	IdempotencyKey string // empty: none
 }
 
-// Result is the end of a query with what came with it.
+// Result is the outcome of a query, with the data received for it.
 type Result struct {
 	Outcome        Outcome
 	Body           []byte
@@ -62,14 +63,14 @@
 	Reason         string
 }
 
-// Step is what the caller is to do after bytes from the engine.
+// Step tells the caller what to do after bytes from the engine.
 type Step struct {
 	Send               []byte    // to be written next on this connection
-	Result             *Result   // the end
-	KeepConnection     bool      // with the end: the connection can carry another call
+	Result             *Result   // set when the query has ended
+	KeepConnection     bool      // set with Result: the connection can carry another request
 	NeedsNewConnection bool      // EncodeResume continues on another connection
 	Progress           *Progress // of a query that is still running
-	InvalidProgress    bool      // the response carried a progress that cannot be used
+	InvalidProgress    bool      // the response had a progress that cannot be used
 }
 
 type state int
@@ -87,7 +88,7 @@
 	start        StartRequest
 	state        state
 	parser       *httpmsg.Parser
-	acknowledged bool // the engine has answered for it
+	acknowledged bool // the engine has responded that the query runs
 	pageCount    int
 	nextPage     int
 	result       Result
@@ -117,8 +118,8 @@
 	return httpmsg.AppendRequest(nil, "POST", "/data", q.host, fields, q.start.Statement)
 }
 
-// EncodeResume returns the request that repeats the last one on a new connection. No connection owns a query, and
-// asking for a page starts nothing.
+// EncodeResume returns the request that repeats the last one on a new connection. This is safe: a query is
+// not bound to a connection, and a request for a page starts nothing.
 func (q *Query) EncodeResume() []byte {
 	q.parser = httpmsg.NewResponseParser(maxBodyBytes)
 	if q.state == starting {
@@ -132,7 +133,8 @@
 	return httpmsg.AppendRequest(nil, "GET", target, q.host, nil, nil)
 }
 
-// Feed takes bytes from the engine. An empty step asks for more bytes. After an error EncodeResume can ask again.
+// Feed takes bytes from the engine. An empty step means that more bytes are needed. After an error EncodeResume can
+// repeat the request.
 func (q *Query) Feed(b []byte) (Step, error) {
 	if q.state == ended {
 		return Step{}, errAfterEnd
@@ -142,7 +144,7 @@
 	if err != nil || m == nil {
 		return Step{}, err
 	}
-	// Bytes behind a response, such as a second copy of it, would be taken for the next one.
+	// Bytes after a response, such as a second copy of it, would be parsed as the next one.
 	reusable := !m.Close && q.parser.Idle()
 	result, err := q.handleResponse(m, q.parser.Buffered())
 	if err != nil {
@@ -162,10 +164,11 @@
 	return step, nil
 }
 
-// handleResponse takes a complete response and the bytes behind it. The result is nil while there is more to ask for.
-func (q *Query) handleResponse(m *httpmsg.Message, behind []byte) (*Result, error) {
+// handleResponse handles a complete response and the bytes received after it. The result is nil while the query runs or
+// there are more pages to request.
+func (q *Query) handleResponse(m *httpmsg.Message, trailing []byte) (*Result, error) {
 	if q.state == paging {
-		return q.handlePage(m, behind)
+		return q.handlePage(m, trailing)
 	}
 	q.result.LoadReport = m.Header.Get(headerLoadReport)
 	neverRan := m.Header.Get(headerNeverRan) == "1"
@@ -174,47 +177,47 @@
 		q.state, q.acknowledged = running, true
 		return nil, nil
 	case m.Status == 200:
-		return q.handleFirstPage(m, behind)
+		return q.handleFirstPage(m, trailing)
 	case m.Status == 500 && q.state == running && !q.acknowledged:
-		return q.end(OutcomeAnswerLost, "not known after its connection was lost"), nil
+		return q.end(OutcomeAnswerLost, "unknown to the engine after the connection was lost"), nil
 	case m.Status == 500:
 		return q.end(OutcomeFailed, "status 500"), nil
 	case m.Status == 503 && neverRan:
-		return q.end(OutcomeOverloaded, "full"), nil
+		return q.end(OutcomeOverloaded, "engine overloaded"), nil
 	case m.Status == 504 && neverRan:
-		return q.end(OutcomeExpired, "over already"), nil
+		return q.end(OutcomeExpired, "time was up before the start"), nil
 	}
 	return nil, fmt.Errorf("%w: status %d", ErrCorruptResponse, m.Status)
 }
 
-func (q *Query) handleFirstPage(m *httpmsg.Message, behind []byte) (*Result, error) {
+func (q *Query) handleFirstPage(m *httpmsg.Message, trailing []byte) (*Result, error) {
 	pages, err := strconv.Atoi(strings.TrimSpace(m.Header.Get(headerPageCount)))
 	if err != nil || pages < 0 || pages > maxPages {
-		return nil, fmt.Errorf("%w: number of pages", ErrCorruptResponse)
+		return nil, fmt.Errorf("%w: invalid number of pages", ErrCorruptResponse)
 	}
 	q.result.ActualWorkMS = parseNumber(m, headerWorkMS)
 	q.result.ActualMemoryMB = parseNumber(m, headerMemoryMB)
 	q.pageCount = pages
-	return q.appendPage(m, behind)
+	return q.appendPage(m, trailing)
 }
 
-// handlePage checks that a page is the one asked for: a page out of place would make a result that no engine made.
-func (q *Query) handlePage(m *httpmsg.Message, behind []byte) (*Result, error) {
+// handlePage checks that a page is the requested one: a page out of order would produce a wrong result.
+func (q *Query) handlePage(m *httpmsg.Message, trailing []byte) (*Result, error) {
 	if m.Status == 500 {
 		return q.end(OutcomeFailed, fmt.Sprintf("page %d lost", q.nextPage)), nil
 	}
 	if m.Status != 200 || strings.TrimSpace(m.Header.Get(headerPageNumber)) != strconv.Itoa(q.nextPage) {
 		return nil, fmt.Errorf("%w: not page %d", ErrCorruptResponse, q.nextPage)
 	}
-	return q.appendPage(m, behind)
+	return q.appendPage(m, trailing)
 }
 
-func (q *Query) appendPage(m *httpmsg.Message, behind []byte) (*Result, error) {
+func (q *Query) appendPage(m *httpmsg.Message, trailing []byte) (*Result, error) {
 	if err := checkPage(m.Body); err != nil {
 		return nil, err
 	}
-	if firstRow, _, _ := bytes.Cut(behind, []byte("\n")); IsRow(firstRow) {
-		return nil, fmt.Errorf("%w: longer than its length", ErrCorruptResponse)
+	if firstRow, _, _ := bytes.Cut(trailing, []byte("\n")); IsRow(firstRow) {
+		return nil, fmt.Errorf("%w: body longer than its Content-Length", ErrCorruptResponse)
 	}
 	if len(q.result.Body)+len(m.Body) > MaxResultBytes {
 		return q.end(OutcomeFailed, "result too large"), nil
@@ -231,14 +234,15 @@
 	return q.end(OutcomeSucceeded, ""), nil
 }
 
-// checkPage checks that a page is complete rows: corrupt bytes that are passed on would make a result that no engine made.
+// checkPage checks that a page consists of complete rows: corrupt bytes that are passed on would produce a wrong
+// result.
 func checkPage(page []byte) error {
 	if len(page) > maxPageBytes || len(page) > 0 && page[len(page)-1] != '\n' || !isText(page) {
-		return fmt.Errorf("%w: no whole page", ErrCorruptResponse)
+		return fmt.Errorf("%w: incomplete page or not text", ErrCorruptResponse)
 	}
 	for row := range bytes.Lines(page) {
 		if bytes.Count(row, tab) != columns-1 {
-			return fmt.Errorf("%w: no row", ErrCorruptResponse)
+			return fmt.Errorf("%w: wrong number of columns", ErrCorruptResponse)
 		}
 	}
 	return nil
@@ -258,7 +262,8 @@
 	return &q.result
 }
 
-// parseNumber reads a header that must be finite and not below 0; anything else counts as not reported.
+// parseNumber parses a numeric header. It returns 0, which means not reported, unless the value is finite and at least
+// 0.
 func parseNumber(m *httpmsg.Message, name string) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(m.Header.Get(name)), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
--- a/internal/protocol/fleet/fleet.go
+++ b/internal/protocol/fleet/fleet.go
@@ -13,8 +13,8 @@
 //	    24     4  length of the payload
 //	    28     8  xxHash64 of the header before this field and of the payload
 //
-// A stream that breaks the protocol, or is of another installation or version, ends with an error: the connection is to
-// be closed.
+// A stream that violates the protocol, or is of another installation or version, results in an error, after which the
+// connection must be closed.
 package fleet
 
 import (
@@ -26,10 +26,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version of the frames that this release writes and reads.
+// Version is the version of the frames that this release writes and reads.
 const Version = 1
 
-// Kind is what a frame carries.
+// Kind is the type of message that a frame carries.
 type Kind byte
 
 // Kinds of frames. All but RaftMessage carry the JSON of the type of that name in internal/lease.
@@ -44,8 +44,8 @@
 	endOfKinds
 )
 
-// MaxPayload is the maximum size of a payload in bytes. It bounds the memory that a peer can claim, and fits a list of some
-// thousand engines.
+// MaxPayload is the maximum size of a payload in bytes. It bounds the memory that a peer can make this program
+// use, and is enough for a list of some thousand engines.
 const MaxPayload = 4 << 20
 
 // Header fields.
@@ -63,17 +63,17 @@
 // Errors of Decoder.Feed and Frame.Decode.
 var (
 	ErrNotAFrame         = errors.New("fleet: not a frame of this program")
-	ErrVersion           = errors.New("fleet: a frame of another version")
-	ErrOtherInstallation = errors.New("fleet: a frame of another installation")
+	ErrVersion           = errors.New("fleet: unsupported frame version")
+	ErrOtherInstallation = errors.New("fleet: frame of another installation")
 	ErrTooLarge          = errors.New("fleet: frame too large")
-	ErrChecksum          = errors.New("fleet: the checksum does not hold")
+	ErrChecksum          = errors.New("fleet: frame checksum mismatch")
 	ErrMalformed         = errors.New("fleet: malformed payload")
 )
 
 // Frame is one message between coordinators.
 type Frame struct {
 	Kind    Kind
-	GroupID uint64 // consensus group, of a RaftMessage
+	GroupID uint64 // consensus group of a RaftMessage; otherwise 0
 	Payload []byte
 }
 
@@ -116,7 +116,7 @@
 // Decoder splits a stream of bytes into the frames of one installation. It is not safe for concurrent use.
 type Decoder struct {
 	installation uint64
-	buf          []byte // received bytes that are no whole frame yet
+	buf          []byte // received bytes that do not form a complete frame yet
 	err          error  // the first error; it is final
 }
 
@@ -174,13 +174,13 @@
 	return f, size, nil
 }
 
-// checkHeader checks what does not depend on the payload, so that a foreign stream is rejected early.
+// checkHeader checks the fields that do not depend on the payload, so that a foreign stream is rejected early.
 func (d *Decoder) checkHeader(header []byte) error {
 	switch {
 	case string(header[:len(magic)]) != magic:
 		return ErrNotAFrame
 	case header[offsetVersion] != Version:
-		return fmt.Errorf("%w: %d, %d is spoken here", ErrVersion, header[offsetVersion], Version)
+		return fmt.Errorf("%w: %d, this release supports %d", ErrVersion, header[offsetVersion], Version)
 	case binary.LittleEndian.Uint64(header[offsetInstallation:]) != d.installation:
 		return ErrOtherInstallation
 	case payloadLength(header) > MaxPayload:
--- a/internal/protocol/fleet/fleet_test.go
+++ b/internal/protocol/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 		var stream []byte
 		var want []Frame
 		for range rapid.IntRange(0, 5).Draw(t, "frames") {
-			f := Frame{Kind: Kind(rapid.IntRange(1, int(endOfKinds)-1).Draw(t, "kind")), GroupID: rapid.Uint64().Draw(t, "council"),
+			f := Frame{Kind: Kind(rapid.IntRange(1, int(endOfKinds)-1).Draw(t, "kind")), GroupID: rapid.Uint64().Draw(t, "group"),
 				Payload: rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "payload")}
 			stream, want = Append(stream, 7, f), append(want, f)
 		}
@@ -38,7 +38,7 @@
 	})
 }
 
-// A stream that is foreign or damaged ends with a typed error, and no later frame is decoded.
+// A foreign or corrupted stream must result in a typed error, and no later frame may be decoded.
 func TestFeedRejectsForeignStreams(t *testing.T) {
 	valid := AppendJSON(nil, 7, KeepAliveRequest, map[string]int{"a": 1})
 	withBitFlipped := func(offset int) []byte {
@@ -56,9 +56,9 @@
 		"another version":      {withBitFlipped(offsetVersion), ErrVersion},
 		"another installation": {AppendJSON(nil, 8, KeepAliveRequest, 1), ErrOtherInstallation},
 		"too large":            {tooLarge, ErrTooLarge},
-		"spoilt payload":       {withBitFlipped(len(valid) - 1), ErrChecksum},
-		"spoilt kind":          {withBitFlipped(offsetKind), ErrChecksum},
-		"spoilt council":       {withBitFlipped(offsetGroup + 1), ErrChecksum},
+		"corrupted payload":    {withBitFlipped(len(valid) - 1), ErrChecksum},
+		"corrupted kind":       {withBitFlipped(offsetKind), ErrChecksum},
+		"corrupted group ID":   {withBitFlipped(offsetGroup + 1), ErrChecksum},
 	} {
 		d := NewDecoder(7)
 		frames, err := d.Feed(append(c.raw, valid...))
--- a/internal/protocol/fleet/wire_test.go
+++ b/internal/protocol/fleet/wire_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testdata/frames.hex was written by the release before the first rename of this package, with
+// testdata/frames.hex was written by the release before this package was first renamed, with
 //
-//	go test ./internal/protocol/fleet -run TestFramesKeepTheirBytes -update
-var update = flag.Bool("update", false, "write the fixtures anew")
+//	go test ./internal/protocol/fleet -run TestFrameBytesUnchanged -update
+var update = flag.Bool("update", false, "rewrite the fixtures")
 
 const framesFile = "testdata/frames.hex"
 
-func TestFramesKeepTheirBytes(t *testing.T) {
+func TestFrameBytesUnchanged(t *testing.T) {
 	installation := Installation("harbour-east")
 	var frames []Frame
 	for _, kind := range []Kind{Announcement, RaftMessage, KeepAliveRequest, KeepAliveResponse, AdminRequest, AdminResponse, Publication} {
@@ -31,11 +31,11 @@
 	if *update {
 		require.NoError(t, os.WriteFile(framesFile, []byte(lines.String()), 0o644))
 	}
-	kept, err := os.ReadFile(framesFile)
+	want, err := os.ReadFile(framesFile)
 	require.NoError(t, err)
-	require.Equal(t, string(kept), lines.String())
+	require.Equal(t, string(want), lines.String())
 	var stream []byte
-	for line := range strings.Lines(string(kept)) {
+	for line := range strings.Lines(string(want)) {
 		raw, err := hex.DecodeString(strings.TrimSpace(line))
 		require.NoError(t, err)
 		stream = append(stream, raw...)
--- a/internal/protocol/httpmsg/head.go
+++ b/internal/protocol/httpmsg/head.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// headReaders are reused, as a new buffer for each message would be garbage on the request path.
+// headReaders holds readers for reuse, to avoid the allocation of a buffer for each message on the request path.
 var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 1024) }}
 
 // readHead parses the first line and the headers once they are complete.
@@ -32,14 +32,14 @@
 	return p.chooseFraming()
 }
 
-// skipBlankLines drops line ends before a message: some senders put one behind a body.
+// skipBlankLines drops line ends before a message: some senders add one after a body.
 func (p *Parser) skipBlankLines() {
 	for len(p.buffer) > 0 && (p.buffer[0] == '\r' || p.buffer[0] == '\n') {
 		p.buffer = p.buffer[1:]
 	}
 }
 
-// headSize returns the size of the head with its blank line in bytes, 0 while that has not come.
+// headSize returns the size in bytes of the head with its blank line, or 0 while the blank line has not been received.
 func (p *Parser) headSize() (int, error) {
 	end, size := bytes.Index(p.buffer, []byte("\r\n\r\n")), 0
 	if end >= 0 {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// chooseFraming finds out how the body ends. Two lengths, or a length beside chunks, are rejected: parties that
-// read them differently would disagree on where the next message begins.
+// chooseFraming determines how the body ends. Two lengths, or a length together with a chunked encoding, are rejected:
+// parties that interpret them differently would disagree on where the next message begins.
 func (p *Parser) chooseFraming() (m *Message, needsBytes bool, err error) {
 	if p.responses && p.message.Status < 200 {
 		return nil, false, p.skipInterim()
@@ -116,13 +116,14 @@
 		p.phase, p.remaining = readingBody, int(length)
 	case !p.responses || p.message.Status == 204 || p.message.Status == 304:
 		return p.finishMessage(), false, nil
-	default: // it would end with the connection: a complete body could not be told from one that was cut off
+	default: // the body would end with the connection, so that a truncated body could not be detected
 		return nil, false, fmt.Errorf("%w: no length", ErrMalformed)
 	}
 	return nil, false, nil
 }
 
-// skipInterim drops a 1xx head: the response is still to come. This program asks for no other protocol, so 101 is malformed.
+// skipInterim drops a 1xx head, which precedes the response. This program never requests a switch of protocols, so 101
+// is malformed.
 func (p *Parser) skipInterim() error {
 	p.interimCount++
 	if p.message.Status == 101 || p.interimCount > maxInterimResponses {
--- a/internal/protocol/httpmsg/message.go
+++ b/internal/protocol/httpmsg/message.go
@@ -1,4 +1,5 @@
-// Package httpmsg frames HTTP/1.1 messages. It is fed bytes and knows no socket; every line, header and body is bounded.
+// Package httpmsg parses and encodes HTTP/1.1 messages. It does no I/O: the parser is fed bytes. The size of every
+// line, header and body is bounded.
 package httpmsg
 
 import (
@@ -14,13 +15,13 @@
 	Status int    // responses only
 	Header textproto.MIMEHeader
 	Body   []byte
-	Close  bool // the sender closes the connection after it
+	Close  bool // the sender closes the connection after the message
 }
 
 // HeaderField is one header of a message to be written.
 type HeaderField struct{ Name, Value string }
 
-// AppendRequest appends a request to b. A POST or PUT carries a length also where it has no body.
+// AppendRequest appends a request to b. A POST or PUT has a Content-Length even without a body.
 func AppendRequest(b []byte, method, target, host string, fields []HeaderField, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/protocol/httpmsg/parser.go
+++ b/internal/protocol/httpmsg/parser.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Bounds on what a peer can make this program hold.
+// Bounds on the data of one message that a peer can make this program buffer.
 const (
 	MaxHeadBytes = 16 << 10
 	MaxBodyBytes = 1 << 20
@@ -16,7 +16,7 @@
 	maxInterimResponses = 8 // 1xx heads before one response
 )
 
-// Errors of framing. After any of them the connection is of no more use.
+// Errors of framing. After any of them the connection cannot be used any more.
 var (
 	ErrTooLarge  = errors.New("http: message too large")
 	ErrMalformed = errors.New("http: malformed message")
@@ -33,16 +33,16 @@
 	broken
 )
 
-// Parser cuts a stream of bytes into messages. It is not safe for concurrent use.
+// Parser splits a stream of bytes into messages. It is not safe for concurrent use.
 type Parser struct {
-	responses    bool // else requests
+	responses    bool // false: requests
 	maxBodyBytes int
 	phase        phase
 	buffer       []byte
-	message      *Message // the one being read
+	message      *Message // the message being read
 	remaining    int      // bytes of its body or chunk
-	interimCount int      // 1xx heads before the response to come
-	err          error    // of the phase broken
+	interimCount int      // 1xx heads before the next response
+	err          error    // why phase is broken
 }
 
 // NewResponseParser returns a parser of responses with bodies of at most maxBodyBytes.
@@ -56,10 +56,10 @@
 // Feed takes bytes as they come; Next returns the messages that they complete.
 func (p *Parser) Feed(b []byte) { p.buffer = append(p.buffer, b...) }
 
-// Idle reports whether no byte of a next message has come.
+// Idle reports whether no byte of the next message has been received.
 func (p *Parser) Idle() bool { return p.phase == readingHead && len(p.buffer) == 0 }
 
-// Buffered returns the bytes behind the last message that Next returned.
+// Buffered returns the received bytes after the last message that Next returned.
 func (p *Parser) Buffered() []byte { return p.buffer }
 
 // Next returns the next complete message, or nil while more bytes are needed. Errors are ErrTooLarge and ErrMalformed,
@@ -99,7 +99,7 @@
 	if len(p.buffer) < p.remaining {
 		return nil, true, nil
 	}
-	p.message.Body = p.buffer[:p.remaining:p.remaining] // its capacity ends here: later bytes must not be appended into it
+	p.message.Body = p.buffer[:p.remaining:p.remaining] // capped: an append to the body must not overwrite later bytes
 	p.buffer = p.buffer[p.remaining:]
 	return p.finishMessage(), false, nil
 }
@@ -145,7 +145,7 @@
 	return nil, false, nil
 }
 
-// nextLine takes one line of the chunked form; ok is false while it has no end.
+// nextLine consumes one line of the chunked encoding; ok is false while the line is incomplete.
 func (p *Parser) nextLine() (line string, ok bool, err error) {
 	end := bytes.IndexByte(p.buffer, '\n')
 	if end < 0 {
--- a/internal/protocol/httpmsg/parser_test.go
+++ b/internal/protocol/httpmsg/parser_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestResponsesAreCompleteInAnyPieces(t *testing.T) {
+func TestNextReassemblesResponsesFromAnyChunks(t *testing.T) {
 	const stream = "HTTP/1.1 100 Continue\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n6\r\n world\r\n0\r\nTrailer: x\r\n\r\n" +
 		"HTTP/1.1 200 OK\nContent-Length: 3\nConnection: close\n\nabc" +
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAmbiguousAndOversizedMessagesAreErrors(t *testing.T) {
+func TestNextRejectsAmbiguousAndOversizedMessages(t *testing.T) {
 	for stream, want := range map[string]error{
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n":          ErrMalformed,
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n": ErrMalformed,
@@ -52,6 +52,6 @@
 		require.ErrorIs(t, err, want, stream)
 		p.Feed([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 		_, again := p.Next()
-		require.Equal(t, err, again, "the connection is of no more use")
+		require.Equal(t, err, again, "the error must be final")
 	}
 }
--- a/internal/protocol/journal/journal.go
+++ b/internal/protocol/journal/journal.go
@@ -1,7 +1,7 @@
-// Package journal speaks the journal service's protocol, by which engines are discovered: numbered events that change the
-// list of endpoints, fetched by long polls. It is fed bytes and knows no socket.
+// Package journal implements the protocol of the journal service, which is used to discover engines: numbered events
+// that change the list of endpoints, fetched by long polls. It does no I/O: the parser is fed bytes.
 //
-// The service's field names stand only here, in the tags.
+// The service's field names appear only here, in the struct tags.
 package journal
 
 import (
@@ -27,12 +27,12 @@
 	Kind        string  `json:"kind"`
 	Cell        int     `json:"cell"`
 	State       string  `json:"state"`
-	StartedAtMS float64 `json:"started_ms"` // Unix; 0: long ago
+	StartedAtMS float64 `json:"started_ms"` // Unix time; 0: long ago
 }
 
-// Update changes the list.
+// Update is a change of the endpoint list.
 type Update struct {
-	Snapshot  bool       `json:"full"` // Endpoints are the whole list; else those that changed
+	Snapshot  bool       `json:"full"` // Endpoints is the complete list; otherwise those that changed
 	Endpoints []Endpoint `json:"servers"`
 }
 
@@ -42,13 +42,13 @@
 	Update   Update `json:"hosts"`
 }
 
-// Batch is what one poll returns, and the list in the configuration.
+// Batch is the response to one poll. The endpoint list in the configuration has the same form.
 type Batch struct {
-	Position int64   `json:"pos"` // of the last event
+	Position int64   `json:"pos"` // position of the last event
 	Events   []Event `json:"entries"`
 }
 
-// ParseBatch reads a batch.
+// ParseBatch parses a batch.
 func ParseBatch(b []byte) (Batch, error) {
 	var batch Batch
 	if err := codec.Unmarshal(b, &batch); err != nil {
@@ -66,7 +66,7 @@
 // ErrUnexpectedStatus is returned for a response other than 200.
 var ErrUnexpectedStatus = errors.New("journal: unexpected status")
 
-// PollParser reads the responses to long polls on one connection.
+// PollParser parses the responses to long polls on one connection.
 type PollParser struct{ parser *httpmsg.Parser }
 
 // NewPollParser returns a parser for a new connection.
@@ -74,7 +74,8 @@
 	return &PollParser{httpmsg.NewResponseParser(maxBatchBytes)}
 }
 
-// Feed takes bytes. The batch is nil until a response is complete; keepConnection says that the connection can carry another poll.
+// Feed takes bytes. The batch is nil until a response is complete; keepConnection says that the connection can carry
+// another poll.
 func (p *PollParser) Feed(b []byte) (batch *Batch, keepConnection bool, err error) {
 	p.parser.Feed(b)
 	m, err := p.parser.Next()
@@ -88,6 +89,6 @@
 	if err != nil {
 		return nil, false, err
 	}
-	// Bytes behind a response would be taken for the next one.
+	// Bytes after a response would be parsed as the start of the next one.
 	return &parsed, !m.Close && p.parser.Idle(), nil
 }
--- a/internal/protocol/jsonrpc/golden_test.go
+++ b/internal/protocol/jsonrpc/golden_test.go
@@ -10,9 +10,9 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/messages.jsonl is what clients send. testdata/answers.golden was written at d9ce9f6:
+// testdata/messages.jsonl holds messages of clients. testdata/answers.golden was written at commit d9ce9f6 by
 // go test ./internal/protocol/jsonrpc -update
-func TestRecordedMessagesAreReadWhole(t *testing.T) {
+func TestParseRecordedMessages(t *testing.T) {
 	raw, err := os.ReadFile("testdata/messages.jsonl")
 	require.NoError(t, err)
 	got, err := (&Parser{}).Feed(raw)
@@ -25,13 +25,13 @@
 		HealthCheck{ID: "9"},
 	}, got[:4])
 	var refusals []byte
-	for _, one := range got[4:] {
-		refusals = append(refusals, one.(Invalid).Response...)
+	for _, message := range got[4:] {
+		refusals = append(refusals, message.(Invalid).Response...)
 	}
 	golden.Equal(t, "testdata/refusals.golden", refusals)
 }
 
-func TestAnswersAreWrittenAsRecorded(t *testing.T) {
+func TestResponsesMatchGolden(t *testing.T) {
 	golden.Equal(t, "testdata/answers.golden", slices.Concat(
 		EncodeResult("7", []byte("1\tvienna\t17.5\n")),
 		EncodeResult("8", nil),
--- a/internal/protocol/jsonrpc/message.go
+++ b/internal/protocol/jsonrpc/message.go
@@ -12,11 +12,11 @@
 
 var codec = jsoniter.Config{CaseSensitive: true, EscapeHTML: false}.Froze()
 
-// Message is what a client sent: a Request, Cancel, HealthCheck or Invalid.
+// Message is a message from a client: a Request, Cancel, HealthCheck or Invalid.
 type Message interface{ message() }
 
 type (
-	// Request is a query. ID is as the client wrote it.
+	// Request is a query. ID is the JSON text that the client sent.
 	Request struct {
 		ID                string
 		Method            string
@@ -25,14 +25,15 @@
 		EstimatedWorkMS   float64 // on one core
 		EstimatedMemoryMB float64
 		IdempotencyKey    string // the same for all attempts of one request; empty: none
-		IsRetry           bool   // the client marks it as a further attempt
+		IsRetry           bool   // the client has marked it as a retry
 		Statement         []byte
 	}
-	// Cancel withdraws the open request of that id.
+	// Cancel cancels the open request with the ID.
 	Cancel struct{ ID string }
-	// HealthCheck asks whether requests are welcome.
+	// HealthCheck asks whether the coordinator accepts requests.
 	HealthCheck struct{ ID string }
-	// Invalid is a message that cannot be accepted. ID is "null" where it has none; Response is the line that it gets.
+	// Invalid is a message that cannot be accepted. ID is "null" if it has no usable one; Response is the response
+	// line.
 	Invalid struct {
 		ID       string
 		Response []byte
@@ -44,10 +45,10 @@
 func (HealthCheck) message() {}
 func (Invalid) message()     {}
 
-// noID is the id of a response to a message without a usable one.
+// noID is the ID in the response to a message without a usable ID.
 const noID = "null"
 
-// Methods that are no class of queries.
+// Methods that are not the name of a class of requests.
 const (
 	methodCancel      = "cancelRequest"
 	methodHealthCheck = "alive"
@@ -60,7 +61,7 @@
 	Params  jsoniter.RawMessage `json:"params"`
 }
 
-// params are the protocol's fields of a request. Pointers tell an absent field from 0.
+// params holds the protocol's fields of a request. Pointers distinguish an absent field from 0.
 type params struct {
 	CallID            string              `json:"call"`
 	TimeoutMS         *float64            `json:"ttl"`
@@ -71,7 +72,7 @@
 	IsRetry           jsoniter.RawMessage `json:"rep"`
 }
 
-// invalidError says why a message cannot be accepted, in the protocol's codes.
+// invalidError says why a message cannot be accepted, with the error code of the protocol.
 type invalidError struct {
 	code int
 	text string
@@ -82,7 +83,7 @@
 func invalidRequest(text string) error { return invalidError{CodeInvalidRequest, text} }
 func invalidParams(text string) error  { return invalidError{CodeInvalidParams, text} }
 
-// parseMessage reads one line; what cannot be accepted comes back as an Invalid with its response.
+// parseMessage parses one line. For a line that cannot be accepted it returns an Invalid with its response.
 func parseMessage(line []byte) Message {
 	var e envelope
 	if err := codec.Unmarshal(line, &e); err != nil {
@@ -105,7 +106,8 @@
 	return Invalid{id, EncodeError(id, reason.code, reason.text)}
 }
 
-// syntaxError tells broken JSON from JSON that is no message: json-iterator takes a bare number for broken.
+// syntaxError distinguishes malformed JSON from valid JSON that is not a message: json-iterator reports a bare number
+// as malformed.
 func syntaxError(line []byte) error {
 	if json.Valid(line) {
 		return invalidRequest("invalid request")
@@ -127,7 +129,8 @@
 	return e.decodeRequest(id)
 }
 
-// decodeCancel takes the id of the request in question from the params: a cancellation is a notification, with no id of its own.
+// decodeCancel decodes the ID of the request to cancel from the params: a cancellation is a notification and has no ID
+// of its own.
 func (e *envelope) decodeCancel() (Message, error) {
 	var p struct {
 		ID jsoniter.RawMessage `json:"id"`
@@ -170,10 +173,10 @@
 	}, nil
 }
 
-// maxKeyBytes bounds an idempotency key, which goes to engines in a header; the platform's have 32 digits.
+// maxKeyBytes bounds an idempotency key, which is sent to engines in a header. The platform's keys have 32 digits.
 const maxKeyBytes = 64
 
-// parseIdempotencyKey reads the key, if there is one: visible ASCII, as a header carries it unchanged.
+// parseIdempotencyKey parses the optional key. It must be visible ASCII, which a header carries unchanged.
 func parseIdempotencyKey(raw []byte) (key string, ok bool) {
 	if len(raw) == 0 {
 		return "", true
@@ -189,7 +192,8 @@
 	return key, true
 }
 
-// parseRetryMark reads the mark of a client's retry, if there is one. The protocol does not say whether 1 is a string or a number.
+// parseRetryMark parses the optional mark of a retry. The protocol does not specify whether 1 is a string or a number,
+// so both are accepted.
 func parseRetryMark(raw []byte) (marked, ok bool) {
 	switch string(raw) {
 	case `"1"`, "1":
@@ -200,13 +204,13 @@
 	return false, false
 }
 
-// validCallID accepts 16 hex digits: the id goes to engines in a header, unchanged.
+// validCallID reports whether id has 16 hex digits. It is sent to engines in a header, unchanged.
 func validCallID(id string) bool {
 	_, err := hex.DecodeString(id)
 	return err == nil && len(id) == 16
 }
 
-// validID accepts whole numbers from 1 upward.
+// validID reports whether raw is an integer of at least 1.
 func validID(raw []byte) bool {
 	n, err := strconv.ParseInt(string(raw), 10, 64)
 	return err == nil && n > 0 && raw[0] != '+'
--- a/internal/protocol/jsonrpc/parser.go
+++ b/internal/protocol/jsonrpc/parser.go
@@ -1,7 +1,7 @@
-// Package jsonrpc is the platform's client protocol: JSON-RPC 2.0, one message a line.
+// Package jsonrpc implements the platform's client protocol: JSON-RPC 2.0 with one message per line.
 //
-// It is fed bytes and knows no socket. The protocol's field names stand only here, in the tags of params; all other
-// code uses the names of Request.
+// It does no I/O: the parser is fed bytes. The protocol's field names appear only here, in the tags of params; all
+// other code uses the names of Request.
 package jsonrpc
 
 import (
@@ -12,19 +12,20 @@
 // MaxLineBytes bounds one message without its line feed.
 const MaxLineBytes = 256 << 10
 
-// ErrLineTooLong is returned for a message of more than MaxLineBytes. The connection is of no more use.
+// ErrLineTooLong is returned for a message of more than MaxLineBytes. The connection cannot be used any more.
 var ErrLineTooLong = errors.New("jsonrpc: line too long")
 
-// Parser cuts the bytes of one connection into messages. It is not safe for concurrent use.
+// Parser splits the bytes of one connection into messages. It is not safe for concurrent use.
 type Parser struct {
 	buffer  []byte // an unfinished line
-	scanned int    // bytes of buffer that hold no line feed
+	scanned int    // length of the start of buffer that is known to hold no line feed
 }
 
 // Buffered returns the size of the unfinished message in bytes.
 func (p *Parser) Buffered() int { return len(p.buffer) }
 
-// Feed takes bytes and returns the messages that they complete. Beside ErrLineTooLong it returns those before the long line.
+// Feed takes bytes and returns the messages that they complete. With ErrLineTooLong it returns the messages
+// before the long line.
 func (p *Parser) Feed(b []byte) ([]Message, error) {
 	p.buffer = append(p.buffer, b...)
 	var messages []Message
@@ -48,12 +49,13 @@
 	if len(rest) > MaxLineBytes {
 		return messages, ErrLineTooLong
 	}
-	p.keep(rest)
+	p.storeUnfinished(rest)
 	return messages, nil
 }
 
-// keep copies an unfinished line only where lines before it have been read: a long line is not copied with each read.
-func (p *Parser) keep(rest []byte) {
+// storeUnfinished stores the unfinished line. It copies the line only if complete lines before it were consumed, so
+// that a long line is not copied at each read.
+func (p *Parser) storeUnfinished(rest []byte) {
 	switch {
 	case len(rest) == 0:
 		p.buffer = nil
--- a/internal/protocol/rest/golden_test.go
+++ b/internal/protocol/rest/golden_test.go
@@ -12,8 +12,9 @@
 	"aniseloft/internal/protocol/httpmsg"
 )
 
-// testdata/requests.http is what clients send. The golden files were written at d9ce9f6: go test ./internal/protocol/rest -update
-func TestRecordedRequestsAreReadWhole(t *testing.T) {
+// testdata/requests.http holds requests of clients. The golden files were written at commit d9ce9f6 by
+// go test ./internal/protocol/rest -update
+func TestParseRecordedRequests(t *testing.T) {
 	raw, err := os.ReadFile("testdata/requests.http")
 	require.NoError(t, err)
 	got, err := NewRequestParser().Feed(raw)
@@ -26,13 +27,13 @@
 		InfoRequest{},
 	}, got[:4])
 	var refusals []byte
-	for _, one := range got[4:] {
-		refusals = append(refusals, one.(InvalidRequest).Response...)
+	for _, request := range got[4:] {
+		refusals = append(refusals, request.(InvalidRequest).Response...)
 	}
 	golden.Equal(t, "testdata/refusals.golden", refusals)
 }
 
-func TestAnswersAreWrittenAsRecorded(t *testing.T) {
+func TestResponsesMatchGolden(t *testing.T) {
 	const host = "127.0.0.1:8080"
 	pages := ParsePages([]byte("1\tvienna\t17.5\n2\tgraz\t3\n"), 16)
 	results := func(e *QueryError) QueryResults {
@@ -52,11 +53,11 @@
 	))
 }
 
-func TestCallsToEnginesAreWrittenAsRecorded(t *testing.T) {
+func TestUpstreamQueryMatchesGolden(t *testing.T) {
 	q := NewUpstreamQuery("127.0.0.1:9001", StartRequest{CallID: "9b1f03aa5c7e2d41", Class: "trip-lookup", User: "ana", Statement: []byte("select 1"),
 		IdempotencyKey: "once-17", Timeout: 1500 * time.Millisecond})
-	keyless := NewUpstreamQuery("127.0.0.1:9001", StartRequest{CallID: "9b1f03aa5c7e2d42", Class: "trip-lookup", User: "ana", Statement: []byte("select 1")})
-	out := slices.Concat(q.EncodeStart(), keyless.EncodeStart(), EncodeProbe("127.0.0.1:9001"))
+	withoutKey := NewUpstreamQuery("127.0.0.1:9001", StartRequest{CallID: "9b1f03aa5c7e2d42", Class: "trip-lookup", User: "ana", Statement: []byte("select 1")})
+	out := slices.Concat(q.EncodeStart(), withoutKey.EncodeStart(), EncodeProbe("127.0.0.1:9001"))
 	step, err := q.Feed(httpmsg.AppendResponse(nil, 200, "OK", nil, []byte(`{"id":"x","nextUri":"http://elsewhere/v1/statement/executing/x/s/1?a=b","data":[["1","vienna",17.5]],"stats":{"state":"RUNNING"}}`)))
 	require.NoError(t, err)
 	out = slices.Concat(out, step.Send, q.EncodeResume(), q.EncodeCancel())
--- a/internal/protocol/rest/page.go
+++ b/internal/protocol/rest/page.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// defaultColumns is the number of columns of a result without rows: that of the platform's results.
+// defaultColumns is the number of columns of a result without rows. All results of the platform have as many.
 const defaultColumns = 3
 
-// SplitPages cuts rows of text, as engines return them, into pages of at most size bytes, each with one row at least.
+// SplitPages splits rows of text, as engines return them, into pages of at most size bytes, each with at least one row.
 // A result without rows is one empty page.
 func SplitPages(body []byte, size int) [][]byte {
 	var pages [][]byte
--- a/internal/protocol/rest/request.go
+++ b/internal/protocol/rest/request.go
@@ -1,5 +1,5 @@
-// Package rest speaks the paged REST query protocol, after the public Trino client protocol: requests of clients and the
-// responses to them, and the same protocol towards engines. It is fed bytes and knows no socket.
+// Package rest implements the paged REST query protocol, which follows the public Trino client protocol: requests of
+// clients and the responses to them, and the same protocol towards engines. It does no I/O: the parsers are fed bytes.
 package rest
 
 import (
@@ -14,7 +14,7 @@
 // MaxStatementBytes bounds a statement.
 const MaxStatementBytes = 192 << 10
 
-// Headers beside the public protocol's own.
+// Headers that this program adds to those of the public protocol.
 const (
 	HeaderTimeout        = "X-Aniseloft-Timeout-Ms"
 	HeaderWork           = "X-Aniseloft-Work-Ms"
@@ -46,9 +46,9 @@
 	SubmitRequest struct {
 		User, Class, IdempotencyKey, Host string
 		Statement                         []byte
-		TimeoutMS                         float64 // 0: the class's own
-		EstimatedWorkMS                   float64 // on one core; 0: none
-		EstimatedMemoryMB                 float64 // 0: none
+		TimeoutMS                         float64 // 0: that of the class
+		EstimatedWorkMS                   float64 // on one core; 0: no estimate
+		EstimatedMemoryMB                 float64 // 0: no estimate
 		Close                             bool
 	}
 	// PageRequest asks for page Token of a query. Slug is the secret part of its address.
@@ -57,14 +57,14 @@
 		Token          int
 		Close          bool
 	}
-	// CancelRequest withdraws a query.
+	// CancelRequest cancels a query.
 	CancelRequest struct {
 		ID, Slug string
 		Close    bool
 	}
 	// InfoRequest asks whether the coordinator accepts queries.
 	InfoRequest struct{ Close bool }
-	// InvalidRequest cannot be accepted; Response is what it gets.
+	// InvalidRequest is a request that cannot be accepted. Response is the response to it.
 	InvalidRequest struct {
 		Response []byte
 		Close    bool
@@ -77,7 +77,7 @@
 func (InfoRequest) request()    {}
 func (InvalidRequest) request() {}
 
-// RequestParser cuts the bytes of one connection into requests. It is not safe for concurrent use.
+// RequestParser splits the bytes of one connection into requests. It is not safe for concurrent use.
 type RequestParser struct{ parser *httpmsg.Parser }
 
 // NewRequestParser returns a parser for a new connection.
@@ -88,8 +88,8 @@
 // Buffered returns the size of the unfinished request in bytes.
 func (p *RequestParser) Buffered() int { return len(p.parser.Buffered()) }
 
-// Feed takes bytes and returns the requests that they complete. After an error of httpmsg the connection is of no more
-// use; the last request is then an InvalidRequest with the response that says so.
+// Feed takes bytes and returns the requests that they complete. After an error of httpmsg the connection cannot be
+// used any more; the last request is then an InvalidRequest with the error response.
 func (p *RequestParser) Feed(b []byte) ([]Request, error) {
 	p.parser.Feed(b)
 	var requests []Request
@@ -123,13 +123,13 @@
 	}
 	parts := strings.Split(strings.Trim(path, "/"), "/")
 	if len(parts) == 6 && parts[0] == "v1" && parts[1] == "statement" && (parts[2] == "queued" || parts[2] == "executing") {
-		return parsePageAddress(m, parts[3], parts[4], parts[5])
+		return parsePageRequest(m, parts[3], parts[4], parts[5])
 	}
 	return invalid(m, 404, "no such resource")
 }
 
-// parsePageAddress reads a request to the address of a page: GET asks for it, DELETE withdraws its query.
-func parsePageAddress(m *httpmsg.Message, id, slug, tokenText string) Request {
+// parsePageRequest parses a request to the address of a page: GET fetches the page, DELETE cancels its query.
+func parsePageRequest(m *httpmsg.Message, id, slug, tokenText string) Request {
 	token, err := strconv.Atoi(tokenText)
 	if err != nil || token < 0 {
 		return invalid(m, 404, "no such page")
--- a/internal/protocol/rest/response.go
+++ b/internal/protocol/rest/response.go
@@ -20,7 +20,7 @@
 	Signature TypeSignature `json:"typeSignature"`
 }
 
-// TypeSignature is a column's type as clients parse it.
+// TypeSignature is a column's type in the form that clients parse.
 type TypeSignature struct {
 	RawType   string `json:"rawType"`
 	Arguments []any  `json:"arguments"`
@@ -32,7 +32,7 @@
 	Queued bool   `json:"queued"`
 }
 
-// QueryError is how a query failed.
+// QueryError describes why a query failed.
 type QueryError struct {
 	Message   string `json:"message"`
 	ErrorCode int    `json:"errorCode"`
@@ -51,7 +51,7 @@
 	Error   *QueryError `json:"error,omitempty"`
 }
 
-// Errors that a query ends with, by the public protocol's names.
+// Errors of a query, with the names and codes of the public protocol.
 var (
 	ErrorRejected = QueryError{"refused: trying again is harmless", 0x20002, "QUERY_QUEUE_FULL", "INSUFFICIENT_RESOURCES"}
 	ErrorFailed   = QueryError{"failed: it may have run", 0x10000, "GENERIC_INTERNAL_ERROR", "INTERNAL_ERROR"}
@@ -59,7 +59,7 @@
 	ErrorExpired  = QueryError{"the result is no longer kept", 0x0002, "ABANDONED_QUERY", "USER_ERROR"}
 )
 
-// PageURI returns the address of page token of a query.
+// PageURI returns the address of a query's page with the given token.
 func PageURI(host, id, slug string, token int) string {
 	return "http://" + host + "/v1/statement/executing/" + id + "/" + slug + "/" + strconv.Itoa(token)
 }
--- a/internal/protocol/rest/upstream.go
+++ b/internal/protocol/rest/upstream.go
@@ -14,12 +14,13 @@
 )
 
 var (
-	// errCorruptResponse is returned for a response that is none of the protocol: EncodeResume asks again.
-	errCorruptResponse = errors.New("rest: spoilt answer")
-	errNextAddress     = errors.New("next address unusable")
+	// errCorruptResponse is returned for a response that violates the protocol. EncodeResume repeats the request,
+	// unless it was the start.
+	errCorruptResponse = errors.New("rest: corrupt response")
+	errInvalidNextURI  = errors.New("invalid next URI")
 )
 
-// maxResponses bounds the responses to one query: an engine must not keep a query open for ever.
+// maxResponses bounds the responses to one query: an engine must not keep a query open forever.
 const maxResponses = 1 << 16
 
 // Outcome is how a query at an engine ended.
@@ -32,17 +33,18 @@
 	OutcomeOverloaded         // it never ran
 )
 
-// StartRequest is what a query is started with.
+// StartRequest holds the parameters of a query to be started.
 type StartRequest struct {
 	CallID, Class, User string
 	Statement           []byte
-	IdempotencyKey      string // empty: CallID stands in
+	IdempotencyKey      string // empty: CallID is used instead
 	Timeout             time.Duration
-	// Stream hands each page on as it comes: a result of any size is then accepted, and none is kept.
+	// Stream returns the rows of each page in its Step and keeps none of them; the size of the result is then
+	// unlimited.
 	Stream bool
 }
 
-// Result is the end of a query with its rows as text.
+// Result is the outcome of a query, with its rows as text.
 type Result struct {
 	Outcome        Outcome
 	Body           []byte
@@ -51,12 +53,12 @@
 	Reason         string
 }
 
-// Step is what the caller is to do after bytes from the engine.
+// Step tells the caller what to do after bytes from the engine.
 type Step struct {
 	Send               []byte  // to be written next on this connection
-	Result             *Result // the end
-	Page               []byte  // of a stream: rows, also with the result; to be stored before anything else of the step
-	KeepConnection     bool    // with the end: the connection can carry another query
+	Result             *Result // set when the query has ended
+	Page               []byte  // rows of a stream, also with a Result; to be stored before the rest of the step
+	KeepConnection     bool    // set with Result: the connection can carry another query
 	NeedsNewConnection bool    // EncodeResume continues on another connection
 }
 
@@ -65,10 +67,10 @@
 	host      string
 	start     StartRequest
 	parser    *httpmsg.Parser
-	nextPath  string // asked for last; empty until the first response
-	responses int    // that named a next address
+	nextPath  string // path of the last page request; empty until the first response
+	responses int    // number of responses with a next URI
 	body      []byte
-	page      []byte // of a stream: rows for the next step
+	page      []byte // rows of a stream, for the next step
 	workMS    float64
 	memoryMB  float64
 }
@@ -90,8 +92,8 @@
 	}, q.start.Statement)
 }
 
-// EncodeResume returns the request that repeats the last one on a new connection. It is nil where the engine has
-// not responded: then only the start could be sent again, and it never is.
+// EncodeResume returns the request that repeats the last one on a new connection. It returns nil if the engine has not
+// responded yet: the last request is then the start of the query, which is never sent twice.
 func (q *UpstreamQuery) EncodeResume() []byte {
 	if q.nextPath == "" {
 		return nil
@@ -104,7 +106,7 @@
 	return httpmsg.AppendRequest(nil, "GET", q.nextPath, q.host, nil, nil)
 }
 
-// EncodeCancel returns the request that withdraws the query, nil where it has no address yet.
+// EncodeCancel returns the request that cancels the query, or nil if the engine has not sent an address for it yet.
 func (q *UpstreamQuery) EncodeCancel() []byte {
 	if q.nextPath == "" {
 		return nil
@@ -117,14 +119,15 @@
 	return httpmsg.AppendRequest(nil, "GET", "/v1/info", host, nil, nil)
 }
 
-// Feed takes bytes from the engine. An empty step asks for more bytes. After an error EncodeResume may be able to ask again.
+// Feed takes bytes from the engine. An empty step means that more bytes are needed. After an error EncodeResume
+// may be able to repeat the request.
 func (q *UpstreamQuery) Feed(b []byte) (Step, error) {
 	q.parser.Feed(b)
 	m, err := q.parser.Next()
 	if err != nil || m == nil {
 		return Step{}, err
 	}
-	// Bytes behind a response would be taken for the next one.
+	// Bytes after a response would be parsed as the start of the next one.
 	reusable := !m.Close && q.parser.Idle()
 	q.page = nil
 	result, err := q.handleResponse(m)
@@ -151,7 +154,7 @@
 	} `json:"stats"`
 }
 
-// handleResponse takes a complete response. The result is nil while there is more to ask for.
+// handleResponse handles a complete response. The result is nil while there are more pages to request.
 func (q *UpstreamQuery) handleResponse(m *httpmsg.Message) (*Result, error) {
 	switch {
 	case q.nextPath == "" && (m.Status == 429 || m.Header.Get("Never-Ran") == "1"):
@@ -161,7 +164,7 @@
 	}
 	var r upstreamResults
 	if err := codec.Unmarshal(m.Body, &r); err != nil || r.ID == "" {
-		return nil, fmt.Errorf("%w: unreadable", errCorruptResponse)
+		return nil, fmt.Errorf("%w: invalid JSON or no query id", errCorruptResponse)
 	}
 	if r.Error != nil {
 		if r.Error.ErrorName == ErrorRejected.ErrorName {
@@ -175,7 +178,7 @@
 func (q *UpstreamQuery) handlePage(r *upstreamResults) (*Result, error) {
 	page, ok := encodeRows(r.Data)
 	if !ok {
-		return q.end(OutcomeFailed, "no row of the platform's"), nil
+		return q.end(OutcomeFailed, "a value cannot be encoded in a row of text"), nil
 	}
 	if !q.start.Stream && len(q.body)+len(page) > engine.MaxResultBytes {
 		return q.end(OutcomeFailed, "result too large"), nil
@@ -206,7 +209,8 @@
 	return &Result{o, q.body, q.workMS, q.memoryMB, reason}
 }
 
-// encodeRows writes rows as the platform's lines of text. It is not ok where a value would break its row, such as one with a tab.
+// encodeRows encodes rows as the platform's lines of text. ok is false if a value would break its row, such as one with
+// a tab.
 func encodeRows(rows [][]any) (page []byte, ok bool) {
 	for _, row := range rows {
 		start := len(page)
@@ -230,15 +234,15 @@
 	return page, true
 }
 
-// pathOf returns the part of an engine's next address that may be asked of that engine; an engine cannot send the
-// coordinator elsewhere. It is empty where there is no next address.
+// pathOf returns the path and query of an engine's next URI. The host is ignored, so that an engine cannot send the
+// coordinator elsewhere. The path is empty if there is no next URI.
 func pathOf(uri string) (string, error) {
 	if uri == "" {
 		return "", nil
 	}
 	u, err := url.Parse(uri)
 	if err != nil || !strings.HasPrefix(u.EscapedPath(), "/v1/statement/") {
-		return "", errNextAddress
+		return "", errInvalidNextURI
 	}
 	return u.RequestURI(), nil
 }
