--- a/internal/protocol/engine/loadreport.go
+++ b/internal/protocol/engine/loadreport.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxLoadValue exceeds any load that an engine can have or share out; a larger value is invalid.
+	// maxLoadValue exceeds the load of any engine; a larger value is invalid.
 	maxLoadValue = 1e6
 	// maxLoadFields bounds the fields of a report; the rest of a longer report counts as the last field.
 	maxLoadFields = 16
--- a/internal/protocol/engine/progress.go
+++ b/internal/protocol/engine/progress.go
@@ -19,7 +19,7 @@
 // Kinds of progress.
 const (
 	ProgressRatio   ProgressKind = iota + 1 // fraction that is done, from 0 to 1
-	ProgressSpilled                         // missing memory in MB
+	ProgressSpilled                         // memory in MB that the query lacks, so that it spills to disk
 	ProgressWaiting                         // what the query waits for; 1: memory, 2: a load
 )
 
--- a/internal/protocol/fleet/fleet.go
+++ b/internal/protocol/fleet/fleet.go
@@ -77,8 +77,8 @@
 	Payload []byte
 }
 
-// Installation derives an installation's number from its name.
-func Installation(name string) uint64 { return xxhash.Sum64String("aniseloft installation " + name) }
+// InstallationID returns the number of an installation in frames, which is a hash of its name.
+func InstallationID(name string) uint64 { return xxhash.Sum64String("aniseloft installation " + name) }
 
 // Append appends an encoded frame to b.
 func Append(b []byte, installation uint64, f Frame) []byte {
--- a/internal/protocol/fleet/wire_test.go
+++ b/internal/protocol/fleet/wire_test.go
@@ -19,7 +19,7 @@
 const framesFile = "testdata/frames.hex"
 
 func TestFrameBytesUnchanged(t *testing.T) {
-	installation := Installation("harbour-east")
+	installation := InstallationID("harbour-east")
 	var frames []Frame
 	for _, kind := range []Kind{Announcement, RaftMessage, KeepAliveRequest, KeepAliveResponse, AdminRequest, AdminResponse, Publication} {
 		frames = append(frames, Frame{Kind: kind, GroupID: 0x0102030405060708, Payload: fmt.Appendf(nil, `{"kind":%d}`, kind)})
--- a/internal/transport/coordination/adminclient.go
+++ b/internal/transport/coordination/adminclient.go
@@ -68,7 +68,7 @@
 	}
 	defer func() { _ = socket.Close() }()
 	_ = socket.SetDeadline(time.Now().Add(timeout))
-	installation := fleet.Installation(conf.Installation)
+	installation := fleet.InstallationID(conf.Installation)
 	if _, err := socket.Write(fleet.AppendJSON(nil, installation, fleet.AdminRequest, request)); err != nil {
 		return response, err
 	}
--- a/internal/transport/coordination/conn.go
+++ b/internal/transport/coordination/conn.go
@@ -13,7 +13,7 @@
 const (
 	writeTimeout = 2 * time.Second // a peer that reads nothing for this long is disconnected
 	queueLimit   = 256             // frames queued per connection, and tasks queued for the replica; more are dropped
-	readBuffer   = 16 << 10        // bytes
+	readBuffer   = 16 << 10        // bytes per read
 )
 
 // frameHandler handles a frame on the reader goroutine of its connection. An error closes the connection.
--- a/internal/transport/coordination/node.go
+++ b/internal/transport/coordination/node.go
@@ -50,7 +50,7 @@
 	name         string
 	installation uint64
 	diskFault    func() error     // see InjectDiskFaults
-	draining     atomic.Bool      // set by Drain, until a leading replica has transferred leadership
+	draining     atomic.Bool      // set by Drain, cleared when leadership is transferred
 	reconfigured chan struct{}    // signals a new conf to the replica goroutine; holds one signal
 	tasks        chan replicaTask // for the replica goroutine; bounded, see enqueue
 	replicaHost  *replicaHost
@@ -79,7 +79,7 @@
 	n := &Node{
 		Client:       leasebackend.NewClient(name, conf.Jobs, conf.Capacity, conf.Timing().DriftBound, clock, log),
 		name:         name,
-		installation: fleet.Installation(conf.Installation),
+		installation: fleet.InstallationID(conf.Installation),
 		reconfigured: make(chan struct{}, 1),
 		tasks:        make(chan replicaTask, queueLimit),
 		conf:         conf,
--- a/internal/transport/coordination/node_test.go
+++ b/internal/transport/coordination/node_test.go
@@ -75,15 +75,15 @@
 	before, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
 	require.NoError(t, err)
 	request := lease.KeepAliveRequest{Holder: lease.Holder{Name: "intruder", Incarnation: 1}, SentAt: 1, Capacity: 1e9, Jobs: conf.Jobs, HigherFences: []lease.GrantID{{Job: "no-such-job", Fence: 99}}}
-	whole := fleet.AppendJSON(nil, fleet.Installation("here"), fleet.KeepAliveRequest, request)
+	whole := fleet.AppendJSON(nil, fleet.InstallationID("here"), fleet.KeepAliveRequest, request)
 	otherVersion := bytes.Clone(whole)
 	otherVersion[3]++
 	for name, raw := range map[string][]byte{
 		"http":                   []byte("GET /journal?tail=0&max_wait=1 HTTP/1.1\r\nHost: a\r\n\r\n"),
-		"another installation":   fleet.AppendJSON(nil, fleet.Installation("there"), fleet.KeepAliveRequest, request),
+		"another installation":   fleet.AppendJSON(nil, fleet.InstallationID("there"), fleet.KeepAliveRequest, request),
 		"another version":        otherVersion,
-		"malformed":              fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.KeepAliveRequest, Payload: []byte("{")}),
-		"malformed raft message": fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.RaftMessage, Payload: []byte{0xff}}),
+		"malformed":              fleet.Append(nil, fleet.InstallationID("here"), fleet.Frame{Kind: fleet.KeepAliveRequest, Payload: []byte("{")}),
+		"malformed raft message": fleet.Append(nil, fleet.InstallationID("here"), fleet.Frame{Kind: fleet.RaftMessage, Payload: []byte{0xff}}),
 		"cut short":              whole[:len(whole)-3],
 	} {
 		conn := dialAndWrite(t, conf.Replicas[0].Addr, raw)
@@ -100,7 +100,7 @@
 	}
 	// A well-formed publication under a stale fence must be dropped.
 	stale := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: lease.JobReadJournal}, HolderName: "intruder"}}
-	conn := dialAndWrite(t, conf.Replicas[0].Addr, fleet.AppendJSON(nil, fleet.Installation("here"), fleet.Publication, stale))
+	conn := dialAndWrite(t, conf.Replicas[0].Addr, fleet.AppendJSON(nil, fleet.InstallationID("here"), fleet.Publication, stale))
 	require.Eventually(t, func() bool { return strings.Contains(log.String(), "its fence is stale") }, 10*time.Second, 10*time.Millisecond)
 	_ = conn.Close()
 	after, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
--- a/internal/transport/coordination/stored_test.go
+++ b/internal/transport/coordination/stored_test.go
@@ -212,12 +212,12 @@
 	m := &raftpb.Message{Type: raftpb.MsgApp.Enum(), To: new(uint64(2)), From: new(uint64(1)), Term: new(uint64(5)), LogTerm: new(uint64(4)),
 		Index: new(uint64(17)), Commit: new(uint64(16)), Entries: []*raftpb.Entry{{Type: raftpb.EntryNormal.Enum(), Term: new(uint64(5)), Index: new(uint64(18)),
 			Data: []byte(`{"k":"assign","j":"prune-record","f":7,"h":{"name":"n1","boot":32570},"w":"by hand"}`)}}}
-	got := hex.EncodeToString(fleet.Append(nil, fleet.Installation("here"), fleet.Frame{Kind: fleet.RaftMessage, GroupID: 12, Payload: consensus.EncodeMessage(m)})) + "\n"
+	got := hex.EncodeToString(fleet.Append(nil, fleet.InstallationID("here"), fleet.Frame{Kind: fleet.RaftMessage, GroupID: 12, Payload: consensus.EncodeMessage(m)})) + "\n"
 	want := golden(t, "raft-message.hex", []byte(got))
 	require.Equal(t, string(want), got)
 	raw, err := hex.DecodeString(strings.TrimSpace(string(want)))
 	require.NoError(t, err)
-	frames, err := fleet.NewDecoder(fleet.Installation("here")).Feed(raw)
+	frames, err := fleet.NewDecoder(fleet.InstallationID("here")).Feed(raw)
 	require.NoError(t, err)
 	require.Len(t, frames, 1)
 	require.EqualValues(t, 12, frames[0].GroupID)
