--- a/cmd/aniseloft/admin_test.go
+++ b/cmd/aniseloft/admin_test.go
@@ -18,45 +18,45 @@
 	"aniseloft/internal/testdir"
 )
 
-// due is how soon the operators' answer is owed, whatever the load.
-const due = time.Second
+// adminAnswerLimit is the longest that an operators' call may take to be answered, whatever the load.
+const adminAnswerLimit = time.Second
 
-// tell sends one call on a connection of its own and returns the answer's line, which must
-// come in time.
-func (p *coordinator) tell(line string) string {
+// adminCall sends one operators' call on a connection of its own and returns the line of the answer, which
+// must come within adminAnswerLimit.
+func (p *coordinator) adminCall(line string) string {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.admin)
 	require.NoError(p.t, err)
 	defer func() { _ = c.Close() }()
-	at := time.Now()
+	start := time.Now()
 	_, err = io.WriteString(c, line+"\n")
 	require.NoError(p.t, err)
 	require.NoError(p.t, c.SetReadDeadline(time.Now().Add(maxWait)))
 	answer, err := bufio.NewReader(c).ReadString('\n')
 	require.NoError(p.t, err)
-	require.Less(p.t, time.Since(at), due, "the answer to %q came late", line)
+	require.Less(p.t, time.Since(start), adminAnswerLimit, "the answer to %q came late", line)
 	return strings.TrimSuffix(answer, "\n")
 }
 
-// startWithTwoEngines is a world of two engines that the program knows.
+// startWithTwoEngines starts a coordinator whose endpoint list has two engines.
 func startWithTwoEngines(t *testing.T) (*coordinator, *fakeEngine, *fakeEngine, *fakeJournal) {
 	a, b, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, a, "active"), serverEntry(2, b, "active"))
 	return startCoordinator(t, testdir.Dir(t), j, false), a, b, j
 }
 
-// requireSpread sends n quick look-ups and waits for each answer.
-func requireSpread(t *testing.T, c *client, from, n int) {
-	for id := from; id < from+n; id++ {
+// requireLookupsServed sends n quick look-ups one after another, and requires that each is served.
+func requireLookupsServed(t *testing.T, c *client, firstID, n int) {
+	for id := firstID; id < firstID+n; id++ {
 		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(id, "trip-lookup", "x", 9000))))
 	}
 }
 
-func TestAdminAnswersEachCallAndBadInputChangesNothing(t *testing.T) {
+func TestAdminRejectsInvalidCallsAndChangesNothing(t *testing.T) {
 	t.Parallel()
 	p, a, _, _ := startWithTwoEngines(t)
-	require.Equal(t, "ACK serving", p.tell("STATUS"))
-	for line, why := range map[string]string{
+	require.Equal(t, "ACK serving", p.adminCall("STATUS"))
+	for line, wantPrefix := range map[string]string{
 		"FLY":                                 "NAK unknown verb",
 		"SUSPEND":                             "NAK an engine id is missing",
 		"STATUS now":                          "NAK too many words",
@@ -68,9 +68,9 @@
 		strings.Repeat("SUSPEND ", 100):       "NAK line too long",
 		"SUSPEND s-00000001" + "\xff\xfe\x00": "NAK not text",
 	} {
-		require.True(t, strings.HasPrefix(p.tell(line), why), "%q", line)
+		require.True(t, strings.HasPrefix(p.adminCall(line), wantPrefix), "%q", line)
 	}
-	// A line with no end is no call, however whole it looks.
+	// A call without its newline is rejected, even where its words are complete.
 	c, err := net.Dial("tcp", p.admin)
 	require.NoError(t, err)
 	_, err = io.WriteString(c, "SUSPEND s-00000001")
@@ -81,93 +81,94 @@
 	require.Equal(t, "NAK the line did not end\n", string(answer))
 	_ = c.Close()
 
-	require.Equal(t, "ACK serving", p.tell("status"))
+	require.Equal(t, "ACK serving", p.adminCall("status"))
 	d := dialClient(t, p.listen)
-	requireSpread(t, d, 1, 20)
-	require.Positive(t, a.count(&a.attempts, "x"), "nothing was taken out")
+	requireLookupsServed(t, d, 1, 20)
+	require.Positive(t, a.count(&a.attempts, "x"), "no engine was suspended")
 }
 
 func TestSuspendedEngineGetsNoNewRequestsUntilRestored(t *testing.T) {
 	t.Parallel()
 	p, a, b, j := startWithTwoEngines(t)
-	require.Equal(t, "ACK s-00000001 out", p.tell("SUSPEND s-00000001"))
-	require.Contains(t, p.tell("SUSPEND s-00000001"), "ACK s-00000001 out already (2 calls")
+	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
+	require.Contains(t, p.adminCall("SUSPEND s-00000001"), "ACK s-00000001 out already (2 calls")
 	c := dialClient(t, p.listen)
-	requireSpread(t, c, 1, 20)
-	// The list says it is active again: the ban holds all the same.
+	requireLookupsServed(t, c, 1, 20)
+	// The endpoint list reports the engine as active again; the suspension still holds.
 	j.add(false, serverEntry(1, a, "active"))
-	requireSpread(t, c, 21, 20)
+	requireLookupsServed(t, c, 21, 20)
 	require.Zero(t, a.count(&a.attempts, "x"))
 	require.Equal(t, 40, b.count(&b.attempts, "x"))
 
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("by_hand paused=false out=s-00000001:2\n")
-	require.Regexp(t, `engine name=s-00000001 id=\d+ addr=\S+ ready=false`, p.logged(), "the module holds it out too")
-	require.Equal(t, "ACK s-00000001 back, cold", p.tell("RESTORE s-00000001"))
-	require.Equal(t, "ACK s-00000001 was not out", p.tell("RESTORE s-00000001"))
-	// Back and cold, it gets its part again soon after: one call back answers both calls out.
+	require.Regexp(t, `engine name=s-00000001 id=\d+ addr=\S+ ready=false`, p.logged(), "the balancer does not use it either")
+	require.Equal(t, "ACK s-00000001 back, cold", p.adminCall("RESTORE s-00000001"))
+	require.Equal(t, "ACK s-00000001 was not out", p.adminCall("RESTORE s-00000001"))
+	// The restored engine starts cold and soon gets requests again: one RESTORE ends the suspension of two SUSPEND calls.
 	deadline := time.Now().Add(maxWait)
 	for id := 41; a.count(&a.attempts, "x") == 0; id++ {
-		require.True(t, time.Now().Before(deadline), "the engine let back stays unused")
-		requireSpread(t, c, id, 1)
+		require.True(t, time.Now().Before(deadline), "the restored engine got no request")
+		requireLookupsServed(t, c, id, 1)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 func TestSuspendingTheLastEngineRejectsBeforeTheDeadline(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
-	require.Equal(t, "ACK s-00000001 out", p.tell("SUSPEND s-00000001"))
+	p, e, _ := startWithOneEngine(t, false)
+	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
 	c := dialClient(t, p.listen)
-	at := time.Now()
+	start := time.Now()
 	answer := c.call(queryLine(1, "trip-lookup", "x", 9000))
-	require.Contains(t, answer, `"code":-32000`, "nothing ran: trying again is harmless")
-	require.Less(t, time.Since(at), 9*time.Second, "answered before its time is over")
+	require.Contains(t, answer, `"code":-32000`, "nothing ran, so a retry is safe")
+	require.Less(t, time.Since(start), 9*time.Second, "answered before the deadline")
 	require.Zero(t, e.count(&e.attempts, "x"))
 }
 
 func TestPauseRejectsClientsAndResumeAdmitsThem(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	idle, busy := dialClient(t, p.listen), dialClient(t, p.listen)
-	requireSpread(t, idle, 1, 1)
+	requireLookupsServed(t, idle, 1, 1)
 	busy.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 
-	require.Equal(t, "ACK paused", p.tell("PAUSE"))
-	require.Equal(t, "ACK paused already", p.tell("PAUSE"))
-	require.Equal(t, "NAK paused", p.tell("STATUS"))
+	require.Equal(t, "ACK paused", p.adminCall("PAUSE"))
+	require.Equal(t, "ACK paused already", p.adminCall("PAUSE"))
+	require.Equal(t, "NAK paused", p.adminCall("STATUS"))
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("by_hand paused=true out=\n")
 	// An idle connection is closed at once.
-	require.NoError(t, idle.SetReadDeadline(time.Now().Add(due)))
+	require.NoError(t, idle.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
 	_, err := idle.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF)
-	// A new one is told no, and its first request is still served, as it may have come before the word.
+	// On a new connection the first request is still served, as it may have been sent before the pause; an alive
+	// call is answered with "pass":false.
 	fresh := dialClient(t, p.listen)
 	require.Contains(t, fresh.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
-	// One with a request open stays until that is answered; what comes later on it is sent away.
+	// A connection with an open request stays until that is answered; later requests on it are rejected.
 	time.Sleep(1700 * time.Millisecond)
-	refused := busy.call(queryLine(2, "trip-lookup", "x", 9000))
-	require.Contains(t, refused, `"code":-32000`)
-	require.Contains(t, refused, `"pushback":100`)
+	rejected := busy.call(queryLine(2, "trip-lookup", "x", 9000))
+	require.Contains(t, rejected, `"code":-32000`)
+	require.Contains(t, rejected, `"pushback":100`)
 	close(e.release)
-	require.Contains(t, busy.line(), `"id":1,"result"`)
-	require.NoError(t, busy.SetReadDeadline(time.Now().Add(due)))
+	require.Contains(t, busy.readLine(), `"id":1,"result"`)
+	require.NoError(t, busy.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
 	_, err = busy.reader.ReadString('\n')
-	require.ErrorIs(t, err, io.EOF, "closed once nothing is open")
+	require.ErrorIs(t, err, io.EOF, "closed once no request is open")
 
-	require.Equal(t, "ACK resumed", p.tell("RESUME"))
-	require.Equal(t, "ACK not paused", p.tell("RESUME"))
-	require.Equal(t, "ACK serving", p.tell("STATUS"))
-	again := dialClient(t, p.listen)
-	require.Contains(t, again.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":true`)
-	requireSpread(t, again, 2, 3)
+	require.Equal(t, "ACK resumed", p.adminCall("RESUME"))
+	require.Equal(t, "ACK not paused", p.adminCall("RESUME"))
+	require.Equal(t, "ACK serving", p.adminCall("STATUS"))
+	resumed := dialClient(t, p.listen)
+	require.Contains(t, resumed.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":true`)
+	requireLookupsServed(t, resumed, 2, 3)
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("by_hand paused=false out=\n")
 }
 
-func TestSlowCallersDoNotDelayTheAnswerOfOthers(t *testing.T) {
+func TestSlowAdminCallersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
@@ -175,7 +176,7 @@
 	p.configure(j)
 	p.start(os.Environ())
 	var slow []net.Conn
-	for range 24 { // more than there are places (8 of 384 descriptors): the oldest make room
+	for range 24 { // more than the admin address admits (8 of 384 descriptors): the oldest are closed
 		c, err := net.Dial("tcp", p.admin)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
@@ -187,10 +188,10 @@
 		for _, c := range slow[len(slow)-6:] {
 			_, _ = c.Write([]byte("TATUS"[i : i+1]))
 		}
-		require.Equal(t, "ACK serving", p.tell("STATUS"))
+		require.Equal(t, "ACK serving", p.adminCall("STATUS"))
 		time.Sleep(time.Second)
 	}
-	// One byte a second: it is told that its line did not end in time.
+	// A caller that sends one byte a second is told that its line did not end in time.
 	last := slow[len(slow)-1]
 	require.NoError(t, last.SetReadDeadline(time.Now().Add(maxWait)))
 	answer, err := bufio.NewReader(last).ReadString('\n')
@@ -198,7 +199,7 @@
 	require.Equal(t, "NAK the line did not end in time\n", answer)
 }
 
-func TestABadStateFileIsReportedAndSetAside(t *testing.T) {
+func TestUnreadableStateFileIsReportedAndSetAside(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
@@ -210,9 +211,9 @@
 	p.waitForLog("state file not used; kept aside")
 	_, err := os.Stat(state)
 	require.ErrorIs(t, err, os.ErrNotExist)
-	requireSpread(t, dialClient(t, p.listen), 1, 3)
-	// What is written next is whole, and read back by the next process.
-	require.Equal(t, "ACK s-00000001 out", p.tell("SUSPEND s-00000001"))
+	requireLookupsServed(t, dialClient(t, p.listen), 1, 3)
+	// The next suspension is written to a new and complete file, which a later process can read.
+	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
 	raw, err := os.ReadFile(state)
 	require.NoError(t, err)
 	require.Contains(t, string(raw), `"bans":[{"id":"s-00000001","calls":1`)
@@ -221,63 +222,64 @@
 func TestSuspensionsSurviveAnUpgrade(t *testing.T) {
 	t.Parallel()
 	old, a, b, j := startWithTwoEngines(t)
-	require.Equal(t, "ACK s-00000001 out", old.tell("SUSPEND s-00000001"))
-	// The new process listens at the same address beside the old one, with another
-	// second address and the same $TMPDIR.
+	require.Equal(t, "ACK s-00000001 out", old.adminCall("SUSPEND s-00000001"))
+	// The new process listens at the same client address beside the old one, with an admin address of its own
+	// and the same $TMPDIR.
 	fresh := &coordinator{t: t, dir: old.dir, listen: old.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
 	fresh.configure(j)
 	fresh.start(os.Environ())
-	require.Equal(t, "ACK serving", fresh.tell("STATUS"))
-	// A ban told to the old process after the new one began holds in the new one too.
-	require.Equal(t, "ACK s-00000002 out", old.tell("SUSPEND s-00000002"))
+	require.Equal(t, "ACK serving", fresh.adminCall("STATUS"))
+	// A SUSPEND that the old process gets after the start of the new one also applies in the new one.
+	require.Equal(t, "ACK s-00000002 out", old.adminCall("SUSPEND s-00000002"))
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, old.Wait())
 	fresh.waitForCounters("out=s-00000001:1,s-00000002:1")
 	c := dialClient(t, fresh.listen)
 	answer := c.call(queryLine(1, "trip-lookup", "x", 1500))
-	require.Contains(t, answer, `"code":-32000`, "both engines are out by hand")
-	require.Equal(t, "ACK s-00000002 back, cold", fresh.tell("RESTORE s-00000002"))
-	requireSpread(t, c, 2, 5)
+	require.Contains(t, answer, `"code":-32000`, "both engines are suspended")
+	require.Equal(t, "ACK s-00000002 back, cold", fresh.adminCall("RESTORE s-00000002"))
+	requireLookupsServed(t, c, 2, 5)
 	require.Zero(t, a.count(&a.attempts, "x"))
 	require.Equal(t, 5, b.count(&b.attempts, "x"))
 }
 
-func TestSIGTERMDuringADrainEndsAsUsual(t *testing.T) {
+func TestSIGTERMWhilePausedAnswersOpenRequests(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	require.Equal(t, "ACK paused", p.tell("PAUSE"))
+	require.Equal(t, "ACK paused", p.adminCall("PAUSE"))
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	p.waitForLog("now=draining")
-	require.Equal(t, "NAK draining", p.tell("STATUS"))
-	require.Contains(t, p.tell("RESUME"), "NAK the process is ending")
+	require.Equal(t, "NAK draining", p.adminCall("STATUS"))
+	require.Contains(t, p.adminCall("RESUME"), "NAK the process is ending")
 	close(e.release)
-	require.Contains(t, c.line(), `"id":1,"result"`, "what is open is answered")
+	require.Contains(t, c.readLine(), `"id":1,"result"`, "the open request is answered")
 	require.NoError(t, p.Wait(), "exit code 0")
 }
 
-// hijacked is how many client connections a process has accepted, as SIGUSR1 tells.
-func (p *coordinator) taken() int {
+// acceptedConnections returns how many client connections the process has accepted, by the counters that it prints
+// on SIGUSR1.
+func (p *coordinator) acceptedConnections() int {
 	p.t.Helper()
-	was := strings.Count(p.logged(), "counters client_connections")
+	printed := strings.Count(p.logged(), "counters client_connections")
 	require.NoError(p.t, p.Process.Signal(syscall.SIGUSR1))
-	eventually(p.t, func() bool { return strings.Count(p.logged(), "counters client_connections") > was })
+	eventually(p.t, func() bool { return strings.Count(p.logged(), "counters client_connections") > printed })
 	text := p.logged()
 	line := text[strings.LastIndex(text, "counters client_connections"):]
-	_, taken, found := strings.Cut(line, "taken=")
+	_, count, found := strings.Cut(line, "taken=")
 	require.True(p.t, found, line)
 	var n int
-	_, err := fmt.Sscanf(taken, "%d", &n)
+	_, err := fmt.Sscanf(count, "%d", &n)
 	require.NoError(p.t, err)
 	return n
 }
 
-func TestOldProcessOfAnUpgradeHandsItsClientsOver(t *testing.T) {
+func TestUpgradeLeavesNewConnectionsToTheSuccessor(t *testing.T) {
 	t.Parallel()
-	old, e, j := startWorld(t, false)
-	held := dialClient(t, old.listen) // the old one's: it is alone at the address yet
+	old, e, j := startWithOneEngine(t, false)
+	held := dialClient(t, old.listen) // accepted by the old process, which still listens alone
 	held.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	fresh := &coordinator{t: t, dir: old.dir, listen: old.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
@@ -285,62 +287,64 @@
 	fresh.start(os.Environ())
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	old.waitForLog("a successor serves at the clients' address")
-	before := old.taken()
+	before := old.acceptedConnections()
 	for id := 1; id <= 20; id++ {
 		c := dialClient(t, old.listen)
-		requireSpread(t, c, id, 1)
+		requireLookupsServed(t, c, id, 1)
 		_ = c.Close()
 	}
-	require.Equal(t, before, old.taken(), "after SIGTERM the old process takes no new connection")
+	require.Equal(t, before, old.acceptedConnections(), "after SIGTERM the old process accepts no connection")
 	close(e.release)
-	require.Contains(t, held.line(), `"id":1,"result"`, "what was open is answered")
+	require.Contains(t, held.readLine(), `"id":1,"result"`, "the open request is answered")
 	_, err := held.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF, "then its connection is closed")
 	require.NoError(t, old.Wait())
-	requireSpread(t, dialClient(t, fresh.listen), 21, 3)
+	requireLookupsServed(t, dialClient(t, fresh.listen), 21, 3)
 }
 
-func TestSIGTERMHandsBackWhatWouldOutliveTheKill(t *testing.T) {
+func TestSIGTERMAnswersLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "ridership-report", "stay", 20000))
 	c.send(queryLine(2, "timetable-load", "stay load", 20000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") >= 1 && e.count(&e.attempts, "stay load") == 1 })
-	at := time.Now()
+	start := time.Now()
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	answers := c.line() + c.line()
-	require.Contains(t, answers, `{"jsonrpc":"2.0","id":1,"error":{"code":-32000`, "what may be tried again is refused")
+	answers := c.readLine() + c.readLine()
+	require.Contains(t, answers, `{"jsonrpc":"2.0","id":1,"error":{"code":-32000`, "a repeatable request is rejected")
 	require.Contains(t, answers, `"pushback":100`)
-	require.Contains(t, answers, `{"jsonrpc":"2.0","id":2,"error":{"code":-32001`, "a load that may have run is failed")
+	require.Contains(t, answers, `{"jsonrpc":"2.0","id":2,"error":{"code":-32001`, "a load that may have run fails")
 	require.NoError(t, p.Wait())
-	require.Less(t, time.Since(at), 3700*time.Millisecond, "all is answered and the process is gone before the kill")
+	require.Less(t, time.Since(start), 3700*time.Millisecond, "the process answers all requests and exits before the kill")
 	require.Contains(t, p.logged(), "handed_back=2")
 	eventually(t, func() bool { return e.count(&e.cancelled, "stay") >= 1 && e.count(&e.cancelled, "stay load") == 1 })
 }
 
-// Where all deadlines are short the kill comes sooner than after 3.7 s; what it finds open is lost.
-func TestSIGTERMAnswersAllBeforeTheKillOfShortDeadlines(t *testing.T) {
+// Guards against a shutdown that takes up to 3.7 s although all deadlines are short: the kill then comes sooner, and
+// requests that are still open are lost.
+func TestSIGTERMAnswersAllBeforeAnEarlierKill(t *testing.T) {
 	t.Parallel()
-	const kill = 2200 * time.Millisecond // the longest deadline and 0.7 s
-	short := strings.NewReplacer(`"promiseMs":8000`, `"promiseMs":1000`, `"deadlineMs":10000`, `"deadlineMs":1500`).Replace(settings)
+	const kill = 2200 * time.Millisecond // the longest deadline plus 0.7 s
+	short := strings.NewReplacer(`"promiseMs":8000`, `"promiseMs":1000`, `"deadlineMs":10000`, `"deadlineMs":1500`).Replace(firstSettings)
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p := startWithSettings(t, testdir.Dir(t), j, "", 0, "", short)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "timetable-load", "stay", 6000)) // clients may wait for four times the deadline
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	at := time.Now()
+	start := time.Now()
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	require.Contains(t, c.line(), `"code":-32001`)
+	require.Contains(t, c.readLine(), `"code":-32001`)
 	require.NoError(t, p.Wait())
-	require.Less(t, time.Since(at), kill)
+	require.Less(t, time.Since(start), kill)
 }
 
-// Clients use their open connections until the end: a request just before the last answers must not keep the process.
-func TestSIGTERMEndsInTimeWhileClientsGoOnSending(t *testing.T) {
+// Clients go on sending on their open connections after SIGTERM: a request that arrives just before the last answers
+// must not delay the exit.
+func TestSIGTERMEndsInTimeWhileClientsKeepSending(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "ridership-report", "stay", 20000)) // keeps the connection open
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
@@ -355,10 +359,10 @@
 			n++
 		}
 	}()
-	at := time.Now()
+	start := time.Now()
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	sent := 1
-	for ; time.Since(at) < 3700*time.Millisecond; sent++ {
+	for ; time.Since(start) < 3700*time.Millisecond; sent++ {
 		line := strings.Replace(queryLine(sent+1, "trip-lookup", "x", 9000), `"work":500`, `"work":1`, 1)
 		if _, err := io.WriteString(c, line+"\n"); err != nil {
 			break
@@ -366,7 +370,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	require.NoError(t, p.Wait())
-	require.Less(t, time.Since(at), 3700*time.Millisecond, "gone before the kill")
+	require.Less(t, time.Since(start), 3700*time.Millisecond, "the process exits before the kill")
 	require.Greater(t, <-answered, 100)
 	require.Greater(t, sent, 100)
 }
--- a/cmd/aniseloft/client_test.go
+++ b/cmd/aniseloft/client_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// client is a JSON-RPC connection.
+// client is a client's JSON-RPC connection to the coordinator.
 type client struct {
 	net.Conn
 	t      *testing.T
@@ -37,20 +37,20 @@
 	require.NoError(c.t, err)
 }
 
-func (c *client) line() string {
+func (c *client) readLine() string {
 	s, err := c.reader.ReadString('\n')
 	require.NoError(c.t, err)
 	return s
 }
 
-func (c *client) call(line string) string { c.send(line); return c.line() }
+func (c *client) call(line string) string { c.send(line); return c.readLine() }
 
-func queryLine(id int, class, statement string, ttl int) string {
+func queryLine(id int, class, statement string, timeoutMS int) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"call":"%016x","ttl":%d,"work":500,"ram":4,"doc":%q}}`,
-		id, class, time.Now().UnixNano(), ttl, base64.StdEncoding.EncodeToString([]byte(statement)))
+		id, class, time.Now().UnixNano(), timeoutMS, base64.StdEncoding.EncodeToString([]byte(statement)))
 }
 
-// answerText is the answer's text.
+// answerText returns the text of the result in an answer.
 func answerText(t *testing.T, line string) string {
 	var a struct {
 		Result struct{ Doc string }
--- a/cmd/aniseloft/crossings_test.go
+++ b/cmd/aniseloft/crossings_test.go
@@ -18,20 +18,21 @@
 
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
-	_ "modernc.org/sqlite" // the record that a test holds
+	_ "modernc.org/sqlite" // driver with which a test locks the record
 
 	"aniseloft/internal/overrides"
 	"aniseloft/internal/testdir"
 )
 
-// An engine of a zone or kind that the settings don't name passed for the first of them: classes bound to that went there.
-func TestAnEngineOfAnUnknownZoneOrKindIsLikeNoneOfTheSettings(t *testing.T) {
+// Guards against treating an engine whose zone or kind the settings don't name as one of the first zone or kind: it then
+// got the requests of classes bound to that.
+func TestEngineOfUnknownZoneOrKindGetsNoBoundClass(t *testing.T) {
 	t.Parallel()
 	for _, odd := range [][2]string{{`"zone":"hall-a"`, `"zone":"hall-x"`}, {`"zone":"hall-a"`, `"zone":"Hall-A"`}, {`"kind":"std-16"`, `"kind":"std-99"`}} {
 		e, j := newFakeEngine(t, false), newFakeJournal(t)
 		j.add(true, strings.Replace(serverEntry(1, e, "active"), odd[0], odd[1], 1))
-		set := strings.Replace(settings, `"name":"timetable-load"`, `"confinedTo":[0],"boundTo":[0],"name":"timetable-load"`, 1)
-		p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, set)
+		settings := strings.Replace(firstSettings, `"name":"timetable-load"`, `"confinedTo":[0],"boundTo":[0],"name":"timetable-load"`, 1)
+		p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, settings)
 		c := dialClient(t, p.listen)
 		require.Contains(t, c.call(queryLine(1, "timetable-load", "bound", 1000)), `"code":-32000`, odd)
 		require.Zero(t, e.count(&e.attempts, "bound"), odd)
@@ -39,7 +40,7 @@
 	}
 }
 
-// waitForCounters waits until the counters, printed anew, hold a text.
+// waitForCounters has the counters printed again and again until the log contains text.
 func (p *coordinator) waitForCounters(text string) {
 	p.t.Helper()
 	eventually(p.t, func() bool {
@@ -48,19 +49,19 @@
 	})
 }
 
-// A client of the second front that closed its connection before the first answer was sent on: one without a key has no
-// name for its query, one with a key can come again, and then begins anew. Nor does anything begin that it had sent behind,
-// of which much lies unread.
+// Guards against sending statements of a REST client that has closed its connection before the first answer: without a
+// key the client has no way to refer to its query, and with a key it can send the statement again, which starts it anew.
+// The requests that it sent behind the first one, many bytes of them unread, must not be started either.
 func TestStatementOfDisconnectedClientIsNotSent(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
-	j.add(true) // no engine yet: what comes waits
+	j.add(true) // no engine yet, so statements wait
 	p := startCoordinator(t, testdir.Dir(t), j, true)
-	post := func(statement, more string) string {
+	post := func(statement, headers string) string {
 		return fmt.Sprintf("POST /v1/statement HTTP/1.1\r\nHost: a\r\nX-Trino-User: kiosk\r\nX-Trino-Source: trip-lookup\r\nX-Aniseloft-Work-Ms: 500\r\n%sContent-Length: %d\r\n\r\n%s",
-			more, len(statement), statement)
+			headers, len(statement), statement)
 	}
-	leave := func(taken, text, counters string) {
+	sendAndDisconnect := func(taken, text, counters string) {
 		c := dialClient(t, p.rest)
 		_, err := io.WriteString(c, text)
 		require.NoError(t, err)
@@ -68,9 +69,9 @@
 		_ = c.Close()
 		p.waitForCounters("class=trip-lookup taken=" + taken + " sent=0 " + counters)
 	}
-	leave("1", post("left", ""), "gone=1")
-	leave("2", post("kept", "Idempotency-Key: k\r\n"), "gone=1 answered_served=0 answered_refused=1")
-	leave("3", post("before", "")+post("behind "+strings.Repeat("x", 8<<10), "")+post("last", "Idempotency-Key: l\r\n"), "gone=2 answered_served=0 answered_refused=1")
+	sendAndDisconnect("1", post("left", ""), "gone=1")
+	sendAndDisconnect("2", post("kept", "Idempotency-Key: k\r\n"), "gone=1 answered_served=0 answered_refused=1")
+	sendAndDisconnect("3", post("before", "")+post("behind "+strings.Repeat("x", 8<<10), "")+post("last", "Idempotency-Key: l\r\n"), "gone=2 answered_served=0 answered_refused=1")
 	p.waitForCounters("client_connections addr=" + p.rest + " open=0")
 	j.add(false, serverEntry(1, e, "active"))
 	_, text := followPages(t, p.post("trip-lookup", "k", "kept"))
@@ -79,12 +80,13 @@
 	require.Equal(t, 1, e.count(&e.attempts, "kept"))
 }
 
-// SIGTERM while the start waits for its record: what had connected by then is served, and the program ends cleanly.
+// After a SIGTERM while the start waits for the locked record, clients that have connected are served and the program
+// exits cleanly.
 func TestSIGTERMDuringStartServesConnectedClients(t *testing.T) {
 	t.Parallel()
 	e, j, dir := newFakeEngine(t, false), newFakeJournal(t), testdir.Dir(t)
 	j.add(true, serverEntry(1, e, "active"))
-	p := startCoordinator(t, dir, j, true) // makes the record
+	p := startCoordinator(t, dir, j, true) // creates the record
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, p.Wait())
 	record, err := sql.Open("sqlite", filepath.Join(dir, "record.db"))
@@ -95,24 +97,24 @@
 	again := restartCommand(p)
 	again.Stdout, again.Stderr = p, p
 	require.NoError(t, again.Start())
-	c := dialClient(t, p.listen) // its front listens and its record is held: it does not serve yet
+	c := dialClient(t, p.listen) // the front listens, but nothing is served while the record is locked
 	c.send(queryLine(1, "trip-lookup", "x", 9000))
 	require.NoError(t, again.Process.Signal(syscall.SIGTERM))
 	_, err = record.Exec("ROLLBACK")
 	require.NoError(t, err)
 	require.NoError(t, record.Close())
-	require.Contains(t, c.line(), `"id":1,"result"`)
+	require.Contains(t, c.readLine(), `"id":1,"result"`)
 	require.NoError(t, again.Wait(), "exit code 0")
 }
 
-// SIGTERM in a drain by hand, and a second one: what is open is answered, what rests is closed and not reset.
-func TestSIGTERMTwiceDuringADrainByHand(t *testing.T) {
+// After PAUSE, two SIGTERMs and a SIGHUP the open request is answered, and idle connections are closed and not reset.
+func TestSIGTERMTwiceWhilePaused(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
-	open, rests := dialClient(t, p.listen), dialClient(t, p.listen)
+	p, e, _ := startWithOneEngine(t, false)
+	open, idle := dialClient(t, p.listen), dialClient(t, p.listen)
 	open.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	require.Contains(t, rests.call(queryLine(2, "trip-lookup", "x", 9000)), `"id":2,"result"`)
+	require.Contains(t, idle.call(queryLine(2, "trip-lookup", "x", 9000)), `"id":2,"result"`)
 	a, err := net.Dial("tcp", p.admin)
 	require.NoError(t, err)
 	defer func() { _ = a.Close() }()
@@ -120,28 +122,28 @@
 	answer, err := io.ReadAll(a)
 	require.NoError(t, err)
 	require.Equal(t, "ACK paused\n", string(answer))
-	_, err = rests.reader.ReadByte()
+	_, err = idle.reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	p.waitForLog("now=draining")
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	close(e.release)
-	require.Contains(t, open.line(), `"id":1,"result"`)
+	require.Contains(t, open.readLine(), `"id":1,"result"`)
 	_, err = open.reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.NoError(t, p.Wait(), "exit code 0")
 }
 
-// Clients that rest until the process ends meet a close, and the process waits for none of them.
+// Idle connections are closed and not reset when the process ends, and the process does not wait for their clients.
 func TestIdleConnectionsAreClosedAtShutdown(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, true)
-	var rest []*client
+	p, _, _ := startWithOneEngine(t, true)
+	var idle []*client
 	for id := range 6 {
 		c := dialClient(t, p.listen)
 		require.Contains(t, c.call(queryLine(id+1, "trip-lookup", "x", 9000)), `"result"`)
-		rest = append(rest, c)
+		idle = append(idle, c)
 	}
 	info := dialClient(t, p.rest)
 	_, _ = io.WriteString(info, "GET /v1/info HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -150,16 +152,16 @@
 	_, err = io.Copy(io.Discard, answer.Body)
 	require.NoError(t, err)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	for _, c := range append(rest, info) {
+	for _, c := range append(idle, info) {
 		_, err := c.reader.ReadByte()
-		require.ErrorIs(t, err, io.EOF, "a close, and no reset")
+		require.ErrorIs(t, err, io.EOF, "closed, not reset")
 	}
 	require.NoError(t, p.Wait())
 }
 
-// An upgrade's new process was counted as a successor before the clients' address was open at it: told to end just then, the
-// old one stopped taking connections that nobody took.
-func TestNoSuccessorBeforeItListens(t *testing.T) {
+// Guards against counting the new process of an upgrade as a successor before it listens at the clients' address: an old
+// process that got SIGTERM at that moment stopped accepting connections, and no process accepted them.
+func TestProcessIsNoSuccessorBeforeItListens(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
@@ -175,12 +177,12 @@
 	out, err := c.CombinedOutput()
 	require.Error(t, err)
 	require.Contains(t, string(out), "address already in use")
-	marks, err := filepath.Glob(filepath.Join(tmp, "aniseloft-live-*"))
+	liveFiles, err := filepath.Glob(filepath.Join(tmp, "aniseloft-live-*"))
 	require.NoError(t, err)
-	require.Empty(t, marks)
+	require.Empty(t, liveFiles)
 }
 
-// restartableJournal is a journal service that is down for a while: its address refuses connections until it is up again.
+// restartableJournal is a journal service that can be stopped: its address then refuses connections until it is up again.
 type restartableJournal struct {
 	*fakeJournal
 	addr string
@@ -200,8 +202,8 @@
 	t.Cleanup(func() { _ = s.Close() })
 }
 
-// Idle clients fill the descriptors while discovery is down. One is kept for the watch, and some for engines: news is
-// heard once it is back, and queries are served throughout.
+// Idle clients fill the descriptors while the journal service is down. One descriptor is reserved for the watch and some
+// for engines: updates are received once the service is back, and queries are served throughout.
 func TestIdleClientsLeaveDescriptorsForDiscoveryAndEngines(t *testing.T) {
 	t.Parallel()
 	const limit = 64
@@ -212,7 +214,7 @@
 	service := &restartableJournal{j, j.Listener.Addr().String()}
 	service.down()
 	var idle []*client
-	for id := range 2 * limit { // more than may be; those of before are closed for them
+	for id := range 2 * limit { // more than the limit; earlier connections are closed for them
 		c := dialClient(t, p.listen)
 		c.send(`{"jsonrpc":"2.0","id":1,"method":"alive"}`)
 		if line, err := c.reader.ReadString('\n'); err == nil {
@@ -229,11 +231,11 @@
 	eventually(t, func() bool {
 		return strings.Contains(dialClient(t, p.listen).call(queryLine(3, "trip-lookup", "after", 9000)), `"result"`) && fresh.count(&fresh.attempts, "after") > 0
 	})
-	require.Len(t, idle, 2*limit, "they were held to the end")
+	require.Len(t, idle, 2*limit, "the test keeps all connections to the end")
 }
 
-// Thirty processes that start together, with discovery up, down, down for 8 s and silent: nine in ten are ready within
-// 10 s, and each then answers its clients; where discovery comes back, each receives what has changed meanwhile.
+// Thirty processes start at the same time with discovery up, down, down for 8 s, and silent. Nine in ten must be ready
+// within 10 s, and each must then answer its clients; where discovery comes back, each must receive the updates since.
 func TestThirtyRestartedProcessesAreReadyAgain(t *testing.T) {
 	const processes, maxLate, away = 30, 3, 8 * time.Second
 	for _, discovery := range []string{"up", "down", "down for a while", "silent"} {
@@ -246,7 +248,7 @@
 		case "silent":
 			j.stopAnswering()
 		}
-		all := startAndKill(t, processes, j) // once each has served, all are restarted in one instant
+		all := startAndKill(t, processes, j) // all have served once, and are restarted at the same time
 		if back {
 			service.down()
 			j.add(false, serverEntry(1, e, "leaving"), serverEntry(2, fresh, "active"))
@@ -269,7 +271,7 @@
 	}
 }
 
-// startAndKill starts coordinators one after another, and kills all once the last serves.
+// startAndKill starts coordinators one after another and kills all of them once the last one serves.
 func startAndKill(t *testing.T, count int, j *fakeJournal) []*coordinator {
 	var all []*coordinator
 	for range count {
@@ -286,13 +288,13 @@
 	return all
 }
 
-// massRestart is many restarts in one instant, each on a goroutine of its own.
+// massRestart is the shared state of many restarts at the same time, each on a goroutine of its own.
 type massRestart struct {
 	t         *testing.T
 	discovery string
 	began     time.Time
-	fresh     *fakeEngine   // where set, the engine that only an update after the restart names
-	updateDue time.Duration // after began
+	fresh     *fakeEngine   // if set, the engine that only an update after the restart lists
+	updateDue time.Duration // time after began by which the update must be received
 
 	mu   sync.Mutex
 	late int // coordinators that were not ready in time
@@ -300,7 +302,7 @@
 
 // restart starts a coordinator again, and checks that it is ready, serves and receives the update.
 func (m *massRestart) restart(p *coordinator, index int) {
-	const within = 10 * time.Second
+	const readyLimit = 10 * time.Second
 	command := restartCommand(p)
 	command.Stdout, command.Stderr = p, p
 	if err := command.Start(); err != nil {
@@ -311,7 +313,7 @@
 	c := dialClient(m.t, p.listen)
 	line := c.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`)
 	took := time.Since(m.began)
-	if took > within || !strings.Contains(line, `"pass":true`) {
+	if took > readyLimit || !strings.Contains(line, `"pass":true`) {
 		m.mu.Lock()
 		m.late++
 		m.mu.Unlock()
@@ -322,17 +324,17 @@
 	after := fmt.Sprint("after ", index)
 	for n := 3; m.fresh != nil && m.fresh.count(&m.fresh.attempts, after) == 0; n++ {
 		if time.Since(m.began) > m.updateDue {
-			m.t.Errorf("the update after discovery's return is not received")
+			m.t.Errorf("the update after discovery came back was not received")
 			return
 		}
 		c.call(queryLine(n, "trip-lookup", after, 9000))
 	}
 }
 
-// A class whose name differs in case is none of the settings': nobody gets another's limits.
+// A class name that differs in case from those of the settings is unknown: no client gets the limits of another class.
 func TestClassNamesAreCaseSensitive(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, true)
+	p, e, _ := startWithOneEngine(t, true)
 	c := dialClient(t, p.listen)
 	for id, name := range []string{"Trip-Lookup", "TRIP-LOOKUP", "trip-lookup ", "trip_lookup"} {
 		require.Contains(t, c.call(queryLine(id+1, name, "x", 9000)), `"code":-32601`, name)
@@ -341,11 +343,11 @@
 	require.Zero(t, e.count(&e.attempts, "x"))
 }
 
-// Another process holds the state file's lock and stands still: a ban is answered in its time all the same, holds, and is in
-// the file whole.
+// While another process holds the state file's lock and does not proceed, a suspension is still answered in time, takes
+// effect and is written to the file completely.
 func TestSuspensionDoesNotWaitForTheStateFileLock(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	state := filepath.Join(p.dir, "tmp", "aniseloft-state.json")
 	fd, err := syscall.Open(state+".lock", syscall.O_CREAT|syscall.O_RDWR, 0o600)
 	require.NoError(t, err)
@@ -366,8 +368,9 @@
 	require.Zero(t, e.count(&e.attempts, "x"))
 }
 
-// Two processes of an upgrade are told a ban each in one instant, while a third holds the state file's lock: who wrote the file
-// last wrote over what it had not read, and the other's ban was lost with the next upgrade. The test is the other process.
+// Guards against the loss of a suspension during an upgrade: both processes get one at the same time while a third holds
+// the state file's lock. The last writer overwrites a state that it has not read, and the other suspension was then lost
+// with the next upgrade. The test acts as the other process.
 func TestSuspensionOverwrittenByAnotherProcessIsWrittenAgain(t *testing.T) {
 	t.Parallel()
 	p, _, _, _ := startWithTwoEngines(t)
@@ -375,7 +378,7 @@
 	fd, err := syscall.Open(state+".lock", syscall.O_CREAT|syscall.O_RDWR, 0o600)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Flock(fd, syscall.LOCK_EX|syscall.LOCK_NB))
-	require.Equal(t, "ACK s-00000001 out", p.tell("SUSPEND s-00000001"))
+	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
 	other := overrides.New()
 	other.SetListed("s-00000002", true)
 	_, err = other.Suspend("s-00000002", 1)
@@ -388,5 +391,5 @@
 		text, err := os.ReadFile(state)
 		return err == nil && strings.Contains(string(text), "s-00000001") && strings.Contains(string(text), "s-00000002")
 	})
-	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 1500)), `"error"`, "both are out")
+	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 1500)), `"error"`, "both engines are suspended")
 }
--- a/cmd/aniseloft/damage_test.go
+++ b/cmd/aniseloft/damage_test.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// writePage sends a good answer or, the first time, what its statement says of it.
+// writePage sends a page or, on the first request for it, the damaged answer that its statement names.
 func (e *fakeEngine) writePage(w http.ResponseWriter, s, id string, page int, body string) {
 	var kind string
 	if i := strings.Index(s, "spoil "); i >= 0 {
 		_, _ = fmt.Sscan(s[i+6:], &kind)
 	}
-	again := e.requestedBefore(id + fmt.Sprint(page))
+	repeated := e.requestedBefore(id + fmt.Sprint(page))
 	if kind == "interim" {
 		w.WriteHeader(http.StatusEarlyHints)
 		w.WriteHeader(http.StatusEarlyHints)
 	}
-	if kind == "" || kind == "interim" || again {
+	if kind == "" || kind == "interim" || repeated {
 		_, _ = io.WriteString(w, body)
 		return
 	}
@@ -35,10 +35,10 @@
 	e.mu.Lock()
 	e.hijacked = append(e.hijacked, c)
 	e.mu.Unlock()
-	forever := func(start, more string) {
+	writeEndlessly := func(start, chunk string) {
 		_, err := io.WriteString(c, start)
-		for n := 0; err == nil && n < 4<<20; n += len(more) {
-			_, err = io.WriteString(c, more)
+		for n := 0; err == nil && n < 4<<20; n += len(chunk) {
+			_, err = io.WriteString(c, chunk)
 		}
 	}
 	good, half := head(len(body))+body, body[:len(body)/2]
@@ -66,9 +66,9 @@
 		w.Header().Set("X-Batches", "many")
 		_, _ = io.WriteString(c, head(len(body))+body)
 	case "endless":
-		forever("HTTP/1.1 200 OK\r\n", "X-More: and more\r\n")
+		writeEndlessly("HTTP/1.1 200 OK\r\n", "X-More: and more\r\n")
 	case "huge":
-		forever(head(3000000000), body)
+		writeEndlessly(head(3000000000), body)
 	case "reset":
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
--- a/cmd/aniseloft/engine_test.go
+++ b/cmd/aniseloft/engine_test.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// fakeEngine stands in for an engine of either protocol. What a statement says decides its fate:
-// "fail", "full", "stay" (until given up), "rows N" (N pages of two rows); else one row. Of
-// "spoil KIND" each page comes spoilt in that way the first time that it is asked for; the first
-// connection to bring a call's "unread" is reset with nothing taken, at whichever engine.
+// fakeEngine stands in for an engine of either protocol. Words in a statement decide how the engine answers it: "fail",
+// "full", "stay" (it runs until it is cancelled or release is closed), "rows N" (N pages of two rows); otherwise one row.
+// With "spoil KIND" each page is damaged in that way on its first request. With "unread" the first connection that brings
+// a call is reset and the call not accepted, at whichever engine. With "odd" the notes and load reports are invalid.
 type fakeEngine struct {
 	*httptest.Server
 	mu                              sync.Mutex
-	attempts, cancelled, maxRunning map[string]int // posts, gives-up, and the most at a time, by statement
+	attempts, cancelled, maxRunning map[string]int // POSTs, cancellations, and the most running at a time, by statement
 	running                         map[string]int
-	release                         chan struct{} // closing it ends what stays
+	release                         chan struct{} // closed to let statements with "stay" finish
 	headers                         []http.Header
-	requested                       map[string]bool
-	hijacked                        []net.Conn // from the server, by spoilt answers
+	requested                       map[string]bool // pages that have been requested, by call and number
+	hijacked                        []net.Conn      // connections taken over from the server for damaged answers
 }
 
 func newFakeEngine(t *testing.T, rest bool) *fakeEngine {
@@ -50,13 +50,13 @@
 	return (*m)[s]
 }
 
-// restartCommand tells whether this is not the first time.
-func (e *fakeEngine) requestedBefore(what string) bool {
+// requestedBefore reports whether a page has been requested before, and notes the request.
+func (e *fakeEngine) requestedBefore(page string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	was := e.requested[what]
-	e.requested[what] = true
-	return was
+	before := e.requested[page]
+	e.requested[page] = true
+	return before
 }
 
 func (e *fakeEngine) countStart(r *http.Request, s string) {
@@ -74,7 +74,7 @@
 	e.mu.Unlock()
 }
 
-// pagesOf are a statement's pages as text.
+// pagesOf returns the pages of a statement's result as text.
 func pagesOf(s string) []string {
 	var n int
 	if i := strings.Index(s, "rows "); i < 0 {
@@ -102,14 +102,14 @@
 }
 
 var (
-	statementByID sync.Map // by id: statements that an engine holds
-	resetByID     sync.Map // by id: statements whose first connection was reset
+	statementByID sync.Map // statements that an engine has accepted, by request id
+	resetByID     sync.Map // statements whose first connection was reset, by request id
 )
 
-func firstConnection(id string) bool { _, was := resetByID.LoadOrStore(id, true); return !was }
+func firstConnection(id string) bool { _, before := resetByID.LoadOrStore(id, true); return !before }
 
 func (e *fakeEngine) servePaged(w http.ResponseWriter, r *http.Request) {
-	part := strings.Split(r.URL.Path, "/")
+	pathParts := strings.Split(r.URL.Path, "/")
 	var id, s string
 	switch {
 	case r.URL.Path == "/-/gauges":
@@ -127,7 +127,7 @@
 		e.countStart(r, s)
 		statementByID.Store(id, s)
 	default:
-		id = part[2]
+		id = pathParts[2]
 		v, ok := statementByID.Load(id)
 		if !ok {
 			w.WriteHeader(500)
@@ -137,7 +137,7 @@
 	}
 	page := 0
 	if r.Method == "GET" {
-		_, _ = fmt.Sscan(part[3], &page)
+		_, _ = fmt.Sscan(pathParts[3], &page)
 	}
 	switch {
 	case r.Method == "DELETE":
--- a/cmd/aniseloft/journal_test.go
+++ b/cmd/aniseloft/journal_test.go
@@ -17,7 +17,7 @@
 	mu         sync.Mutex
 	entries    []string
 	polls      int
-	unanswered chan struct{} // once made, polls stay unanswered until it is closed
+	unanswered chan struct{} // if set, polls are not answered until it is closed
 }
 
 func newFakeJournal(t *testing.T) *fakeJournal {
@@ -34,10 +34,10 @@
 			}
 		}
 		j.mu.Lock()
-		mute := j.unanswered
+		unanswered := j.unanswered
 		j.mu.Unlock()
-		if mute != nil {
-			<-mute
+		if unanswered != nil {
+			<-unanswered
 		}
 		_, _ = io.WriteString(w, j.batch(tail))
 	}))
@@ -51,7 +51,7 @@
 	return j
 }
 
-// stopAnswering leaves polls waiting for as long as the test runs.
+// stopAnswering leaves polls without an answer until the test ends.
 func (j *fakeJournal) stopAnswering() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -68,14 +68,14 @@
 
 func serverEntry(n int, e *fakeEngine, state string) string {
 	kind := "std-16"
-	if e.Config.Handler != nil && e.isRest() {
+	if e.Config.Handler != nil && e.isREST() {
 		kind = "rest-16"
 	}
 	return fmt.Sprintf(`{"id":"s-%08x","addr":%q,"zone":"hall-a","kind":%q,"cell":0,"state":%q,"weight":1,"started_ms":0}`,
 		n, e.Listener.Addr(), kind, state)
 }
 
-func (e *fakeEngine) isRest() bool {
+func (e *fakeEngine) isREST() bool {
 	res, err := http.Get(e.URL + "/v1/info")
 	if err != nil {
 		return false
--- a/cmd/aniseloft/jsonrpc_test.go
+++ b/cmd/aniseloft/jsonrpc_test.go
@@ -18,15 +18,15 @@
 	"aniseloft/internal/testdir"
 )
 
-// startWorld is a journal service that knows one engine, and a program that serves.
-func startWorld(t *testing.T, rest bool) (*coordinator, *fakeEngine, *fakeJournal) {
+// startWithOneEngine starts a journal service that lists one engine, and a coordinator.
+func startWithOneEngine(t *testing.T, rest bool) (*coordinator, *fakeEngine, *fakeJournal) {
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	return startCoordinator(t, testdir.Dir(t), j, rest), e, j
 }
 
-// startWorldWithStore is a world with the REST front on and its record in store.
-func startWorldWithStore(t *testing.T, store string) (*coordinator, *fakeEngine, *fakeJournal) {
+// startWithOneEngineAndStore starts the same with the REST front on and its record in store.
+func startWithOneEngineAndStore(t *testing.T, store string) (*coordinator, *fakeEngine, *fakeJournal) {
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	return startWithStore(t, testdir.Dir(t), j, store), e, j
@@ -37,9 +37,9 @@
 	require.Eventually(t, f, maxWait, 5*time.Millisecond)
 }
 
-func TestServesAllPagesInOrderAndPassesFieldsOn(t *testing.T) {
+func TestServesAllPagesInOrderAndForwardsFields(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	statement := "select 'lake_9.x' from sales_17.orders -- rows 5"
 	got := answerText(t, c.call(queryLine(1, "ridership-report", statement, 9000)))
@@ -54,27 +54,27 @@
 
 func TestRejectionHasRetryAfterAndFailureHasNone(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
-	refused := c.call(queryLine(1, "timetable-load", "full", 9000))
-	require.Contains(t, refused, `"code":-32000`)
-	require.Contains(t, refused, `"pushback":2000`)
+	rejected := c.call(queryLine(1, "timetable-load", "full", 9000))
+	require.Contains(t, rejected, `"code":-32000`)
+	require.Contains(t, rejected, `"pushback":2000`)
 	require.Positive(t, e.count(&e.attempts, "full"))
 	failed := c.call(queryLine(2, "timetable-load", "fail", 9000))
 	require.Contains(t, failed, `"code":-32001`)
 	require.Equal(t, 1, e.count(&e.attempts, "fail"), "a load that may have run is never sent again")
 }
 
-func TestBadInputGetsTheStandardErrorsAndTheConnectionLivesOn(t *testing.T) {
+func TestInvalidRequestsGetStandardErrorsAndKeepTheConnection(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, false)
+	p, _, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	for line, code := range map[string]string{
 		`{"jsonrpc":`: "-32700", `[]`: "-32600", `{"jsonrpc":"1.0","id":1,"method":"alive"}`: "-32600", `7`: "-32600",
 		`{"jsonrpc":"2.0","method":"trip-lookup"}`:                                                      "-32600",
 		queryLine(3, "no-such-class", "x", 100):                                                         "-32601",
 		queryLine(4, "trip-lookup", "x", -4):                                                            "-32602",
-		queryLine(4, "trip-lookup", "x", 40001):                                                         "-32602", // the class has 10,000
+		queryLine(4, "trip-lookup", "x", 40001):                                                         "-32602", // above 4 times the class's 10,000 ms
 		queryLine(0, "trip-lookup", "x", 100):                                                           "-32600",
 		strings.Replace(queryLine(5, "trip-lookup", "x", 100), `"id":5`, `"id":"5"`, 1):                 "-32600",
 		strings.Replace(queryLine(5, "trip-lookup", "x", 100), `"call":"`, `"call":"a\r\nX: y`, 1):      "-32602",
@@ -88,34 +88,35 @@
 		require.Contains(t, c.call(line), `"code":`+code, line)
 	}
 	require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(9, "trip-lookup", "x", 9000))))
-	// A bound at the deadline itself failed the clients that wait longer than their class.
+	// Clients may wait longer than their class: a limit at the class's deadline would fail them.
 	require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(10, "trip-lookup", "x", 20000))))
 	_, _ = io.WriteString(c, strings.Repeat("x", 300<<10))
 	_, err := c.reader.ReadString('\n')
 	require.Error(t, err, "an overlong line ends the connection")
 }
 
-// Of two open requests under one id the client could not tell which was answered: neither is served.
+// With two open requests under one id a client could not tell which of them an answer is for, so neither is served.
 func TestTwoRequestsUnderOneIDGetOneError(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	require.Contains(t, c.call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"error":{"code":-32600`)
 	eventually(t, func() bool { return e.count(&e.cancelled, "stay") == 1 })
-	require.Contains(t, c.call(queryLine(2, "trip-lookup", "y", 9000)), `"id":2,"result"`, "no second answer came between")
+	require.Contains(t, c.call(queryLine(2, "trip-lookup", "y", 9000)), `"id":2,"result"`, "no second answer for id 1 came first")
 	require.Zero(t, e.count(&e.attempts, "x"))
 	for id, second := range []string{queryLine(3, "no-such-class", "x", 9000), queryLine(4, "trip-lookup", "x", -1), `{"jsonrpc":"2.0","id":5,"method":"alive"}`} {
 		c.send(queryLine(id+3, "trip-lookup", fmt.Sprint("stay ", id), 9000))
-		require.Contains(t, c.call(second), fmt.Sprintf(`"id":%d,"error":{"code":-32600`, id+3), "also where the second is bad in itself")
+		require.Contains(t, c.call(second), fmt.Sprintf(`"id":%d,"error":{"code":-32600`, id+3), "also where the second request is invalid")
 	}
 }
 
-// Engines know a query by its call: under one that is open, the first's result went to the second.
-func TestACallInUseIsNotTakenTwiceOnAnyConnection(t *testing.T) {
+// Engines identify a query by its call id. Guards against accepting the call id of an open request a second time: the
+// second request then got the result of the first.
+func TestCallIDInUseIsRejectedOnAnyConnection(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c, d := dialClient(t, p.listen), dialClient(t, p.listen)
 	first := queryLine(1, "trip-lookup", "stay", 9000)
 	c.send(first)
@@ -124,27 +125,28 @@
 	require.Contains(t, d.call(other), `"code":-32001`)
 	require.Zero(t, e.count(&e.attempts, "x"))
 	close(e.release)
-	require.Contains(t, c.line(), `"id":1,"result"`)
-	require.Contains(t, d.call(strings.Replace(other, `"id":1`, `"id":2`, 1)), `"id":2,"result"`, "it is free again")
+	require.Contains(t, c.readLine(), `"id":1,"result"`)
+	require.Contains(t, d.call(strings.Replace(other, `"id":1`, `"id":2`, 1)), `"id":2,"result"`, "the call id is free again")
 }
 
-// Clients that keep their connection for good once filled all slots, and others waited unread in the backlog.
-func TestClientsThatHoldOrSayNothingKeepNobodyOut(t *testing.T) {
+// Guards against clients that never close their connections and so fill all slots, while others wait unread in the
+// backlog.
+func TestIdleAndSilentClientsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, true)
+	p, _, _ := startWithOneEngine(t, true)
 	for range 40 { // of 64 descriptors, 21 are for clients
 		require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
 		dialClient(t, p.listen)
 	}
-	for range 10 { // the second front has 5
+	for range 10 { // the REST front has 5
 		dialClient(t, p.rest)
 		require.Equal(t, 200, p.post("trip-lookup", "", "x").status)
 	}
 }
 
-func TestWhatSendsNoWholeMessageIsClosed(t *testing.T) {
+func TestConnectionsWithoutACompleteMessageAreClosed(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, true)
+	p, _, _ := startWithOneEngine(t, true)
 	for addr, text := range map[string]string{p.listen: `{"jsonrpc":"2.0",`, p.rest: "POST /v1/statement HTTP/1.1\r\nContent-Length: 9\r\n\r\nsel"} {
 		for _, first := range []string{"", text} {
 			c := dialClient(t, addr)
@@ -156,18 +158,18 @@
 	}
 }
 
-// Lines that never end, from all clients at once, passed the memory limit.
-func TestEndlessLinesStayWithinTheMemory(t *testing.T) {
+// Guards against exceeding the memory limit while all clients send lines that do not end.
+func TestEndlessLinesStayWithinTheMemoryLimit(t *testing.T) {
 	t.Parallel()
 	if len(buildFlags) > 0 {
-		t.Skip("the race detector's own memory is many times the program's")
+		t.Skip("the race detector needs many times the program's own memory")
 	}
-	p, _, _ := startWorld(t, false)
-	var held []*client
+	p, _, _ := startWithOneEngine(t, false)
+	var clients []*client
 	for range 200 {
 		c := dialClient(t, p.listen)
 		_, _ = io.WriteString(c, strings.Repeat("x", 250<<10))
-		held = append(held, c)
+		clients = append(clients, c)
 	}
 	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
@@ -176,10 +178,11 @@
 	var kb int
 	_, err = fmt.Sscan(peak, &kb)
 	require.NoError(t, err)
-	require.Less(t, kb, 32<<10, "of 32 MB, with %d clients", len(held))
+	require.Less(t, kb, 32<<10, "the limit is 32 MB; %d clients are connected", len(clients))
 }
 
-// Resets on the way counted as the engine's errors, or as proof that it is down: it was left out.
+// Guards against counting connections that are reset before the request is accepted as the engine's errors, or as a sign
+// that it is down: the engine was then ejected.
 func TestLostConnectionsDoNotCountAgainstAnEngine(t *testing.T) {
 	t.Parallel()
 	engines, j := []*fakeEngine{newFakeEngine(t, false), newFakeEngine(t, false), newFakeEngine(t, false)}, newFakeJournal(t)
@@ -201,43 +204,43 @@
 	}
 }
 
-// Statements of open requests were held without a bound: 32 a connection, of 190 KB each.
-func TestStatementsOfOpenRequestsStayWithinTheMemory(t *testing.T) {
+// Guards against holding the statements of open requests without a limit: a connection can have 32 open, of 190 KB each.
+func TestStatementsOfOpenRequestsStayWithinTheMemoryLimit(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	for id := range 32 {
 		c.send(queryLine(id+1, "ridership-report", "stay "+strings.Repeat("x", 180<<10), 9000))
 	}
-	require.Contains(t, c.line(), `"code":-32000,"message":"too much is open","data":{"pushback":2000}`)
+	require.Contains(t, c.readLine(), `"code":-32000,"message":"too much is open","data":{"pushback":2000}`)
 	close(e.release)
 }
 
-var spoils = []string{"interim", "copy", "noise", "shorter", "boundary", "cut", "stopped", "replaced", "head", "misnumbered", "endless", "huge", "reset", "never"}
+var damageKinds = []string{"interim", "copy", "noise", "shorter", "boundary", "cut", "stopped", "replaced", "head", "misnumbered", "endless", "huge", "reset", "never"}
 
-// A spoilt answer failed its query at once, and what was left behind a good one was taken
-// for the next page. Asking again starts nothing, so it is done for loads too.
+// Guards against failing a query for one damaged answer, and against reading the bytes behind a good answer as the next
+// page. Requesting a page again starts nothing, so it is done for loads too.
 func TestDamagedPagesAreRequestedAgain(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
-	statement := func(i int) string { return fmt.Sprintf("insert into sales_%d.x -- rows 3 spoil %s", i, spoils[i]) }
-	for i := range spoils {
+	statement := func(i int) string { return fmt.Sprintf("insert into sales_%d.x -- rows 3 spoil %s", i, damageKinds[i]) }
+	for i := range damageKinds {
 		c.send(queryLine(i+1, "timetable-load", statement(i), 9500))
 	}
-	for range spoils {
-		line := c.line()
+	for range damageKinds {
+		line := c.readLine()
 		var a struct{ ID int }
 		require.NoError(t, json.Unmarshal([]byte(line), &a))
-		require.Contains(t, line, "result", spoils[a.ID-1])
-		require.Equal(t, strings.Join(pagesOf("rows 3"), ""), answerText(t, line), spoils[a.ID-1])
+		require.Contains(t, line, "result", damageKinds[a.ID-1])
+		require.Equal(t, strings.Join(pagesOf("rows 3"), ""), answerText(t, line), damageKinds[a.ID-1])
 		require.Equal(t, 1, e.count(&e.attempts, statement(a.ID-1)))
 	}
 }
 
 func TestCancelAndDisconnectCancelTheAttempt(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "trip-lookup", "stay 1", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay 1") == 1 })
@@ -249,30 +252,31 @@
 	eventually(t, func() bool { return e.count(&e.cancelled, "stay 2") == 1 })
 }
 
-// The cancel once had to be answered before the client was, which made answers late.
-func TestOneAnswerByTheDeadlineAndTheAttemptIsCancelled(t *testing.T) {
+// Guards against late answers: the client must not have to wait until the engine has answered the cancellation.
+func TestExpiredRequestGetsOneAnswerAndIsCancelled(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	require.Contains(t, c.call(queryLine(1, "timetable-load", "stay", 400)), `"code":-32001`)
 	eventually(t, func() bool { return e.count(&e.cancelled, "stay") == 1 })
-	require.Contains(t, c.call(`{"jsonrpc":"2.0","id":2,"method":"alive"}`), `"id":2`, "no second answer came between")
+	require.Contains(t, c.call(`{"jsonrpc":"2.0","id":2,"method":"alive"}`), `"id":2`, "no second answer for id 1 came first")
 }
 
-// Loads of a group stood still behind each other at engines, each holding a connection.
-func TestLoadsOfAGroupMeetAtNoEngine(t *testing.T) {
+// Guards against sending loads of one group to engines at the same time: they wait there for each other, each with a
+// connection of its own.
+func TestLoadsOfAGroupRunOneAtATime(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	statement := "insert into sales_4.fares select stay from staging.new"
 	for id := range 5 {
 		c.send(queryLine(id+1, "timetable-load", statement, 9000))
 	}
 	other := "insert into sales_5.fares select 1"
-	require.Contains(t, c.call(queryLine(6, "timetable-load", other, 9000)), `"id":6,"result"`, "another group passes")
+	require.Contains(t, c.call(queryLine(6, "timetable-load", other, 9000)), `"id":6,"result"`, "a load of another group does not wait")
 	close(e.release)
 	for range 5 {
-		require.Contains(t, c.line(), `"result"`)
+		require.Contains(t, c.readLine(), `"result"`)
 	}
 	require.Equal(t, 5, e.count(&e.attempts, statement))
 	require.Equal(t, 1, e.count(&e.maxRunning, statement))
@@ -280,58 +284,58 @@
 
 func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	p, old, j := startWorld(t, false)
+	p, old, j := startWithOneEngine(t, false)
 	fresh := newFakeEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return old.count(&old.attempts, "stay") == 1 })
 	j.add(false, serverEntry(1, old, "leaving"), serverEntry(2, fresh, "active"))
-	asked := func() int { j.mu.Lock(); defer j.mu.Unlock(); return j.polls }
-	was := asked()
-	eventually(t, func() bool { return asked() > was }) // it has heard and asks for more
+	pollCount := func() int { j.mu.Lock(); defer j.mu.Unlock(); return j.polls }
+	before := pollCount()
+	eventually(t, func() bool { return pollCount() > before }) // the update was received, as the next poll has begun
 	for id := 2; id < 12; id++ {
 		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(id, "trip-lookup", "x", 9000))))
 	}
 	require.Equal(t, 10, fresh.count(&fresh.attempts, "x"))
 	close(old.release)
-	require.Contains(t, c.line(), `"id":1,"result"`, "what runs there ends there")
+	require.Contains(t, c.readLine(), `"id":1,"result"`, "a running request finishes at its engine")
 }
 
 func TestSIGTERMKeepsServingFinishesAndExitsCleanly(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	eventually(t, func() bool { return strings.Contains(p.logged(), "now=draining") })
 	require.Contains(t, dialClient(t, p.listen).call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
-	// What still comes is served; then the connection, with nothing open, is closed for
-	// the successor or another coordinator to take what its client sends next.
+	// A new request is still served. Then the connection, with nothing open on it, is closed, so that the client's
+	// next request goes to the successor or another coordinator.
 	d := dialClient(t, p.listen)
 	require.Contains(t, d.call(queryLine(2, "trip-lookup", "x", 9000)), `"id":2,"result"`)
 	_, err := d.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF)
 	close(e.release)
-	require.Contains(t, c.line(), `"id":1,"result"`)
+	require.Contains(t, c.readLine(), `"id":1,"result"`)
 	require.NoError(t, p.Wait(), "exit code 0")
 	require.Contains(t, p.logged(), "counters class=trip-lookup taken=2 sent=2 gone=0 answered_served=2")
 }
 
 func TestSIGUSR1PrintsTheCounters(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, false)
+	p, _, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.call(queryLine(1, "trip-lookup", "x", 9000))
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("class=trip-lookup taken=1 sent=1")
 }
 
-// A connection that idled longer than an answer may take (400 ms) was taken for closed, as its last
-// call's deadline had passed: at fleet scale, where seconds lie between two calls, nearly each was opened anew.
-func TestAConnectionThatIdlesLongerThanAnAnswerTakesIsUsedAgain(t *testing.T) {
+// Guards against discarding an engine connection that was idle for longer than an answer may take (400 ms), because the
+// deadline of its last call has passed: at fleet scale, with seconds between two calls, nearly every call dialled anew.
+func TestIdleEngineConnectionIsReused(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, false)
+	p, _, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	for i := range 3 {
 		require.Contains(t, c.call(queryLine(i+1, "trip-lookup", "x", 9000)), `"result"`)
@@ -342,14 +346,14 @@
 	require.Regexp(t, `reused=[1-9]\d* stolen=0 expired=0 stale=0 `, p.logged())
 }
 
-func TestTheLogFileAddsALineForEachRequestAndABadOneStopsTheStart(t *testing.T) {
+func TestLogSettingsAddALineForEachRequestAndInvalidOnesPreventTheStart(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	dir := testdir.Dir(t)
 	require.NoError(t, os.MkdirAll(filepath.Join(dir, "deploy"), 0o700))
-	at := filepath.Join(dir, "deploy", "log.json")
-	require.NoError(t, os.WriteFile(at, []byte(`{"level":"debug","counters_every_ms":100}`), 0o600))
+	path := filepath.Join(dir, "deploy", "log.json")
+	require.NoError(t, os.WriteFile(path, []byte(`{"level":"debug","counters_every_ms":100}`), 0o600))
 	p := startCoordinator(t, dir, j, false)
 	dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000))
 	for _, line := range []string{`msg="endpoint listed" endpoint=s-00000001 state=1`, `msg="request admitted" `, `msg="endpoint probed" endpoint=s-00000001 outcome=served`,
@@ -357,16 +361,16 @@
 		p.waitForLog(line)
 	}
 	p.kill()
-	require.NoError(t, os.WriteFile(at, []byte(`{"counters_every_ms":5}`), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(`{"counters_every_ms":5}`), 0o600))
 	out, err := restartCommand(p).CombinedOutput()
 	require.Error(t, err)
 	require.Equal(t, "aniseloft: deploy/log.json: /counters_every_ms: 5 is neither 0 nor at least 100; 0 prints them on SIGUSR1 and at exit only\n", string(out))
 }
 
-// What the module holds true of load was nowhere to be compared with what the sockets carry.
-func TestSIGUSR1ShowsTheModulesBeliefsBesideTheSockets(t *testing.T) {
+// The balancer's view of an engine's load is printed beside the connections in use, so that the two can be compared.
+func TestSIGUSR1PrintsTheBalancersLoadBesideTheConnections(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, false)
+	p, e, _ := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "ridership-report", "stay 1", 9000))
 	c.send(queryLine(2, "ridership-report", "stay 2", 9000))
@@ -377,13 +381,14 @@
 		return line.MatchString(p.logged())
 	})
 	close(e.release)
-	require.Contains(t, c.line()+c.line(), `"result"`)
+	require.Contains(t, c.readLine()+c.readLine(), `"result"`)
 }
 
-// SIGHUP was not caught and ended the program. The poll at the old journal service waits: it must be cut.
-func TestSIGHUPMovesToTheNewJournalAndABadFileChangesNothing(t *testing.T) {
+// Guards against a program that ends on SIGHUP because the signal is not caught. The open poll at the old journal service
+// must be cancelled, as it would keep waiting.
+func TestSIGHUPMovesToTheNewJournalAndAnInvalidFileChangesNothing(t *testing.T) {
 	t.Parallel()
-	p, old, j := startWorld(t, false)
+	p, old, j := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	p.writeConfig("{")
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
@@ -395,7 +400,7 @@
 	p.configure(moved)
 	j.stopAnswering()
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-	eventually(t, func() bool { // it asks again only when it has heard the news
+	eventually(t, func() bool { // it polls again only after it has received the update
 		moved.mu.Lock()
 		defer moved.mu.Unlock()
 		return moved.polls > 1
@@ -408,9 +413,9 @@
 	require.NoError(t, p.Wait(), "exit code 0")
 }
 
-func TestASlowWriterIsServedWhileACrowdComesAndGoes(t *testing.T) {
+func TestSlowClientIsServedWhileManyOthersConnect(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorld(t, false)
+	p, _, _ := startWithOneEngine(t, false)
 	slow := dialClient(t, p.listen)
 	line := queryLine(1, "trip-lookup", "x", 9000) + "\n"
 	done := make(chan struct{})
@@ -423,7 +428,7 @@
 			}
 		}
 	}()
-	for i := range 60 { // of 64 descriptors, 21 are for clients: the crowd idles or stops half way
+	for i := range 60 { // of 64 descriptors, 21 are for clients; these idle or stop in the middle of a line
 		c := dialClient(t, p.listen)
 		if i%2 == 1 {
 			_, _ = io.WriteString(c, `{"jsonrpc":"2.0",`)
@@ -431,5 +436,5 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	<-done
-	require.Contains(t, slow.line(), `"id":1,"result"`)
+	require.Contains(t, slow.readLine(), `"id":1,"result"`)
 }
--- a/cmd/aniseloft/main_test.go
+++ b/cmd/aniseloft/main_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxWait bounds every wait for something that must come; no verdict hangs on how soon.
+// maxWait bounds each wait for an expected event. It is generous, as these tests do not check how soon the event comes.
 const maxWait = 20 * time.Second
 
 var binary string
--- a/cmd/aniseloft/node_test.go
+++ b/cmd/aniseloft/node_test.go
@@ -22,7 +22,7 @@
 	"aniseloft/internal/emulator/loopback"
 )
 
-const settings = `{"balancers":1,"me":0,"tickMs":5,"zone":0,"zones":["hall-a"],"machineTypes":["std-16","rest-16"],
+const firstSettings = `{"balancers":1,"me":0,"tickMs":5,"zone":0,"zones":["hall-a"],"machineTypes":["std-16","rest-16"],
  "bounds":{"cancel":true,"connIdleMs":15000,"connectTimeoutMs":2000,"maxOpen":1000,"maxRetryAfterMs":2000,"probes":true,"retryAfter":true,"sendCap":3},
  "domain":{"sizeCores":[16,16],"kindMemoryMb":[32768,32768],"classThreads":[1,4,2],"writesTables":[false,false,true],"costInAnswers":true,"grantsCount":true,"lanesCount":true,"memoryShort":"line_up","mostGrant":0.4},
  "lanes":[{"name":"trip-lookup","promiseMs":8000,"deadlineMs":10000,"repeat":"repeatable","gain":1,"lateWorth":0.1},
@@ -31,27 +31,28 @@
  "registryMode":"push","report":{"via":"pull","fields":["inflight","util","x1","x0"]},
  "rules":{"answerSlackMs":20,"coldFrom":0.33,"coldMs":15000,"drainGraceMs":1000,"fallMs":2000,"fallMultiple":3}}`
 
-// coordinator is one run of the real program.
+// coordinator runs the real program as a process of its own and collects its log.
 type coordinator struct {
 	*exec.Cmd
 	t            *testing.T
 	dir          string
 	listen       string
 	rest         string
-	admin        string // the operators' address
-	settings     string // the settings; empty: the first deployment's
-	extraMembers string // further members of the configuration
-	maxSockets   int    // descriptors; 0: 64
+	admin        string // address for operators' calls
+	settings     string // the configuration's "settings"; empty: firstSettings
+	extraMembers string // further members of the configuration, each followed by a comma
+	maxSockets   int    // limit of file descriptors; 0: 64
 	log          *bytes.Buffer
 	mu           sync.Mutex
 }
 
 var lastLoopbackHost atomic.Uint32
 
-// claimNetwork claims the loopback network of this run of the tests, until its process ends.
+// claimNetwork claims a loopback network for this run of the tests until its process ends.
 var claimNetwork = sync.OnceValues(loopback.Claim)
 
-// freeAddress is on a loopback address of its own: no test that runs beside it, in this run or another, can take the port.
+// freeAddress returns a free TCP address on a loopback address of its own, so that no concurrent test, in this run or
+// another, can take the port.
 func freeAddress(t *testing.T) string {
 	network, err := claimNetwork()
 	require.NoError(t, err)
@@ -60,7 +61,7 @@
 	return address
 }
 
-// Write collects the log; the program and its reader run at once.
+// Write appends the program's output to the log, which tests read while the program runs.
 func (p *coordinator) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +70,7 @@
 
 func (p *coordinator) logged() string { p.mu.Lock(); defer p.mu.Unlock(); return p.log.String() }
 
-// startCoordinator starts the program; dir is kept over restarts.
+// startCoordinator starts the program in dir, which a restart can use again. If rest is set, the REST front is on.
 func startCoordinator(t *testing.T, dir string, j *fakeJournal, rest bool) *coordinator {
 	if rest {
 		return startWithStore(t, dir, j, filepath.Join(dir, "record.db"))
@@ -77,39 +78,39 @@
 	return startWithStore(t, dir, j, "")
 }
 
-// startWithStore starts it with the REST front on and its record in store, unless that is empty.
+// startWithStore starts the program with the REST front on and its record in store, unless store is empty.
 func startWithStore(t *testing.T, dir string, j *fakeJournal, store string) *coordinator {
 	return startWithSpool(t, dir, j, store, 600, `{}`)
 }
 
-// startWithSpool starts it with a spool too, unless its settings are empty.
-func startWithSpool(t *testing.T, dir string, j *fakeJournal, store string, keep int, spool string) *coordinator {
-	return startWithSettings(t, dir, j, store, keep, spool, "")
+// startWithSpool also sets the spool, which is off if spoolJSON is {}, and for how long ended queries can be read.
+func startWithSpool(t *testing.T, dir string, j *fakeJournal, store string, keepSeconds int, spoolJSON string) *coordinator {
+	return startWithSettings(t, dir, j, store, keepSeconds, spoolJSON, "")
 }
 
-// startWithSettings starts it under other settings than the first deployment's, unless they are empty.
-func startWithSettings(t *testing.T, dir string, j *fakeJournal, store string, keep int, spool, set string) *coordinator {
-	p := &coordinator{t: t, dir: dir, listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{}, settings: set}
+// startWithSettings also replaces firstSettings by settings, unless those are empty.
+func startWithSettings(t *testing.T, dir string, j *fakeJournal, store string, keepSeconds int, spoolJSON, settings string) *coordinator {
+	p := &coordinator{t: t, dir: dir, listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{}, settings: settings}
 	p.configure(j)
 	if store != "" {
 		p.rest = freeAddress(t)
 		require.NoError(t, os.MkdirAll(filepath.Join(dir, "deploy"), 0o700))
-		text := fmt.Sprintf(`{"listen":%q,"store":%q,"keep_seconds":%d,"engine_kinds":["rest-16"],"spool":%s}`, p.rest, store, keep, spool)
+		text := fmt.Sprintf(`{"listen":%q,"store":%q,"keep_seconds":%d,"engine_kinds":["rest-16"],"spool":%s}`, p.rest, store, keepSeconds, spoolJSON)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "deploy", "rest.json"), []byte(text), 0o600))
 	}
 	p.start(os.Environ())
 	return p
 }
 
-// countStart runs the program with the configuration in its folder and $TMPDIR under it,
-// and waits until it says that it serves.
+// start runs the program with the configuration in p.dir and a $TMPDIR below it, and waits until the program reports
+// that it serves.
 func (p *coordinator) start(env []string) {
 	t := p.t
 	tmp := filepath.Join(p.dir, "tmp")
 	require.NoError(t, os.MkdirAll(tmp, 0o700))
 	p.Cmd = exec.Command(binary)
 	p.Dir, p.Stdout, p.Stderr = p.dir, p, p
-	// Built with the race detector, the program would wait a second at its exit for reports.
+	// By default a program built with the race detector waits for a second at its exit.
 	p.Env = slices.Concat(env, []string{"LB_CONFIG=" + filepath.Join(p.dir, "config.json"), "TMPDIR=" + tmp, "GORACE=atexit_sleep_ms=0"})
 	require.NoError(t, p.Start())
 	t.Cleanup(func() {
@@ -123,7 +124,7 @@
 			t.Logf("the end of the program's log:\n%s", log[max(len(log)-4<<10, 0):])
 		}
 	})
-	// The clients' address may be another process's too: this one is asked at its own.
+	// Another process may listen at the clients' address too, so the status is read at this process's admin address.
 	eventually(t, func() bool {
 		c, err := net.Dial("tcp", p.admin)
 		if err != nil {
@@ -136,17 +137,17 @@
 	})
 }
 
-// configure writes the configuration with j for its journal service.
+// configure writes the configuration, with j as the journal service.
 func (p *coordinator) configure(j *fakeJournal) {
 	p.writeConfig(fmt.Sprintf(`{"name":"n0","listen":%q,"admin":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":32,"sockets":%d},"journal":%q,"known":%s,%s"settings":%s}`,
-		p.listen, p.admin, max(p.maxSockets, 64), j.Listener.Addr(), j.batch(0), p.extraMembers, cmp.Or(p.settings, settings)))
+		p.listen, p.admin, max(p.maxSockets, 64), j.Listener.Addr(), j.batch(0), p.extraMembers, cmp.Or(p.settings, firstSettings)))
 }
 
 func (p *coordinator) writeConfig(conf string) {
 	require.NoError(p.t, os.WriteFile(filepath.Join(p.dir, "config.json"), []byte(conf), 0o600))
 }
 
-// waitForLog waits for a line of the log.
+// waitForLog waits until the log contains text.
 func (p *coordinator) waitForLog(text string) {
 	p.t.Helper()
 	eventually(p.t, func() bool { return strings.Contains(p.logged(), text) })
@@ -161,7 +162,7 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "deploy", "rest.json"), []byte(text), 0o600))
 }
 
-// requestedBefore is the same start once more.
+// restartCommand returns a command that starts the program again with p's directory and environment.
 func restartCommand(p *coordinator) *exec.Cmd {
 	c := exec.Command(binary)
 	c.Dir, c.Env = p.dir, p.Env
--- a/cmd/aniseloft/postgres_test.go
+++ b/cmd/aniseloft/postgres_test.go
@@ -8,11 +8,11 @@
 	"aniseloft/internal/pgtest"
 )
 
-func TestPostgresKeepsTheRecordToo(t *testing.T) {
+func TestRecordInPostgres(t *testing.T) {
 	t.Parallel()
 	pg := pgtest.NewServer(t)
 	dsn := pg.DSN
-	p, e, j := startWorldWithStore(t, dsn)
+	p, e, j := startWithOneEngineAndStore(t, dsn)
 	first := p.post("timetable-load", "k1", "it's done")
 	_, text := followPages(t, first)
 	require.Equal(t, "a\tb\tc\n", text)
@@ -28,7 +28,7 @@
 	require.Equal(t, open.ID, end.ID)
 	require.Equal(t, "GENERIC_INTERNAL_ERROR", end.Error.ErrorName)
 	require.Equal(t, 1, e.count(&e.attempts, "stay"))
-	pg.Unavailable.Store(true) // store trouble refuses, and nothing is sent
+	pg.Unavailable.Store(true) // while the store is unavailable, statements are rejected and not sent
 	require.Equal(t, 429, q.post("trip-lookup", "", "unsent").status)
 	require.Zero(t, e.count(&e.attempts, "unsent"))
 }
--- a/cmd/aniseloft/race_test.go
+++ b/cmd/aniseloft/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// The program is run with the race detector where the tests are.
+// buildFlags builds the program with the race detector where the tests are built with it.
 var buildFlags = []string{"-race"}
--- a/cmd/aniseloft/rest_engine_test.go
+++ b/cmd/aniseloft/rest_engine_test.go
@@ -27,14 +27,14 @@
 		_, _ = fmt.Fprintf(w, `{"id":%q,"nextUri":"http://%s/v1/statement/executing/%s/s/0","stats":{"state":"QUEUED"}}`, id, r.Host, id)
 		return
 	}
-	part := strings.Split(r.URL.Path, "/")
-	v, ok := statementByID.Load(part[4])
+	pathParts := strings.Split(r.URL.Path, "/")
+	v, ok := statementByID.Load(pathParts[4])
 	if !ok {
 		w.WriteHeader(404)
 		return
 	}
 	s, page := v.(string), 0
-	_, _ = fmt.Sscan(part[6], &page)
+	_, _ = fmt.Sscan(pathParts[6], &page)
 	switch {
 	case r.Method == "DELETE":
 		e.mu.Lock()
@@ -51,7 +51,7 @@
 		rows := pagesOf(s)
 		next := ""
 		if page+1 < len(rows) {
-			next = fmt.Sprintf(`"nextUri":"http://%s/v1/statement/executing/%s/s/%d",`, r.Host, part[4], page+1)
+			next = fmt.Sprintf(`"nextUri":"http://%s/v1/statement/executing/%s/s/%d",`, r.Host, pathParts[4], page+1)
 		} else {
 			e.countStop(s)
 		}
@@ -60,6 +60,6 @@
 			split = append(split, strings.Split(row, "\t"))
 		}
 		data, _ := json.Marshal(split)
-		e.writePage(w, s, part[4], page, fmt.Sprintf(`{"id":"x",%s"data":%s,"stats":{"state":"RUNNING","cpuTimeMillis":500,"peakMemoryBytes":4194304}}`, next, data))
+		e.writePage(w, s, pathParts[4], page, fmt.Sprintf(`{"id":"x",%s"data":%s,"stats":{"state":"RUNNING","cpuTimeMillis":500,"peakMemoryBytes":4194304}}`, next, data))
 	}
 }
--- a/cmd/aniseloft/rest_test.go
+++ b/cmd/aniseloft/rest_test.go
@@ -21,7 +21,7 @@
 
 type statementResponse struct {
 	status      int
-	retry       string
+	retryAfter  string
 	ID, NextURI string
 	Data        [][]string
 	Columns     []struct{ Name, Type string }
@@ -29,7 +29,7 @@
 	Stats       struct{ State string }
 }
 
-// doREST makes one call of the paged protocol.
+// doREST sends one request of the paged REST protocol and returns its answer.
 func doREST(t *testing.T, method, uri, body string, headers ...string) (r statementResponse) {
 	req, err := http.NewRequest(method, uri, strings.NewReader(body))
 	require.NoError(t, err)
@@ -41,23 +41,23 @@
 	defer func() { _ = res.Body.Close() }()
 	text, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
-	r.status, r.retry = res.StatusCode, res.Header.Get("Retry-After")
+	r.status, r.retryAfter = res.StatusCode, res.Header.Get("Retry-After")
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "application/json") {
 		require.NoError(t, json.Unmarshal(text, &r), string(text))
 	}
 	return r
 }
 
-func (p *coordinator) post(class, key, statement string, more ...string) statementResponse {
-	h := append([]string{"X-Trino-User", "kiosk", "X-Trino-Source", class,
-		"X-Aniseloft-Work-Ms", "500", "X-Aniseloft-Memory-Mb", "4"}, more...)
+func (p *coordinator) post(class, key, statement string, headers ...string) statementResponse {
+	all := append([]string{"X-Trino-User", "kiosk", "X-Trino-Source", class,
+		"X-Aniseloft-Work-Ms", "500", "X-Aniseloft-Memory-Mb", "4"}, headers...)
 	if key != "" {
-		h = append(h, "Idempotency-Key", key)
+		all = append(all, "Idempotency-Key", key)
 	}
-	return doREST(p.t, "POST", "http://"+p.rest+"/v1/statement", statement, h...)
+	return doREST(p.t, "POST", "http://"+p.rest+"/v1/statement", statement, all...)
 }
 
-// followPages follows a query to its end and returns its rows as text.
+// followPages follows a query to its end, and returns the last answer and all rows as text.
 func followPages(t *testing.T, r statementResponse) (statementResponse, string) {
 	var text strings.Builder
 	for {
@@ -71,28 +71,29 @@
 	}
 }
 
-// isRejected tells whether a query ended as refused, with the time to stay away: on its POST or, where that was
-// answered before the end, at the address that it named.
+// isRejected reports whether a query ended with a rejection and its retry-after time: in the answer to its POST or, where
+// that came before the end, at the address that the answer named.
 func isRejected(t *testing.T, r statementResponse) bool {
 	r, _ = followPages(t, r)
-	return (r.status == 429 || r.Error != nil && r.Error.ErrorName == "QUERY_QUEUE_FULL") && r.retry == "2"
+	return (r.status == 429 || r.Error != nil && r.Error.ErrorName == "QUERY_QUEUE_FULL") && r.retryAfter == "2"
 }
 
-// untilDeadline has a statement that stays outlive its time, which it is given more of until it has begun: what a
-// machine that stands still leaves no time for is refused, as it never ran, and its key is free again.
-func untilDeadline[R any](t *testing.T, e *fakeEngine, statement string, post func(ms int) R, refused func(R) bool) R {
-	for ms := 400; ; ms *= 2 {
-		if r := post(ms); !refused(r) || e.count(&e.attempts, statement) > 0 {
+// postUntilStarted posts a statement that outlives its timeout, and doubles the timeout until an attempt has started. On
+// a slow machine a short timeout leaves no time to start: the statement is rejected, as it never ran, and its key is free
+// again.
+func postUntilStarted[R any](t *testing.T, e *fakeEngine, statement string, post func(timeoutMS int) R, rejected func(R) bool) R {
+	for timeoutMS := 400; ; timeoutMS *= 2 {
+		if r := post(timeoutMS); !rejected(r) || e.count(&e.attempts, statement) > 0 {
 			eventually(t, func() bool { return e.count(&e.attempts, statement) > 0 })
 			return r
 		}
-		require.Less(t, ms, 8000, "nothing begins on this machine")
+		require.Less(t, timeoutMS, 8000, "no attempt starts on this machine")
 	}
 }
 
-func TestRestServesAllPages(t *testing.T) {
+func TestRESTServesAllPages(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, true)
+	p, e, _ := startWithOneEngine(t, true)
 	statement := "select * from sales_3.trips -- rows 5"
 	first := p.post("ridership-report", "", statement)
 	require.Equal(t, 200, first.status)
@@ -105,13 +106,13 @@
 
 func TestRESTRejectionsFailuresAndBadRequests(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, true)
+	p, e, _ := startWithOneEngine(t, true)
 	require.True(t, isRejected(t, p.post("trip-lookup", "", "full")))
 	failed, _ := followPages(t, p.post("timetable-load", "k1", "fail"))
 	require.Equal(t, "GENERIC_INTERNAL_ERROR", failed.Error.ErrorName)
 	require.Equal(t, 1, e.count(&e.attempts, "fail"))
-	late := untilDeadline(t, e, "stay", func(ms int) statementResponse {
-		r, _ := followPages(t, p.post("timetable-load", "k2", "stay", "X-Aniseloft-Timeout-Ms", fmt.Sprint(ms)))
+	late := postUntilStarted(t, e, "stay", func(timeoutMS int) statementResponse {
+		r, _ := followPages(t, p.post("timetable-load", "k2", "stay", "X-Aniseloft-Timeout-Ms", fmt.Sprint(timeoutMS)))
 		return r
 	}, func(r statementResponse) bool { return isRejected(t, r) })
 	require.Equal(t, "GENERIC_INTERNAL_ERROR", late.Error.ErrorName)
@@ -127,9 +128,9 @@
 	require.Equal(t, 413, doREST(t, "POST", base+"/v1/statement", strings.Repeat("x", 300<<10), "X-Trino-User", "kiosk").status)
 }
 
-func TestRestCancelReachesTheEngine(t *testing.T) {
+func TestRESTCancelReachesTheEngine(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorld(t, true)
+	p, e, _ := startWithOneEngine(t, true)
 	r := p.post("trip-lookup", "", "stay")
 	require.NotEmpty(t, r.NextURI)
 	require.Equal(t, 204, doREST(t, "DELETE", r.NextURI, "").status)
@@ -138,8 +139,8 @@
 	require.Equal(t, "USER_CANCELED", end.Error.ErrorName)
 }
 
-// The REST front is off as committed, and then opens nothing.
-func TestMisspeltRestSettingsStopTheStart(t *testing.T) {
+// A misspelt REST setting prevents the start, with one line that names the file.
+func TestMisspeltRESTSettingsPreventTheStart(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
@@ -154,7 +155,7 @@
 
 func TestPageThreeIsServedAfterARestart(t *testing.T) {
 	t.Parallel()
-	p, e, j := startWorld(t, true)
+	p, e, j := startWithOneEngine(t, true)
 	statement := "select * from sales_3.trips -- rows 4"
 	r := p.post("ridership-report", "", statement)
 	r = doREST(t, "GET", r.NextURI, "")
@@ -168,7 +169,8 @@
 	require.Equal(t, 1, e.count(&e.attempts, statement))
 }
 
-// The other engine driver has the same guards; before its first answer there is no address to ask at.
+// The driver for REST engines also requests damaged pages again, except a damaged first answer: before that there is no
+// address from which to request a page.
 func TestDamagedPagesOfRESTEnginesAreRequestedAgain(t *testing.T) {
 	t.Parallel()
 	e, j := newFakeEngine(t, true), newFakeJournal(t)
@@ -179,13 +181,13 @@
 		c.send(queryLine(i+1, "timetable-load", fmt.Sprintf("insert into sales_%d.x -- rows 2 spoil %s", i, kind), 9500))
 	}
 	for range 11 {
-		require.Equal(t, strings.Join(pagesOf("rows 2"), ""), answerText(t, c.line()))
+		require.Equal(t, strings.Join(pagesOf("rows 2"), ""), answerText(t, c.readLine()))
 	}
 }
 
-func TestALoadNeverRunsTwiceOverResendsAndAKill(t *testing.T) {
+func TestLoadRunsOnceDespiteResendsAndAKill(t *testing.T) {
 	t.Parallel()
-	p, e, j := startWorld(t, true)
+	p, e, j := startWithOneEngine(t, true)
 	first := p.post("timetable-load", "k1", "done")
 	_, text := followPages(t, first)
 	again, same := followPages(t, p.post("timetable-load", "k1", "done"))
@@ -205,51 +207,52 @@
 	require.Equal(t, 1, e.count(&e.attempts, "stay"))
 }
 
-// outcomeScript are the fates of the statements that TestFrontsAndEngineKindsGiveTheSameOutcomes sends in each class.
+// outcomeScript lists the words of fakeEngine for the statements that TestFrontsAndEngineKindsGiveTheSameOutcomes sends
+// in each class.
 var outcomeScript = []string{"x", "rows 3", "full", "fail", "stay", "x", "fail", "rows 2", "full"}
 
-// TestFrontsAndEngineKindsGiveTheSameOutcomes plays one script over both fronts and both kinds of engines and compares the
-// outcome counts of each class.
+// TestFrontsAndEngineKindsGiveTheSameOutcomes sends the statements of outcomeScript over both fronts to both kinds of
+// engines, and compares the outcome counts of each class.
 func TestFrontsAndEngineKindsGiveTheSameOutcomes(t *testing.T) {
 	t.Parallel()
-	ways := [4][2]bool{{false, false}, {false, true}, {true, false}, {true, true}}
-	var got [len(ways)]map[string]int
-	t.Run("ways", func(t *testing.T) { // side by side: most of each is waiting for deadlines
-		for i, way := range ways {
-			t.Run(fmt.Sprintf("rest engine %t, rest front %t", way[0], way[1]), func(t *testing.T) {
+	combinations := [4][2]bool{{false, false}, {false, true}, {true, false}, {true, true}}
+	var got [len(combinations)]map[string]int
+	t.Run("combinations", func(t *testing.T) { // in parallel, as each mostly waits for deadlines
+		for i, combination := range combinations {
+			t.Run(fmt.Sprintf("rest engine %t, rest front %t", combination[0], combination[1]), func(t *testing.T) {
 				t.Parallel()
-				got[i] = countOutcomes(t, way[0], way[1])
+				got[i] = countOutcomes(t, combination[0], combination[1])
 			})
 		}
 	})
-	require.Len(t, got[0], 7, "refusals and failures are among them: %v", got[0])
-	for i, way := range ways {
-		require.Equal(t, got[0], got[i], "rest engine, rest front: %v", way)
+	require.Len(t, got[0], 7, "rejections and failures are among the outcomes: %v", got[0])
+	for i, combination := range combinations {
+		require.Equal(t, got[0], got[i], "rest engine, rest front: %v", combination)
 	}
 }
 
-// countOutcomes plays the script in every class and counts the outcomes by class.
+// countOutcomes sends the statements of outcomeScript in every class and counts the outcomes by class.
 func countOutcomes(t *testing.T, restEngine, restFront bool) map[string]int {
 	e, j := newFakeEngine(t, restEngine), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p, got := startCoordinator(t, testdir.Dir(t), j, true), map[string]int{}
 	c := dialClient(t, p.listen)
 	for _, class := range []string{"trip-lookup", "ridership-report", "timetable-load"} {
-		for i, what := range outcomeScript {
-			statement := fmt.Sprintf("%s %s %d", what, class, i)
+		for i, word := range outcomeScript {
+			statement := fmt.Sprintf("%s %s %d", word, class, i)
 			post := func(timeoutMS int) string {
 				if restFront {
 					return restOutcome(t, p.post(class, fmt.Sprintf("%s-%d", class, i), statement, "X-Aniseloft-Timeout-Ms", fmt.Sprint(timeoutMS)))
 				}
 				return jsonrpcOutcome(c.call(queryLine(1, class, statement, timeoutMS)))
 			}
-			var end string
-			if what == "stay" {
-				end = untilDeadline(t, e, statement, post, func(end string) bool { return end == "refused" })
+			var outcome string
+			if word == "stay" {
+				outcome = postUntilStarted(t, e, statement, post, func(outcome string) bool { return outcome == "rejected" })
 			} else {
-				end = post(9000)
+				outcome = post(9000)
 			}
-			got[class+" "+end]++
+			got[class+" "+outcome]++
 		}
 	}
 	return got
@@ -258,7 +261,7 @@
 func jsonrpcOutcome(line string) string {
 	switch {
 	case strings.Contains(line, `"code":-32000`):
-		return "refused"
+		return "rejected"
 	case strings.Contains(line, `"error"`):
 		return "failed"
 	}
@@ -269,7 +272,7 @@
 	r, _ := followPages(t, response)
 	switch {
 	case isRejected(t, r):
-		return "refused"
+		return "rejected"
 	case r.Error != nil:
 		return "failed"
 	}
@@ -278,9 +281,9 @@
 
 func TestRESTFrontDrainsToo(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorldWithStore(t, filepath.Join(testdir.Dir(t), "record.db"))
-	// Each call on a connection of its own: one that rests is closed by the drain, and a POST that crosses that is not
-	// sent again by Go's client.
+	p, _, _ := startWithOneEngineAndStore(t, filepath.Join(testdir.Dir(t), "record.db"))
+	// Each call uses a connection of its own: the drain closes idle connections, and Go's client does not resend a POST
+	// that was sent while its connection was being closed.
 	info := func() string {
 		req, err := http.NewRequest("GET", "http://"+p.rest+"/v1/info", nil)
 		require.NoError(t, err)
@@ -303,7 +306,7 @@
 	line, err := r.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, line, "200")
-	for len(line) > 2 { // the head, to the empty line
+	for len(line) > 2 { // skips the header, up to the empty line
 		line, err = r.ReadString('\n')
 		require.NoError(t, err)
 	}
@@ -314,16 +317,16 @@
 	_, err = r.ReadByte()
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "kept open while serving")
 
-	require.Equal(t, "ACK paused", p.tell("PAUSE"))
-	require.NoError(t, keep.SetReadDeadline(time.Now().Add(due)))
+	require.Equal(t, "ACK paused", p.adminCall("PAUSE"))
+	require.NoError(t, keep.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
 	_, err = r.ReadByte()
 	require.ErrorIs(t, err, io.EOF, "the idle connection is closed at once")
 	require.Contains(t, info(), `"starting":true`, "not ready while paused")
 	time.Sleep(1700 * time.Millisecond)
-	refused := p.post("trip-lookup", "", "x", "Connection", "close")
-	require.Equal(t, 429, refused.status, "a statement after 1.6 s is sent away")
-	require.Equal(t, "1", refused.retry)
-	require.Equal(t, "ACK resumed", p.tell("RESUME"))
+	rejected := p.post("trip-lookup", "", "x", "Connection", "close")
+	require.Equal(t, 429, rejected.status, "a statement that comes later than 1.6 s after the pause is rejected")
+	require.Equal(t, "1", rejected.retryAfter)
+	require.Equal(t, "ACK resumed", p.adminCall("RESUME"))
 	_, text := followPages(t, p.post("trip-lookup", "", "x", "Connection", "close"))
 	require.Equal(t, "a\tb\tc\n", text)
 }
--- a/cmd/aniseloft/spool_test.go
+++ b/cmd/aniseloft/spool_test.go
@@ -18,17 +18,18 @@
 	"aniseloft/internal/testdir"
 )
 
-// startWorldWithSpool is a world whose results wait in a spool; an empty directory: in memory.
-func startWorldWithSpool(t *testing.T, keep int, spool string) (*coordinator, *fakeEngine, *fakeJournal) {
+// startWithOneEngineAndSpool starts a coordinator with one engine and a spool, which is in memory if spoolJSON names no
+// directory.
+func startWithOneEngineAndSpool(t *testing.T, keepSeconds int, spoolJSON string) (*coordinator, *fakeEngine, *fakeJournal) {
 	e, j, dir := newFakeEngine(t, false), newFakeJournal(t), testdir.Dir(t)
 	j.add(true, serverEntry(1, e, "active"))
-	return startWithSpool(t, dir, j, filepath.Join(dir, "record.db"), keep, spool), e, j
+	return startWithSpool(t, dir, j, filepath.Join(dir, "record.db"), keepSeconds, spoolJSON), e, j
 }
 
-func TestPagesComeFromTheSpoolAlsoAfterAKill(t *testing.T) {
+func TestSpoolServesPagesAlsoAfterAKill(t *testing.T) {
 	t.Parallel()
 	const settings = `{"directory":"spool","total_mb":8}`
-	p, e, j := startWorldWithSpool(t, 600, settings)
+	p, e, j := startWithOneEngineAndSpool(t, 600, settings)
 	statement := "select * from sales_3.trips -- rows 4"
 	first := p.post("ridership-report", "", statement)
 	second := doREST(t, "GET", first.NextURI, "")
@@ -47,25 +48,25 @@
 	require.Contains(t, string(out), "in use")
 }
 
-// What could find no room is refused before it is sent, and told when to come back.
+// A query whose result may not fit into the spool is rejected before it is sent, with a time after which to retry.
 func TestFullSpoolRejectsBeforeAnyAttempt(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWorldWithSpool(t, 600, `{"total_mb":0.1}`) // room for two results as large as one may be
+	p, e, _ := startWithOneEngineAndSpool(t, 600, `{"total_mb":0.1}`) // room for two results of the maximum size
 	one, two := p.post("ridership-report", "", "stay 1"), p.post("ridership-report", "", "stay 2")
 	require.Equal(t, 200, two.status)
-	full := p.post("timetable-load", "k", "load 3")
-	require.Equal(t, 429, full.status)
-	require.Equal(t, "2", full.retry)
+	rejected := p.post("timetable-load", "k", "load 3")
+	require.Equal(t, 429, rejected.status)
+	require.Equal(t, "2", rejected.retryAfter)
 	require.Zero(t, e.count(&e.attempts, "load 3"))
 	require.Equal(t, 204, doREST(t, "DELETE", one.NextURI, "").status)
 	end, _ := followPages(t, p.post("timetable-load", "k", "load 3"))
-	require.Equal(t, "FINISHED", end.Stats.State, "the room is free at once, and so is the key")
+	require.Equal(t, "FINISHED", end.Stats.State, "the cancelled result's room and the rejected request's key are free at once")
 	require.Equal(t, 1, e.count(&e.attempts, "load 3"))
 }
 
-func TestAResultThatIsOverHasOneClearEnd(t *testing.T) {
+func TestExpiredAndCancelledResultsAreReportedAsAbandoned(t *testing.T) {
 	t.Parallel()
-	p, _, _ := startWorldWithSpool(t, 2, `{"total_mb":1}`)
+	p, _, _ := startWithOneEngineAndSpool(t, 2, `{"total_mb":1}`)
 	late := p.post("ridership-report", "", "rows 3")
 	require.NotEmpty(t, late.NextURI)
 	dropped := p.post("ridership-report", "", "rows 2")
@@ -73,7 +74,7 @@
 	require.Equal(t, "ABANDONED_QUERY", doREST(t, "GET", dropped.NextURI, "").Error.ErrorName)
 	eventually(t, func() bool {
 		r := doREST(t, "GET", strings.TrimSuffix(late.NextURI, "1")+"2", "")
-		time.Sleep(2100 * time.Millisecond) // each read renews its promise
+		time.Sleep(2100 * time.Millisecond) // each read extends the time for which the result is kept
 		return r.Error != nil
 	})
 	for range 2 {
@@ -84,16 +85,16 @@
 	}
 }
 
-// largeResultEngine is a REST engine whose results have pages of 256 KB, made as they are asked for. It
-// holds memory for a query until its last page has gone.
+// largeResultEngine is a REST engine whose results have pages of 256 KB, generated on request. It holds memory for a query
+// until its last page has been requested.
 type largeResultEngine struct {
 	*httptest.Server
-	pages   int
-	pace    time.Duration // of each page
-	dieAt   int32         // the page at which the first attempt's connections end; 0: none
-	died    atomic.Bool
-	holding atomic.Int32
-	started atomic.Int32
+	pages      int
+	pageDelay  time.Duration // before each page
+	failAtPage int32         // the page whose first request fails, and with it the query; 0: none
+	failed     atomic.Bool
+	holding    atomic.Int32 // queries for which memory is held
+	started    atomic.Int32 // queries posted
 }
 
 func newLargeResultEngine(t *testing.T, pages int) *largeResultEngine {
@@ -120,13 +121,13 @@
 	} else {
 		_, _ = fmt.Sscan(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], &page)
 	}
-	if b.dieAt > 0 && page == int(b.dieAt) && !b.died.Load() || page == 0 && r.Method == "GET" {
-		b.died.Store(true)
+	if b.failAtPage > 0 && page == int(b.failAtPage) && !b.failed.Load() || page == 0 && r.Method == "GET" {
+		b.failed.Store(true)
 		b.holding.Add(-1)
 		w.WriteHeader(500)
 		return
 	}
-	time.Sleep(b.pace)
+	time.Sleep(b.pageDelay)
 	next := fmt.Sprintf(`"nextUri":"http://%s/v1/statement/executing/q/s/%d",`, r.Host, page+1)
 	if page+1 == b.pages {
 		next = ""
@@ -136,12 +137,12 @@
 	_, _ = fmt.Fprintf(w, `{"id":"x",%s"data":[%s,%s,%s,%s],"stats":{"state":"RUNNING"}}`, next, row, row, row, row)
 }
 
-func (b *largeResultEngine) line(n int) string {
+func (b *largeResultEngine) serverEntry(n int) string {
 	return fmt.Sprintf(`{"id":"s-%08x","addr":%q,"zone":"hall-a","kind":"rest-16","cell":0,"state":"active","weight":1,"started_ms":0}`, n, b.Listener.Addr())
 }
 
-// peak is the most memory that the program has held, in MB.
-func (p *coordinator) peak() int {
+// peakMemoryMB returns the most resident memory that the program has had, in MB.
+func (p *coordinator) peakMemoryMB() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	require.NoError(p.t, err)
 	var kb int
@@ -150,20 +151,20 @@
 	return kb >> 10
 }
 
-// A result far larger than the program's memory goes through it to the disk; its engine is
-// free though the client has read nothing but the first word. ANISELOFT_BIG_MB makes it larger.
-func TestALargeResultFreesItsEngineWhileItsReaderStops(t *testing.T) {
+// A result far larger than the program's memory is spooled to disk, and frees its engine although the client has read
+// only the first answer. ANISELOFT_BIG_MB sets another size, in MB.
+func TestLargeResultFreesItsEngineBeforeItIsRead(t *testing.T) {
 	t.Parallel()
-	mb := 48
+	sizeMB := 48
 	if v := os.Getenv("ANISELOFT_BIG_MB"); v != "" {
-		_, err := fmt.Sscan(v, &mb)
+		_, err := fmt.Sscan(v, &sizeMB)
 		require.NoError(t, err)
 	}
-	e, j, dir := newLargeResultEngine(t, mb*4), newFakeJournal(t), testdir.Dir(t)
-	e.pace = 10 * time.Millisecond // longer in all than the module waits for a silent engine
-	j.add(true, e.line(1))
-	patient := strings.ReplaceAll(settings, `"deadlineMs":10000`, `"deadlineMs":60000`) // a slow machine has its time too
-	p := startWithSettings(t, dir, j, filepath.Join(dir, "record.db"), 600, fmt.Sprintf(`{"directory":"spool","total_mb":%d}`, mb+16), patient)
+	e, j, dir := newLargeResultEngine(t, sizeMB*4), newFakeJournal(t), testdir.Dir(t)
+	e.pageDelay = 10 * time.Millisecond // in total longer than the balancer waits for a silent engine
+	j.add(true, e.serverEntry(1))
+	longDeadlines := strings.ReplaceAll(firstSettings, `"deadlineMs":10000`, `"deadlineMs":60000`) // also enough on a slow machine
+	p := startWithSettings(t, dir, j, filepath.Join(dir, "record.db"), 600, fmt.Sprintf(`{"directory":"spool","total_mb":%d}`, sizeMB+16), longDeadlines)
 	r := p.post("ridership-report", "", "select * from sales_3.trips")
 	require.Equal(t, 200, r.status)
 	eventually(t, func() bool { return e.started.Load() == 1 && e.holding.Load() == 0 })
@@ -176,23 +177,23 @@
 		}
 	}
 	require.Nil(t, r.Error)
-	require.Equal(t, mb*4-1, page)
+	require.Equal(t, sizeMB*4-1, page)
 	require.Equal(t, fmt.Sprint(page), r.Data[3][0])
-	if len(buildFlags) == 0 { // the race detector holds several times as much
-		require.Less(t, p.peak(), 64)
+	if len(buildFlags) == 0 { // the race detector needs several times as much
+		require.Less(t, p.peakMemoryMB(), 64)
 	}
-	t.Logf("%d MB through a program that held %d MB at most", mb, p.peak())
+	t.Logf("a result of %d MB; the program's peak memory was %d MB", sizeMB, p.peakMemoryMB())
 }
 
-// What an engine left that died after half its pages is not mixed with what the next one gives.
-func TestAnEngineThatDiesAfterHalfItsPages(t *testing.T) {
+// Guards against mixing the pages of an engine that fails after half of them with the pages of the next attempt.
+func TestPagesOfAFailedAttemptAreNotMixedWithTheNext(t *testing.T) {
 	t.Parallel()
 	e, j, dir := newLargeResultEngine(t, 8), newFakeJournal(t), testdir.Dir(t)
-	e.dieAt = 4
+	e.failAtPage = 4
 	other := newLargeResultEngine(t, 6)
-	j.add(true, e.line(1), other.line(2))
+	j.add(true, e.serverEntry(1), other.serverEntry(2))
 	p := startWithSpool(t, dir, j, filepath.Join(dir, "record.db"), 600, `{"directory":"spool","total_mb":32}`)
-	for i := range 6 { // some begin at each; one begins at the engine that dies and ends at either
+	for i := range 6 { // each engine gets some; the one that starts at the failing engine may end at either
 		r := p.post("ridership-report", "", fmt.Sprintf("select * from sales_%d.trips", i))
 		var numbers []string
 		for {
@@ -207,5 +208,5 @@
 		require.Nil(t, r.Error)
 		require.Contains(t, []string{"0 1 2 3 4 5", "0 1 2 3 4 5 6 7"}, strings.Join(numbers, " "))
 	}
-	require.True(t, e.died.Load())
+	require.True(t, e.failed.Load())
 }
