--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -15,7 +15,7 @@
 
 var codec = jsoniter.Config{CaseSensitive: true}.Froze()
 
-// The lowest limits with which the program works.
+// MinMemoryMB and MinSockets are the lowest limits with which the program works.
 const (
 	MinMemoryMB = 32
 	MinSockets  = 64
@@ -35,7 +35,8 @@
 	Admin  string `json:"admin"` // address for operators' calls; empty: none
 	Seed   string `json:"seed"`  // hexadecimal
 	Limits Limits `json:"limits"`
-	// Gossip: the local address, those of all coordinators by their index, and one that reaches all. Empty: no gossip.
+	// Gossip addresses: the local one, those of all coordinators by their index, and one that reaches all. If they are
+	// empty there is no gossip.
 	PeerListen  string              `json:"peer_listen"`
 	Peers       []string            `json:"peers"`
 	PeersAll    string              `json:"peers_all"`
@@ -47,16 +48,16 @@
 	SeedNumber uint64          `json:"-"` // parsed from Seed
 }
 
-// Override holds values that win over the file's; empty ones don't.
+// Override holds values that replace the file's unless they are empty.
 type Override struct{ Name, Listen, Admin string }
 
-// FindingError is a fatal finding: the configuration can't be used.
+// FindingError is a fatal finding, with which the configuration can't be used.
 type FindingError struct{ wire.Finding }
 
 // Error returns the finding on one line.
 func (e FindingError) Error() string { return e.String() }
 
-// FirstFatal returns the first fatal finding as a FindingError; nil: the configuration can be used.
+// FirstFatal returns the first fatal finding as a FindingError, or nil if the configuration can be used.
 func FirstFatal(findings []wire.Finding) error {
 	for _, f := range findings {
 		if f.Fatal {
@@ -76,27 +77,27 @@
 	c.Name, c.Listen, c.Admin = cmp.Or(override.Name, c.Name), cmp.Or(override.Listen, c.Listen), cmp.Or(override.Admin, c.Admin)
 	findings := append(c.checkRequired(), c.checkAddresses()...)
 	if len(c.RawSettings) == 0 {
-		return nil, append(findings, wire.FatalFinding("settings", "absent", "they are needed"))
+		return nil, append(findings, wire.FatalFinding("settings", "absent", "the settings are needed"))
 	}
-	settings, inSettings := wire.Inspect(c.RawSettings)
-	if len(inSettings) > 0 && inSettings[0].Fatal || len(findings) > 0 {
-		return nil, append(findings, inSettings...)
+	settings, settingsFindings := wire.Inspect(c.RawSettings)
+	if len(settingsFindings) > 0 && settingsFindings[0].Fatal || len(findings) > 0 {
+		return nil, append(findings, settingsFindings...)
 	}
 	c.Settings = settings
 	if c.PeerListen != "" && !c.Settings.GossipEnabled {
 		findings = append(findings, wire.Finding{
-			Field: "peer_listen", Value: c.PeerListen, Message: "the settings do not let coordinators talk",
-			Consequence: "nothing is opened there",
+			Field: "peer_listen", Value: c.PeerListen, Message: "gossip is disabled (settings.bounds.peers)",
+			Consequence: "the address is not opened",
 		})
 	}
-	return &c, append(findings, inSettings...)
+	return &c, append(findings, settingsFindings...)
 }
 
-// checkRequired parses the seed and returns what is fatal about it and about required fields.
+// checkRequired parses the seed and returns a fatal finding for each required field that is absent or out of range.
 func (c *Coordinator) checkRequired() (findings []wire.Finding) {
-	require := func(ok bool, field string, value any, says string) {
+	require := func(ok bool, field string, value any, message string) {
 		if !ok {
-			findings = append(findings, wire.FatalFinding(field, fmt.Sprint(value), says))
+			findings = append(findings, wire.FatalFinding(field, fmt.Sprint(value), message))
 		}
 	}
 	require(c.Listen != "", "listen", "absent", "the clients' address is needed")
@@ -109,7 +110,7 @@
 	return findings
 }
 
-// checkAddresses returns what is fatal about the addresses.
+// checkAddresses returns a fatal finding for each address that is malformed or used twice.
 func (c *Coordinator) checkAddresses() (findings []wire.Finding) {
 	check := func(field, address string) {
 		if address == "" {
@@ -134,7 +135,7 @@
 		firstIndex[address] = i
 	}
 	if c.Admin != "" && c.Admin == c.Listen {
-		findings = append(findings, wire.FatalFinding("admin", c.Admin, "the clients' address too"))
+		findings = append(findings, wire.FatalFinding("admin", c.Admin, "the same as listen, the clients' address"))
 	}
 	return findings
 }
--- a/internal/config/coordinator_test.go
+++ b/internal/config/coordinator_test.go
@@ -12,13 +12,13 @@
 	"aniseloft/internal/wire"
 )
 
-// The file with every field set, as commit d9ce9f6 reads it.
+// The file sets every field; the expected values are those that commit d9ce9f6 read from it.
 func TestEveryFieldOfTheConfigurationIsRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
-	c, found := ParseCoordinator(raw, Override{})
-	require.NotNil(t, c, found)
-	require.NoError(t, FirstFatal(found))
+	c, findings := ParseCoordinator(raw, Override{})
+	require.NotNil(t, c, findings)
+	require.NoError(t, FirstFatal(findings))
 	var parts map[string]json.RawMessage
 	require.NoError(t, json.Unmarshal(raw, &parts))
 	settings, _ := wire.Inspect(parts["settings"])
@@ -31,11 +31,11 @@
 	}, c)
 }
 
-// The environment's name and addresses win over the file's.
-func TestOverrideWinsOverTheFile(t *testing.T) {
+// The name and addresses from the environment replace those of the file.
+func TestOverrideReplacesValuesOfTheFile(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
-	c, found := ParseCoordinator(raw, Override{Name: "n7", Listen: "127.0.0.1:1", Admin: "127.0.0.1:2"})
-	require.NotNil(t, c, found)
+	c, findings := ParseCoordinator(raw, Override{Name: "n7", Listen: "127.0.0.1:1", Admin: "127.0.0.1:2"})
+	require.NotNil(t, c, findings)
 	require.Equal(t, [...]string{"n7", "127.0.0.1:1", "127.0.0.1:2"}, [...]string{c.Name, c.Listen, c.Admin})
 }
--- a/internal/config/fielderror.go
+++ b/internal/config/fielderror.go
@@ -8,10 +8,10 @@
 	"aniseloft/internal/jsonfault"
 )
 
-// strict rejects unknown fields: a misspelt one would silently have no effect.
+// strict rejects unknown fields, as a misspelt field would silently have no effect.
 var strict = jsoniter.Config{CaseSensitive: true, DisallowUnknownFields: true}.Froze()
 
-// FieldError is a field of an operators' file that can't be used.
+// FieldError reports a field of an operators' file that can't be used.
 type FieldError struct {
 	File    string `json:"file"`
 	Pointer string `json:"pointer"` // JSON pointer to the field
@@ -25,7 +25,7 @@
 }
 
 // decodingProblem describes what is wrong with a text that could not be decoded into a value of target's type. The decoder's
-// own error, which names types of the program, stands only where the standard decoder finds nothing wrong, as for an
+// own error, which names types of the program, is used only where the standard decoder finds nothing wrong, as for an
 // unknown field.
 func decodingProblem(raw []byte, target any, decodingError error) string {
 	fault, found := jsonfault.Find(raw, target)
@@ -35,5 +35,5 @@
 	case fault.Field == "":
 		return fault.Message()
 	}
-	return fmt.Sprintf("%s: %s, where %s stands, at %s", fault.Field, fault.Problem, fault.Found, fault.Position)
+	return fmt.Sprintf("%s: %s, found %s, at %s", fault.Field, fault.Problem, fault.Found, fault.Position)
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,7 +9,7 @@
 	"aniseloft/internal/golden"
 )
 
-// The inputs set every field. The golden files are the values that commit d9ce9f6 read from them:
+// The inputs set every field. The golden files hold the values that commit d9ce9f6 read from them. To write them anew:
 // go test ./internal/config -update
 func TestRecordedFilesAreReadCompletely(t *testing.T) {
 	raw, err := os.ReadFile("testdata/log.golden.json")
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -11,11 +11,11 @@
 	"aniseloft/internal/wire"
 )
 
-// ErrNoConfig is returned where the environment names no configuration.
-var ErrNoConfig = errors.New("LB_CONFIG is not set: it names the configuration; aniseloft --help tells more")
+// ErrNoConfig is returned if the environment names no configuration.
+var ErrNoConfig = errors.New("LB_CONFIG is not set: it must name the configuration file; see aniseloft --help")
 
-// LoadCoordinator reads the file that LB_CONFIG names, with the environment's name and addresses
-// over the file's. The error is ErrNoConfig, the one of reading the file, or the first FindingError.
+// LoadCoordinator reads the file that LB_CONFIG names; the name and addresses in the environment replace
+// those of the file. The error is ErrNoConfig, an error of reading the file, or the first FindingError.
 func LoadCoordinator() (*Coordinator, []wire.Finding, error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
@@ -28,12 +28,12 @@
 	override := Override{Name: os.Getenv("LB_NAME"), Listen: os.Getenv("LB_LISTEN"), Admin: os.Getenv("LB_ADMIN")}
 	coordinator, findings := ParseCoordinator(raw, override)
 	if err := FirstFatal(findings); err != nil {
-		return nil, findings, fmt.Errorf("configuration: %w (aniseloftctl check config %s tells all at once)", err, path)
+		return nil, findings, fmt.Errorf("configuration: %w (aniseloftctl check config %s lists all findings)", err, path)
 	}
 	return coordinator, findings, nil
 }
 
-// LoadLog reads the log settings; without the file only what on-call staff need is logged.
+// LoadLog reads the log settings. Without the file only what on-call staff need is logged.
 func LoadLog() (Log, error) {
 	raw, exists, err := readOptional(LogFile)
 	if !exists || err != nil {
@@ -43,7 +43,7 @@
 }
 
 // LoadREST reads the settings of the paged REST protocol and checks them against those of the
-// coordinator; without the file the protocol is off.
+// coordinator. Without the file the protocol is off.
 func LoadREST(settings decide.Settings) (REST, error) {
 	raw, exists, err := readOptional(RESTFile)
 	if !exists || err != nil {
@@ -68,7 +68,7 @@
 	return raw, true, nil
 }
 
-// LoadFleet reads the settings of the coordination with other coordinators; without the file there is none.
+// LoadFleet reads the settings of the coordination with other coordinators, which is off without the file.
 func LoadFleet() (fleetconf.Config, error) {
 	raw, exists, err := readOptional(fleetconf.File)
 	if !exists || err != nil {
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -10,19 +10,20 @@
 // staff need is logged.
 const LogFile = "deploy/log.json"
 
-// minCountersMS keeps a typing error from filling the log with counters, in milliseconds.
+// minCountersMS is the shortest interval of the counters, in milliseconds. It keeps a typing error from
+// filling the log with counters.
 const minCountersMS = 100
 
-// Log is the settings of the log, from LogFile.
+// Log holds the settings of the log, from LogFile.
 type Log struct {
 	// Level is the lowest level that is logged: "info", or "debug" with a line for each request,
-	// attempt, probe, dial and list entry, which aniseloftctl fleet logs sums up.
+	// attempt, probe, dial and list entry; aniseloftctl fleet logs summarizes those.
 	Level      slog.Level `json:"level"`
-	CountersMS int64      `json:"counters_every_ms"` // between two prints of the counters; 0: on SIGUSR1 and at exit only
+	CountersMS int64      `json:"counters_every_ms"` // interval of the counters in the log; 0: on SIGUSR1 and at exit only
 	Schema     string     `json:"$schema"`           // for editors; not used here
 }
 
-// ParseLog parses the file's content. It returns a FieldError.
+// ParseLog parses and checks the file's content. The error is a FieldError.
 func ParseLog(raw []byte) (Log, error) {
 	var c Log
 	if err := strict.Unmarshal(raw, &c); err != nil {
@@ -37,7 +38,7 @@
 	return c, nil
 }
 
-// CountersInterval returns the time between two prints of the counters; 0: none.
+// CountersInterval returns the interval at which the counters are logged; 0: not at intervals.
 func (c Log) CountersInterval() time.Duration {
 	return time.Duration(c.CountersMS) * time.Millisecond
 }
--- a/internal/config/log_test.go
+++ b/internal/config/log_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The file with every field set, as commit d9ce9f6 reads it.
+// The file sets every field; the expected values are those that commit d9ce9f6 read from it.
 func TestEveryFieldOfTheLogSettingsIsRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/log.json")
 	require.NoError(t, err)
@@ -19,7 +19,7 @@
 	require.Equal(t, 250*time.Millisecond, c.CountersInterval())
 }
 
-func TestTooShortCountersIntervalIsATypedError(t *testing.T) {
+func TestTooShortCountersIntervalIsAFieldError(t *testing.T) {
 	_, err := ParseLog([]byte(`{"counters_every_ms": 99}`))
 	var fieldError FieldError
 	require.ErrorAs(t, err, &fieldError)
--- a/internal/config/rest.go
+++ b/internal/config/rest.go
@@ -11,32 +11,33 @@
 // RESTFile is the path of the settings of the paged REST protocol, from the working directory.
 const RESTFile = "deploy/rest.json"
 
-// minPurgeMS keeps purges from occupying the record's one connection, in milliseconds.
+// minPurgeMS is the shortest interval of purges, in milliseconds. It keeps purges from occupying the
+// record's one connection.
 const minPurgeMS = 10
 
-// REST is the settings of the paged REST protocol, from RESTFile.
+// REST holds the settings of the paged REST protocol, from RESTFile.
 type REST struct {
-	Listen      string   `json:"listen"`         // empty: off
+	Listen      string   `json:"listen"`         // the clients' address; empty: the protocol is off
 	Store       string   `json:"store"`          // the record: a SQLite file or a postgres:// URL
-	KeepSeconds int64    `json:"keep_seconds"`   // how long an ended query can be read
-	PurgeMS     int64    `json:"purge_every_ms"` // between two purges of the record; 0: a minute
+	KeepSeconds int64    `json:"keep_seconds"`   // time for which an ended query can be read
+	PurgeMS     int64    `json:"purge_every_ms"` // interval of the record's purges; 0: a minute
 	EngineKinds []string `json:"engine_kinds"`   // kinds of endpoints that speak this protocol
 	Spool       Spool    `json:"spool"`
 	Schema      string   `json:"$schema"` // for editors; not used here
 }
 
-// Spool is the settings of the spool, where results wait for their clients; off while TotalMB is 0.
+// Spool holds the settings of the spool, where results wait for their clients. The spool is off while TotalMB is 0.
 type Spool struct {
-	Directory string             `json:"directory"` // empty: in memory
+	Directory string             `json:"directory"` // empty: results are kept in memory
 	Shared    bool               `json:"shared"`    // the directory holds a folder for each coordinator, by its name
 	TotalMB   float64            `json:"total_mb"`
-	OwnerMB   float64            `json:"owner_mb"` // of one owner; 0: only the total binds
-	ClassMB   map[string]float64 `json:"class_mb"` // of one class, by name; a class not named: only the total binds
-	Compress  bool               `json:"pack"`     // pages packed with zstd where that makes them an eighth smaller
+	OwnerMB   float64            `json:"owner_mb"` // limit of one owner; 0: only TotalMB applies
+	ClassMB   map[string]float64 `json:"class_mb"` // limits of classes, by name; to a class without one only TotalMB applies
+	Compress  bool               `json:"pack"`     // compresses pages with zstd where that makes them an eighth smaller
 }
 
 // ParseREST parses and checks the file's content, with the kinds of endpoints and the classes of the
-// coordinator's settings. The first unusable setting is returned as a FieldError.
+// coordinator's settings. The error is a FieldError for the first setting that can't be used.
 func ParseREST(raw []byte, kinds, classes []string) (REST, error) {
 	var c REST
 	if err := strict.Unmarshal(raw, &c); err != nil {
@@ -45,15 +46,15 @@
 	return c, c.Check(kinds, classes)
 }
 
-// Check returns the first unusable setting as a FieldError. Kinds or classes that are nil are not
-// known, and names are not checked against them.
+// Check returns a FieldError for the first setting that can't be used. Nil kinds or classes are unknown:
+// names are then not checked against them.
 func (c REST) Check(kinds, classes []string) error {
 	if err := c.checkKinds(kinds); err != nil {
 		return err
 	}
 	switch {
 	case c.PurgeMS < 0 || c.PurgeMS > 0 && c.PurgeMS < minPurgeMS:
-		return FieldError{RESTFile, "/purge_every_ms", fmt.Sprintf("neither 0 nor at least %d", minPurgeMS), "leave it out for a minute"}
+		return FieldError{RESTFile, "/purge_every_ms", fmt.Sprintf("neither 0 nor at least %d", minPurgeMS), "leave it out for the default of a minute"}
 	case c.Listen != "" && c.Store == "":
 		return FieldError{RESTFile, "/store", "missing while listen is set", "name a SQLite file or a postgres:// URL"}
 	case c.Listen != "" && c.KeepSeconds < 1:
@@ -81,7 +82,7 @@
 	case s.TotalMB < 0:
 		return FieldError{RESTFile, "/spool/total_mb", "below 0", "0 turns the spool off"}
 	case s.OwnerMB < 0 || s.OwnerMB > s.TotalMB:
-		return FieldError{RESTFile, "/spool/owner_mb", "below 0 or above total_mb", "0 lets the total alone bind"}
+		return FieldError{RESTFile, "/spool/owner_mb", "below 0 or above total_mb", "with 0 only total_mb applies"}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.ClassMB)) {
 		pointer := "/spool/class_mb/" + name
@@ -89,7 +90,7 @@
 		case classes != nil && !slices.Contains(classes, name):
 			return FieldError{RESTFile, pointer, fmt.Sprintf("%q is not a class here", name), fmt.Sprintf("name one of %v", classes)}
 		case !(sizeMB > 0) || sizeMB > s.TotalMB:
-			return FieldError{RESTFile, pointer, "not above 0, or above total_mb", "leave the class out to let the total alone bind"}
+			return FieldError{RESTFile, pointer, "not above 0, or above total_mb", "leave the class out to apply only total_mb"}
 		}
 	}
 	return nil
@@ -98,8 +99,8 @@
 // bytesOf returns a size in MB as bytes.
 func bytesOf(sizeMB float64) int64 { return int64(sizeMB * (1 << 20)) }
 
-// Limits returns the spool's quotas for its ledger. A result is promised for keepMS after its last
-// read; retryAfterMS is what a rejection tells where no promise ends sooner, both in milliseconds.
+// Limits returns the spool's quotas for its ledger. A result is kept for keepMS after its last read. A
+// rejection names retryAfterMS unless a result expires sooner. Both are in milliseconds.
 func (s Spool) Limits(keepMS, retryAfterMS float64) ledger.Limits {
 	limits := ledger.Limits{
 		Total: bytesOf(s.TotalMB), PerOwner: bytesOf(s.OwnerMB),
--- a/internal/config/rest_test.go
+++ b/internal/config/rest_test.go
@@ -46,7 +46,7 @@
 	require.Equal(t, map[string]int64{"ridership-report": 4 << 20}, l.PerClass)
 }
 
-// The file with every field set, as commit d9ce9f6 reads it.
+// The file sets every field; the expected values are those that commit d9ce9f6 read from it.
 func TestEveryFieldOfTheRESTSettingsIsRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/rest.json")
 	require.NoError(t, err)
