--- a/internal/jsonfault/jsonfault.go
+++ b/internal/jsonfault/jsonfault.go
@@ -1,5 +1,5 @@
-// Package jsonfault says what is wrong with JSON that can't be decoded, in words that whoever wrote it can act on: the
-// field, the kind of value that is expected there, and the position.
+// Package jsonfault describes why JSON can't be decoded, in terms on which its author can act: the field, the kind of
+// value that is expected there, and the position.
 package jsonfault
 
 import (
@@ -11,35 +11,35 @@
 	"strings"
 )
 
-// Fault is the first thing wrong with a text.
+// Fault is the first error of a JSON text.
 type Fault struct {
-	Field    string // path of the field, by its names in the file; empty: the text is no JSON at all
-	Found    string // what stands there; empty: Problem says it
-	Problem  string
+	Field    string // path of the field, by its names in the file; empty: the fault concerns the whole text
+	Found    string // kind of value at the field; empty: no value was read
+	Problem  string // what is wrong, such as the kind of value that is needed
 	Position string // line and column, from 1
 }
 
-// Message says what is wrong and where.
+// Message returns the problem and its position.
 func (f Fault) Message() string { return f.Problem + ", at " + f.Position }
 
-// Find decodes a text into target as the standard decoder does, and returns what is wrong with it; false: nothing is. The
-// target's content is of no use after that.
+// Find decodes a text into target with the standard decoder and returns the first fault; found is false if there is none.
+// The content of target must not be used afterwards.
 func Find(raw []byte, target any) (fault Fault, found bool) {
 	err := json.Unmarshal(raw, target)
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
 	switch {
 	case err == nil:
 		return Fault{}, false
-	case errors.As(err, &syntax):
-		return Fault{Problem: "no JSON: " + syntax.Error(), Position: position(raw, syntax.Offset)}, true
-	case errors.As(err, &kind):
-		return Fault{Field: kind.Field, Found: describeFound(kind.Value), Problem: describeExpected(kind.Type) + " is needed", Position: position(raw, kind.Offset)}, true
+	case errors.As(err, &syntaxError):
+		return Fault{Problem: "invalid JSON: " + syntaxError.Error(), Position: position(raw, syntaxError.Offset)}, true
+	case errors.As(err, &typeError):
+		return Fault{Field: typeError.Field, Found: describeFound(typeError.Value), Problem: describeExpected(typeError.Type) + " is needed", Position: position(raw, typeError.Offset)}, true
 	}
 	return Fault{Problem: err.Error(), Position: position(raw, 0)}, true
 }
 
-// position is the line and the column of the last byte that was read.
+// position returns the line and the column of the last byte that was read.
 func position(raw []byte, offset int64) string {
 	before := raw[:min(max(offset-1, 0), int64(len(raw)))]
 	line := 1 + bytes.Count(before, []byte("\n"))
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// describeFound puts the standard decoder's name of a value's kind, such as "number 1.5", in words.
+// describeFound translates the standard decoder's description of a value, such as "number 1.5", into an operator's terms.
 func describeFound(value string) string {
 	name, _, _ := strings.Cut(value, " ")
 	switch name {
--- a/internal/jsonfault/jsonfault_test.go
+++ b/internal/jsonfault/jsonfault_test.go
@@ -19,7 +19,7 @@
 	Extra map[string]int `json:"extra"`
 }
 
-// An operator must be told the field, what is expected and where, and no type of the program.
+// Operators must be told the field, the expected kind of value and the position, without the program's types.
 func TestFaultsNameFieldKindAndPosition(t *testing.T) {
 	for text, want := range map[string]jsonfault.Fault{
 		`{"name":5}`:                        {Field: "name", Found: "number", Problem: "a text is needed", Position: "line 1, column 9"},
@@ -29,9 +29,9 @@
 		`{"peers":"a"}`:                     {Field: "peers", Found: "a text", Problem: "a list is needed", Position: "line 1, column 12"},
 		`{"on":"yes"}`:                      {Field: "on", Found: "a text", Problem: "true or false is needed", Position: "line 1, column 11"},
 		`{"extra":true}`:                    {Field: "extra", Found: "true or false", Problem: "an object is needed", Position: "line 1, column 13"},
-		`{"name":"n0",`:                     {Problem: "no JSON: unexpected end of JSON input", Position: "line 1, column 13"},
-		"{\"name\":\n x}":                   {Problem: "no JSON: invalid character 'x' looking for beginning of value", Position: "line 2, column 2"},
-		``:                                  {Problem: "no JSON: unexpected end of JSON input", Position: "line 1, column 1"},
+		`{"name":"n0",`:                     {Problem: "invalid JSON: unexpected end of JSON input", Position: "line 1, column 13"},
+		"{\"name\":\n x}":                   {Problem: "invalid JSON: invalid character 'x' looking for beginning of value", Position: "line 2, column 2"},
+		``:                                  {Problem: "invalid JSON: unexpected end of JSON input", Position: "line 1, column 1"},
 	} {
 		got, found := jsonfault.Find([]byte(text), new(file))
 		require.True(t, found, text)
--- a/internal/millis/millis.go
+++ b/internal/millis/millis.go
@@ -1,4 +1,4 @@
-// Package millis converts between package time and the milliseconds of the decisions.
+// Package millis converts between the types of package time and the milliseconds of package decide.
 package millis
 
 import (
@@ -10,7 +10,7 @@
 // FromTime returns t as Unix milliseconds, to the microsecond.
 func FromTime(t time.Time) decide.Millis { return float64(t.UnixMicro()) / 1000 }
 
-// Now is the clock of the decisions: Unix milliseconds, the unit in which endpoints report their start.
+// Now returns the current time as Unix milliseconds, the unit in which endpoints report when they started.
 func Now() decide.Millis { return FromTime(time.Now()) }
 
 // Since returns the time elapsed since t, to the microsecond.
