--- a/cmd/aniseloft/admin_test.go
+++ b/cmd/aniseloft/admin_test.go
@@ -325,7 +325,7 @@
 // requests that are still open are lost.
 func TestSIGTERMAnswersAllBeforeAnEarlierKill(t *testing.T) {
 	t.Parallel()
-	const kill = 2200 * time.Millisecond // the longest deadline plus 0.7 s
+	const killAfter = 2200 * time.Millisecond // the longest deadline plus 0.7 s
 	short := strings.NewReplacer(`"promiseMs":8000`, `"promiseMs":1000`, `"deadlineMs":10000`, `"deadlineMs":1500`).Replace(firstSettings)
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
@@ -337,7 +337,7 @@
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.Contains(t, c.readLine(), `"code":-32001`)
 	require.NoError(t, p.Wait())
-	require.Less(t, time.Since(start), kill)
+	require.Less(t, time.Since(start), killAfter)
 }
 
 // Clients go on sending on their open connections after SIGTERM: a request that arrives just before the last answers
--- a/cmd/aniseloft/lifecycle_test.go
+++ b/cmd/aniseloft/lifecycle_test.go
@@ -28,15 +28,15 @@
 // got the requests of classes bound to that.
 func TestEngineOfUnknownZoneOrKindGetsNoBoundClass(t *testing.T) {
 	t.Parallel()
-	for _, odd := range [][2]string{{`"zone":"hall-a"`, `"zone":"hall-x"`}, {`"zone":"hall-a"`, `"zone":"Hall-A"`}, {`"kind":"std-16"`, `"kind":"std-99"`}} {
+	for _, unknown := range [][2]string{{`"zone":"hall-a"`, `"zone":"hall-x"`}, {`"zone":"hall-a"`, `"zone":"Hall-A"`}, {`"kind":"std-16"`, `"kind":"std-99"`}} {
 		e, j := newFakeEngine(t, false), newFakeJournal(t)
-		j.add(true, strings.Replace(serverEntry(1, e, "active"), odd[0], odd[1], 1))
+		j.add(true, strings.Replace(serverEntry(1, e, "active"), unknown[0], unknown[1], 1))
 		settings := strings.Replace(firstSettings, `"name":"timetable-load"`, `"confinedTo":[0],"boundTo":[0],"name":"timetable-load"`, 1)
 		p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, settings)
 		c := dialClient(t, p.listen)
-		require.Contains(t, c.call(queryLine(1, "timetable-load", "bound", 1000)), `"code":-32000`, odd)
-		require.Zero(t, e.count(&e.attempts, "bound"), odd)
-		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(2, "trip-lookup", "free", 9000))), odd)
+		require.Contains(t, c.call(queryLine(1, "timetable-load", "bound", 1000)), `"code":-32000`, unknown)
+		require.Zero(t, e.count(&e.attempts, "bound"), unknown)
+		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(2, "trip-lookup", "free", 9000))), unknown)
 	}
 }
 
--- a/cmd/aniseloft/main.go
+++ b/cmd/aniseloft/main.go
@@ -1,4 +1,4 @@
-// Command aniseloft is one coordinator; LB_CONFIG names its configuration.
+// Command aniseloft runs a coordinator. The environment variable LB_CONFIG names its configuration file.
 package main
 
 import (
--- a/internal/config/rest.go
+++ b/internal/config/rest.go
@@ -33,7 +33,7 @@
 	TotalMB   float64            `json:"total_mb"`
 	OwnerMB   float64            `json:"owner_mb"` // limit of one owner; 0: only TotalMB applies
 	ClassMB   map[string]float64 `json:"class_mb"` // limits of classes, by name; to a class without one only TotalMB applies
-	Compress  bool               `json:"pack"`     // compresses pages with zstd where that makes them an eighth smaller
+	Compress  bool               `json:"pack"`     // compresses pages with zstd where that makes them at least an eighth smaller
 }
 
 // ParseREST parses and checks the file's content, with the kinds of endpoints and the classes of the
@@ -100,7 +100,7 @@
 func bytesOf(sizeMB float64) int64 { return int64(sizeMB * (1 << 20)) }
 
 // Limits returns the spool's quotas for its ledger. A result is kept for keepMS after its last read. A
-// rejection names retryAfterMS unless a result expires sooner. Both are in milliseconds.
+// rejection names retryAfterMS, or the time until a result expires if that is shorter. Both are in milliseconds.
 func (s Spool) Limits(keepMS, retryAfterMS float64) ledger.Limits {
 	limits := ledger.Limits{
 		Total: bytesOf(s.TotalMB), PerOwner: bytesOf(s.OwnerMB),
