--- a/internal/ctl/drill_test.go
+++ b/internal/ctl/drill_test.go
@@ -27,7 +27,7 @@
 		{[]string{"drill", "check", writeTestFile(t, "d.json", `{"name":"x","tells":"y"}`)}, ExitOK, "fine"},
 		{[]string{"drill", "check", writeTestFile(t, "d.json", `{"name":"x","tells":"y","faults":[{"kind":"kil","at_ms":1}]}`)}, ExitUsage, "/faults/0/kind"},
 		{[]string{"drill", "check", writeTestFile(t, "d.json", `{"name":"x","tells":"y","members":3,"faults":[{"kind":"kill","at_ms":1e9,"who":"n9"}]}`)}, ExitUsage,
-			`/faults/0/who: "n9" is nobody here`},
+			`/faults/0/who: "n9" is neither a process nor a role`},
 		{[]string{"check", "fleet", "../../deploy/fleet.json"}, ExitOK, "fine"},
 		{[]string{"check", "fleet", on}, ExitOK, "fine"},
 		{[]string{"check", "fleet", writeTestFile(t, "f.json", `{"installation":"x","generation":1,"directory":"d","jobs":["dance"],`+seats+`}`)}, ExitUsage, "/jobs/0"},
--- a/internal/drill/connection_origins.go
+++ b/internal/drill/connection_origins.go
@@ -8,15 +8,15 @@
 	"aniseloft/internal/emulator/receivetime"
 )
 
-// connectionOrigins knows, for each connection that relays have made to their targets, the connection whose bytes it
-// forwards. An entry outlives its connection, as a target may come to read it only later, until the addresses are used
-// again. It is safe for concurrent use.
+// connectionOrigins holds, for each connection between a relay and its target, the client's connection whose bytes it
+// carries. An entry is kept after its connection closes, because the target may read the received bytes later; a new
+// connection with the same addresses replaces it. It is safe for concurrent use.
 type connectionOrigins struct {
 	mu      sync.Mutex
 	origins map[connectionAddresses]*receivetime.Conn
 }
 
-// connectionAddresses are those of a connection's two sides, as its target sees them.
+// connectionAddresses holds the local and the remote address of a connection as its target sees them.
 type connectionAddresses struct{ local, remote string }
 
 func newConnectionOrigins() *connectionOrigins {
@@ -29,7 +29,8 @@
 	o.origins[connectionAddresses{local: target.RemoteAddr().String(), remote: target.LocalAddr().String()}] = origin
 }
 
-// receivedAt returns when the message that a target reads now from a connection reached the relay.
+// receivedAt returns the time at which the relay received the first bytes of the message that a target now reads from the
+// connection with these addresses.
 func (o *connectionOrigins) receivedAt(local, remote net.Addr) (at time.Time, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/drill/datagram_relay.go
+++ b/internal/drill/datagram_relay.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// maxDatagramSize is above any datagram between coordinators, in bytes.
+// maxDatagramSize is the size of the receive buffer in bytes. Datagrams between coordinators are smaller.
 const maxDatagramSize = 2048
 
-// DatagramRelay forwards the datagrams between two coordinators, and loses, repeats or delays them. Each coordinator
-// knows the other by one of the relay's sockets: a coordinator accepts a datagram only from the address that it sends to.
-// One goroutine for each socket reads until Close.
+// DatagramRelay forwards datagrams between two coordinators, and drops, duplicates or delays them. It has one socket in
+// place of each coordinator, because a coordinator accepts a datagram only from the address that it sends to. One goroutine
+// for each socket reads until Close.
 type DatagramRelay struct {
-	sockets   [2]*net.UDPConn   // by which the second coordinator knows the first, and the first the second
-	endpoints [2]netip.AddrPort // of the coordinators
+	sockets      [2]*net.UDPConn   // each in place of the coordinator with the same index
+	coordinators [2]netip.AddrPort // addresses at which the coordinators receive datagrams
 
 	mu             sync.Mutex // guards the fields below
 	lossRatio      float64
@@ -26,12 +26,13 @@
 	maxDelay       time.Duration
 }
 
-// NewDatagramRelay listens on loopback between two coordinators that receive datagrams at two addresses.
+// NewDatagramRelay opens a relay on loopback between two coordinators that receive datagrams at the addresses first and
+// second.
 func NewDatagramRelay(first, second string) (*DatagramRelay, error) {
 	r := &DatagramRelay{}
 	for i, address := range []string{first, second} {
 		var err error
-		if r.endpoints[i], err = netip.ParseAddrPort(address); err != nil {
+		if r.coordinators[i], err = netip.ParseAddrPort(address); err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 		if r.sockets[i], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
@@ -43,36 +44,38 @@
 	return r, nil
 }
 
-// Address returns the address by which the other coordinator knows the first (0) or the second (1).
-func (r *DatagramRelay) Address(end int) string { return r.sockets[end].LocalAddr().String() }
+// Address returns the address to which the other coordinator sends datagrams for the first (0) or the second (1).
+func (r *DatagramRelay) Address(coordinator int) string {
+	return r.sockets[coordinator].LocalAddr().String()
+}
 
-// SetFaults sets the ratios of datagrams that are lost and sent twice, and delays each by up to maxDelay, so that they
-// overtake each other.
+// SetFaults sets the ratios of datagrams that are dropped and duplicated, and delays each by a random time below maxDelay,
+// so that they are reordered.
 func (r *DatagramRelay) SetFaults(lossRatio, duplicateRatio float64, maxDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lossRatio, r.duplicateRatio, r.maxDelay = lossRatio, duplicateRatio, maxDelay
 }
 
-// Close ends the relay.
+// Close closes both sockets, which ends the goroutines.
 func (r *DatagramRelay) Close() {
 	for _, socket := range r.sockets {
 		_ = socket.Close()
 	}
 }
 
-// forward receives what is sent to one end, and sends it there from the address of the other.
-func (r *DatagramRelay) forward(end int) {
+// forward receives the datagrams for a coordinator, and sends them to it from the socket in place of the other one.
+func (r *DatagramRelay) forward(coordinator int) {
 	for {
 		buffer := make([]byte, maxDatagramSize)
-		n, _, err := r.sockets[end].ReadFromUDPAddrPort(buffer)
+		n, _, err := r.sockets[coordinator].ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // an ICMP error: the port of an earlier datagram is closed
 			continue
 		}
-		send := func() { _, _ = r.sockets[1-end].WriteToUDPAddrPort(buffer[:n], r.endpoints[end]) }
+		send := func() { _, _ = r.sockets[1-coordinator].WriteToUDPAddrPort(buffer[:n], r.coordinators[coordinator]) }
 		copies, maxDelay := r.drawFaults()
 		for range copies {
 			if maxDelay > 0 {
@@ -84,7 +87,7 @@
 	}
 }
 
-// drawFaults returns how often a datagram is sent, and by how much it may be late.
+// drawFaults returns the number of copies of a datagram to send, and the upper bound of their delay.
 func (r *DatagramRelay) drawFaults() (copies int, maxDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/datagram_relay_test.go
+++ b/internal/drill/datagram_relay_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Datagrams come from the address that their receiver sends to; with faults they are lost, repeated or late.
+// A coordinator accepts a datagram only from the address that it sends to, so the relay must send from that address. Without
+// faults each datagram arrives once; with them it is dropped, or duplicated and delayed.
 func TestDatagramRelayPreservesSenderAddress(t *testing.T) {
 	listen := func() *net.UDPConn {
 		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/drill/doc.go
+++ b/internal/drill/doc.go
@@ -1,6 +1,7 @@
-// Package drill injects faults into many coordinators that share work under leases, and checks what every process did.
+// Package drill injects faults into many coordinators that share work under leases, and checks the actions of every
+// process against the rules of the protocol.
 //
 // RunVirtual simulates the processes in virtual time from a seed, thousands of runs a minute. RunReal starts real processes
-// on loopback, with relays between them that delay, drop and block what passes. Checkers then name each violated rule, the
-// process, the time and the evidence.
+// on loopback, with relays between them that delay, drop and block their traffic. Checkers then report each violated rule
+// with the process, the time and the evidence.
 package drill
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -11,25 +11,25 @@
 	"aniseloft/schema"
 )
 
-// Drill is a plan: the processes, the duration and the faults.
+// Drill describes a run with fault injection: its processes, its duration and its faults.
 type Drill struct {
 	Schema        string   `json:"$schema,omitempty"`
 	Name          string   `json:"name"`
 	Purpose       string   `json:"tells"`
 	DurationMS    float64  `json:"duration_ms"`
 	Members       int      `json:"members"` // coordinators
-	Replicas      int      `json:"seats"`   // the first so many members are the consensus group
+	Replicas      int      `json:"seats"`   // size of the consensus group: the first members are its replicas
 	Jobs          []string `json:"jobs"`
 	LeaseMS       float64  `json:"lease_ms"`
-	DriftBound    float64  `json:"drift_bound"` // configured bound of the clocks' drift, as a ratio
-	MinOwnedRatio float64  `json:"owned_least"` // least part of the time in which the jobs must have an owner
+	DriftBound    float64  `json:"drift_bound"` // upper bound of clock drift that coordinators are given, as a ratio
+	MinOwnedRatio float64  `json:"owned_least"` // minimum ratio of the time in which the jobs must have an owner
 	Faults        []Fault  `json:"faults"`
-	RandomFaults  int      `json:"drawn"`              // number of further faults, generated from the seed
-	Scenario      string   `json:"scenario,omitempty"` // of clients and engines, with real processes; empty: none
-	Soak          bool     `json:"soak,omitempty"`     // shutdowns and what crosses them are drawn from the seed
+	RandomFaults  int      `json:"drawn"`              // number of additional faults, generated from the seed
+	Scenario      string   `json:"scenario,omitempty"` // clients and engines of a run with real processes; empty: none
+	Soak          bool     `json:"soak,omitempty"`     // adds shutdowns with overlapping faults, generated from the seed
 }
 
-// defaults are the values of fields that a drill file leaves out.
+// defaults returns the values of the fields that a drill file leaves out.
 func defaults() *Drill {
 	return &Drill{
 		DurationMS: 20000, Members: 5, Replicas: 3, Jobs: []string{"prune-record", "read-journal"},
@@ -37,7 +37,7 @@
 	}
 }
 
-// Parse reads a drill file and checks it. Errors are scenario.Faults.
+// Parse decodes and validates the content of a drill file. Errors are scenario.ValidationErrors.
 func Parse(file string, raw []byte) (*Drill, error) {
 	if err := scenario.Validate(file, raw, schema.Drill); err != nil {
 		return nil, err
@@ -52,25 +52,25 @@
 	return d, nil
 }
 
-// problems finds what the schema can't express.
+// problems checks the constraints that the schema can't express.
 func (d *Drill) problems(file string) (problems scenario.ValidationErrors) {
-	add := func(bad bool, pointer, problem, remedy string) {
-		if bad {
+	add := func(invalid bool, pointer, problem, remedy string) {
+		if invalid {
 			problems = append(problems, scenario.ValidationError{File: file, Pointer: pointer, Problem: problem, Remedy: remedy})
 		}
 	}
-	add(d.Replicas > d.Members, "/seats", "more seats than members", "the council is some of the members")
+	add(d.Replicas > d.Members, "/seats", "more replicas (seats) than members", "the replicas are the first members: raise members or lower seats")
 	for i, f := range d.Faults {
-		at := fmt.Sprintf("/faults/%d", i)
-		add(f.AtMS > d.DurationMS, at+"/at_ms", "after the drill's end", "let it begin before duration_ms")
-		add(!d.validTarget(f.Target), at+"/who", fmt.Sprintf("%q is nobody here", f.Target), "name n0 and so on, leader, owner, seat or any")
-		add(f.Peer != "" && !f.hasServicePeer() && !d.validTarget(f.Peer), at+"/to", fmt.Sprintf("%q is nobody here", f.Peer), "name n0 and so on, leader, owner, seat, any, journal or engines")
-		add(f.Kind == FaultResize && f.Replicas > d.Members, at+"/count", "more seats than members", "the council is some of the members")
+		faultPointer := fmt.Sprintf("/faults/%d", i)
+		add(f.AtMS > d.DurationMS, faultPointer+"/at_ms", "the fault begins after the drill's end", "set it to at most duration_ms")
+		add(!d.validTarget(f.Target), faultPointer+"/who", fmt.Sprintf("%q is neither a process nor a role", f.Target), "use n0 and so on, leader, owner, seat (a replica) or any")
+		add(f.Peer != "" && !f.hasServicePeer() && !d.validTarget(f.Peer), faultPointer+"/to", fmt.Sprintf("%q is neither a process nor a role nor a service", f.Peer), "use n0 and so on, leader, owner, seat (a replica), any, journal or engines")
+		add(f.Kind == FaultResize && f.Replicas > d.Members, faultPointer+"/count", "more replicas (count) than members", "the replicas are the first members: raise members or lower count")
 	}
 	return problems
 }
 
-// validTarget reports whether a fault may name a target.
+// validTarget reports whether a fault's target is empty, a role or the name of a process of the drill.
 func (d *Drill) validTarget(target string) bool {
 	if slices.Contains([]string{"", TargetAny, TargetReplica, TargetLeader, TargetOwner}, target) {
 		return true
@@ -94,7 +94,7 @@
 	return names
 }
 
-// schedule returns all faults of a run by time: those of the drill and those generated from the seed.
+// schedule returns all faults of a run in order of time: those that the drill lists and those generated from the seed.
 func (d *Drill) schedule(seed uint64) []Fault {
 	faults := slices.Clone(d.Faults)
 	rng := des.Stream(seed, "faults")
--- a/internal/drill/fault.go
+++ b/internal/drill/fault.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// FaultKind is what a fault does. The values stand in drill files.
+// FaultKind names the effect of a fault. The values are used in drill files.
 type FaultKind string
 
-// The kinds of faults. DurationMS says how long one lasts.
+// The kinds of faults. Unless its comment says otherwise, a fault lasts for DurationMS.
 const (
-	FaultKill             FaultKind = "kill"       // SIGKILL, and a restart after DurationMS with the disk that Disk names
+	FaultKill             FaultKind = "kill"       // SIGKILL, and a restart after DurationMS with the disk in the state Disk
 	FaultTerminate        FaultKind = "term"       // SIGTERM: a graceful shutdown, and a restart after DurationMS
 	FaultPause            FaultKind = "stop"       // SIGSTOP, and SIGCONT after DurationMS
-	FaultPartition        FaultKind = "cut"        // no bytes between Target and Peer, in Direction
-	FaultLossyNetwork     FaultKind = "lossy"      // the ratio Magnitude of all messages is lost, repeated or late
+	FaultPartition        FaultKind = "cut"        // blocks traffic between Target and Peer in Direction
+	FaultLossyNetwork     FaultKind = "lossy"      // messages are lost, duplicated or delayed; Magnitude is the ratio of losses
 	FaultSlowDisk         FaultKind = "slow_disk"  // one sync takes DurationMS
-	FaultFullDisk         FaultKind = "full_disk"  // nothing can be saved
-	FaultClockDrift       FaultKind = "drift"      // the clock's rate changes by the ratio Magnitude, for good
+	FaultFullDisk         FaultKind = "full_disk"  // writes to the disk fail
+	FaultClockDrift       FaultKind = "drift"      // the clock's rate changes by the ratio Magnitude, permanently
 	FaultClockStep        FaultKind = "step"       // the clock jumps by ClockStepMS
 	FaultKillAll          FaultKind = "kill_all"   // kills each process within 100 ms and restarts it within DurationMS
 	FaultStepDown         FaultKind = "step_down"  // an operator makes the leader step down
@@ -27,14 +27,14 @@
 	FaultResize           FaultKind = "resize"     // the configured number of replicas becomes Replicas
 	FaultDuplicateName    FaultKind = "twin"       // a second process under the name of Target
 	FaultPauseBeforeWrite FaultKind = "in_the_act" // as FaultPause, between the owner's lease check and its write
-	FaultKillAfterVote    FaultKind = "voted"      // as FaultKill, right after Target has voted for another replica
-	// FaultShutdown is a FaultTerminate with a drawn series of signals and SIGKILL at the page's earliest, while clients go on
-	// using their open connections.
+	FaultKillAfterVote    FaultKind = "voted"      // as FaultKill, immediately after Target has voted for another replica
+	// FaultShutdown sends SIGTERM within a random series of signals, and SIGKILL at the earliest time at which the platform
+	// may send it, while clients go on using their open connections.
 	FaultShutdown FaultKind = "shutdown"
-	FaultCrowd    FaultKind = "crowd" // crowdConnections that idle, stop half way, or come and go
+	FaultCrowd    FaultKind = "crowd" // opens crowdConnections that idle, stop within a message, or close and reopen
 )
 
-// Targets of faults, beside the names of processes.
+// Roles that a fault may have as its target instead of a process name.
 const (
 	TargetAny     = "any"
 	TargetLeader  = "leader"
@@ -42,44 +42,44 @@
 	TargetReplica = "seat"
 )
 
-// Peers of a partition that are not coordinators, with real processes.
+// Services that may be the peer of a partition in runs with real processes.
 const (
 	PeerJournal = "journal"
 	PeerEngines = "engines"
 )
 
-// DiskState is what a process finds on its disk when it starts again.
+// DiskState is the state of a process's disk when the process restarts.
 type DiskState string
 
 // The disk states.
 const (
 	DiskIntact     DiskState = "kept"
 	DiskLost       DiskState = "lost"
-	DiskRolledBack DiskState = "rolled_back" // to an earlier state
+	DiskRolledBack DiskState = "rolled_back" // restored to an earlier state
 )
 
-// Direction says which way a partition blocks.
+// Direction is the direction of the traffic that a partition blocks.
 type Direction string
 
 // The directions of a partition, as its target sees them.
 const (
 	DirectionBoth     Direction = "both"
-	DirectionInbound  Direction = "in"  // the target is not reached
-	DirectionOutbound Direction = "out" // the target does not reach
+	DirectionInbound  Direction = "in"  // traffic to the target
+	DirectionOutbound Direction = "out" // traffic from the target
 )
 
-// Fault is one fault of a drill. Which fields count depends on its kind.
+// Fault is one fault of a drill. Its kind determines which fields are used.
 type Fault struct {
 	Kind        FaultKind `json:"kind"`
 	AtMS        float64   `json:"at_ms"` // since the drill's start
 	DurationMS  float64   `json:"for_ms,omitempty"`
-	Target      string    `json:"who,omitempty"`     // a process name such as n0, or one of the targets; empty: any
-	Peer        string    `json:"to,omitempty"`      // of a partition, the other side; empty: all others
-	Direction   Direction `json:"way,omitempty"`     // of a partition
-	Disk        DiskState `json:"disk,omitempty"`    // after a kill
-	Magnitude   float64   `json:"size,omitempty"`    // a ratio, see the kinds
-	ClockStepMS float64   `json:"size_ms,omitempty"` // of a clock step
-	Replicas    int       `json:"count,omitempty"`   // of a resize
+	Target      string    `json:"who,omitempty"`     // a process name such as n0, or a role; empty: any
+	Peer        string    `json:"to,omitempty"`      // other side of a partition; empty: all others
+	Direction   Direction `json:"way,omitempty"`     // blocked direction of a partition
+	Disk        DiskState `json:"disk,omitempty"`    // state of the disk after a kill
+	Magnitude   float64   `json:"size,omitempty"`    // ratio, with a meaning that depends on the kind
+	ClockStepMS float64   `json:"size_ms,omitempty"` // jump of a clock step
+	Replicas    int       `json:"count,omitempty"`   // number of replicas after a resize
 }
 
 // String describes a fault in one line.
@@ -103,17 +103,18 @@
 	return strings.Join(parts, " ")
 }
 
-// hasServicePeer reports whether a partition is from a service that is not a coordinator.
+// hasServicePeer reports whether the peer is a service rather than a coordinator.
 func (f Fault) hasServicePeer() bool { return f.Peer == PeerJournal || f.Peer == PeerEngines }
 
-// Random faults start after the fleet has elected a leader and granted the jobs, and early enough to recover from.
+// Random faults start after the fleet has elected a leader and granted the jobs, and early enough for the fleet to recover
+// before the drill's end.
 const (
 	randomFaultsFromMS   = 2500
 	randomFaultsMarginMS = 8000
 )
 
-// randomFault generates a fault within what the protocol assumes: clocks keep to the drift bound and disks keep what was
-// synced. Drills that go beyond name their faults.
+// randomFault generates a fault that the protocol tolerates: clocks stay within the drift bound and no disk is rolled back.
+// A drill that exceeds these assumptions lists its faults.
 func (d *Drill) randomFault(rng *rand.Rand) Fault {
 	target := []string{TargetAny, TargetLeader, TargetOwner, TargetReplica}[rng.IntN(4)]
 	f := Fault{
@@ -122,7 +123,7 @@
 		Target:     target,
 		Disk:       DiskIntact,
 	}
-	switch rng.IntN(14) { // a kind with two numbers is twice as frequent
+	switch rng.IntN(14) { // a kind with two case values is twice as likely
 	case 0, 1:
 		f.Kind = FaultKill
 	case 2:
@@ -152,5 +153,5 @@
 	return f
 }
 
-// randomPauseMS is between a part of a lease and several leases.
+// randomPauseMS returns a random duration of a pause, from 0.2 to 3.2 leases.
 func (d *Drill) randomPauseMS(rng *rand.Rand) float64 { return d.LeaseMS * (0.2 + 3*rng.Float64()) }
--- a/internal/drill/golden_test.go
+++ b/internal/drill/golden_test.go
@@ -9,8 +9,9 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/every-field.json sets every field. testdata/drill.golden is the value that d9ce9f6 read from it: go test ./internal/drill -update
-func TestRecordedDrillIsReadWhole(t *testing.T) {
+// testdata/every-field.json sets every field. testdata/drill.golden holds the value that commit d9ce9f6 read from it. To update
+// the golden file: go test ./internal/drill -update
+func TestRecordedDrillIsReadCompletely(t *testing.T) {
 	raw, err := os.ReadFile("testdata/every-field.json")
 	require.NoError(t, err)
 	d, err := Parse("drill.json", raw)
--- a/internal/drill/history.go
+++ b/internal/drill/history.go
@@ -9,22 +9,22 @@
 	"aniseloft/internal/lease"
 )
 
-// FencedWrite is one write under a fencing token: its call and return as the owner saw them, and its effect as the target
-// did.
+// FencedWrite is one write under a fencing token, with the times of its call and return at the owner and of its effect at
+// the target.
 type FencedWrite struct {
 	Job          string      `json:"job"`
 	Fence        lease.Fence `json:"fence"`
 	Holder       string      `json:"holder"`
 	CalledAtMS   float64     `json:"call_ms"`
 	AppliedAtMS  float64     `json:"at_ms"`
-	ReturnedAtMS float64     `json:"return_ms"` // 0: the owner did not learn the outcome
+	ReturnedAtMS float64     `json:"return_ms"` // 0: the owner did not receive the outcome
 	Admitted     bool        `json:"admitted"`
 }
 
-// CheckFencing finds writes, in the target's order, that were admitted after a write under a higher fencing token, or after
-// one of another holder under the same.
+// CheckFencing returns a violation for each write that was admitted after a write under a higher fencing token, or after a
+// write of another holder under the same token. The writes are in the order in which the target applied them.
 func CheckFencing(writes []FencedWrite) (violations []Violation) {
-	newest := map[string]FencedWrite{} // admitted, by job
+	newest := map[string]FencedWrite{} // last admitted write, by job
 	for _, write := range writes {
 		if !write.Admitted {
 			continue
@@ -43,16 +43,16 @@
 func fencingViolation(write, newest FencedWrite) Violation {
 	return Violation{
 		Rule: RuleFence, Process: write.Holder, AtMS: write.AppliedAtMS,
-		Detail: fmt.Sprintf("%s: an act under fence %d after one under %d", write.Job, write.Fence, newest.Fence),
+		Detail: fmt.Sprintf("%s: write under fence %d admitted after one under fence %d", write.Job, write.Fence, newest.Fence),
 		Evidence: []string{
-			fmt.Sprintf("%.1f ms: %s acted under %d", newest.AppliedAtMS, newest.Holder, newest.Fence),
-			fmt.Sprintf("%.1f ms: %s acted under %d", write.AppliedAtMS, write.Holder, write.Fence),
+			fmt.Sprintf("%.1f ms: %s wrote under fence %d", newest.AppliedAtMS, newest.Holder, newest.Fence),
+			fmt.Sprintf("%.1f ms: %s wrote under fence %d", write.AppliedAtMS, write.Holder, write.Fence),
 		},
 	}
 }
 
-// fencedRegister is the sequential model of a job's target: it admits a write whose fencing token is not lower than any
-// that it has seen.
+// fencedRegister is the sequential specification of a job's target, which admits writes as lease.FenceRecord does: under a
+// higher fencing token, or under the same token from the same holder.
 var fencedRegister = porcupine.Model{
 	Partition: partitionByJob,
 	Init:      func() any { return lease.FenceRecord{} },
@@ -64,7 +64,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// partitionByJob splits a history into one for each job, which are independent.
+// partitionByJob splits a history into one for each job. The histories of jobs are independent of each other.
 func partitionByJob(history []porcupine.Operation) (parts [][]porcupine.Operation) {
 	byJob := map[string][]porcupine.Operation{}
 	var jobs []string
@@ -81,8 +81,8 @@
 	return parts
 }
 
-// CheckLinearizability checks the history of writes, by the times of their calls and returns, against a register that only
-// grows.
+// CheckLinearizability checks that the writes, by the times of their calls and returns, are linearizable over a register
+// whose fencing token never decreases.
 func CheckLinearizability(writes []FencedWrite) []Violation {
 	const microsPerMilli = 1000
 	var operations []porcupine.Operation
@@ -103,5 +103,5 @@
 	if porcupine.CheckOperations(fencedRegister, operations) {
 		return nil
 	}
-	return []Violation{{Rule: RuleLinearizable, Detail: fmt.Sprintf("%d acts are not those of a register that only grows", len(writes))}}
+	return []Violation{{Rule: RuleLinearizable, Detail: fmt.Sprintf("%d writes are not linearizable over a register whose fencing token never decreases", len(writes))}}
 }
--- a/internal/drill/json_test.go
+++ b/internal/drill/json_test.go
@@ -12,7 +12,8 @@
 	"aniseloft/internal/store"
 )
 
-// requireSameJSON compares a value with the JSON that was recorded for it, byte for byte. Record with: RECORD_DRILL_JSON=1 go test ./internal/drill -run TestDrillsAndResults.
+// requireSameJSON compares the JSON of a value with the recorded JSON, byte for byte. To record it:
+// RECORD_DRILL_JSON=1 go test ./internal/drill -run TestDrillAndResultJSONIsStable
 func requireSameJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	written, err := json.MarshalIndent(value, "", " ")
@@ -26,7 +27,7 @@
 	require.Equal(t, string(recorded), string(written)+"\n")
 }
 
-func TestDrillsAndResultsKeepTheirJSON(t *testing.T) {
+func TestDrillAndResultJSONIsStable(t *testing.T) {
 	violations := []Violation{{Rule: RuleFence, Process: "n1/2", AtMS: 1234.5, Detail: "prune-record: an act under fence 1 after one under 2", Evidence: []string{"a", "b"}}, {Rule: RuleLinearizable}}
 	faults := []Fault{
 		{Kind: FaultPartition, AtMS: 1, DurationMS: 2, Target: "leader", Peer: "n2", Direction: DirectionInbound},
@@ -53,7 +54,7 @@
 	})
 }
 
-// A drill file with each field reads into the same values.
+// Decoding a drill file that sets each field and encoding it again must give the same JSON.
 func TestParsedDrillKeepsEachField(t *testing.T) {
 	raw, err := os.ReadFile("testdata/complete-drill.json")
 	require.NoError(t, err)
--- a/internal/drill/real.go
+++ b/internal/drill/real.go
@@ -22,11 +22,11 @@
 // RealOptions configure a run with real processes.
 type RealOptions struct {
 	Seed             uint64
-	Coordinator      string                     // path of the program
-	OlderCoordinator string                     // what each process runs until its first graceful shutdown; empty: Coordinator
-	Scenario         *scenario.Scenario         // of engines and clients
+	Coordinator      string                     // path of the coordinator's program
+	OlderCoordinator string                     // program of each process until its first graceful shutdown; empty: Coordinator
+	Scenario         *scenario.Scenario         // engines and clients
 	Directory        string                     // for logs and disks; empty: a temporary one
-	FleetOff         bool                       // each coordinator works alone, for comparison
+	FleetOff         bool                       // coordinators run without a fleet configuration, for comparison
 	Debug            bool                       // coordinators log at debug level
 	Progress         func(nowMS, endMS float64) // nil: none
 }
@@ -36,48 +36,48 @@
 	Seed           uint64           `json:"seed"`
 	Violations     []Violation      `json:"broken"`
 	Writes         int              `json:"acts"`
-	Rejected       int              `json:"refused"` // of the writes
-	Unknown        int              `json:"unknown"` // writes whose outcome their owner did not learn
+	Rejected       int              `json:"refused"` // number of rejected writes
+	Unknown        int              `json:"unknown"` // writes whose outcome their owner did not receive
 	Grants         []store.FenceRow `json:"grants"`
-	Unowned        []UnownedTime    `json:"gaps"` // between two writes to the record
+	Unowned        []UnownedTime    `json:"gaps"` // times between two writes to the record
 	Service        float64          `json:"service"`
 	JournalCalls   int              `json:"journal_calls"`
-	BytesPerSecond float64          `json:"bytes_s"` // that one coordinator sends to the others
-	SyncsPerSecond float64          `json:"syncs_s"` // of one replica
+	BytesPerSecond float64          `json:"bytes_s"` // sent by one coordinator to the others, on average
+	SyncsPerSecond float64          `json:"syncs_s"` // disk syncs of one replica, on average
 	Faults         []string         `json:"faults"`
 	Report         *observer.Report `json:"report"`
 }
 
-// realRun is one run with real processes. Faults are injected from goroutines of the rig and of timers.
+// realRun is one run with real processes. Faults are injected from goroutines of the controller and of timers.
 type realRun struct {
 	drill            *Drill
 	options          RealOptions
 	directory        string
-	network          *loopback.Network // of the addresses below
+	network          *loopback.Network // network of the addresses below
 	replicaAddresses []string          // by process
 	restAddresses    []string          // by process
 	logs             []*processLog
 	origins          *connectionOrigins
-	rig              *live.Controller // set once, before the first fault
+	controller       *live.Controller // set once, before the first fault
 	startedAt        time.Time        // set once, before the first fault
 
 	rngMu sync.Mutex // guards rng
 	rng   *rand.Rand
 
 	mu             sync.Mutex       // guards the fields below
-	fleet          fleetconf.Config // the newest configuration, with the replicas' own addresses
+	fleet          fleetconf.Config // newest configuration, with the replicas' addresses without relays
 	replicaRelays  map[link]*Relay
 	serviceRelays  map[serviceRoute]*Relay
-	datagramRelays map[link]*DatagramRelay // between two processes, from the lower index
+	datagramRelays map[link]*DatagramRelay // by the link from the lower to the higher process index
 	faultLog       []string
 	injected       []injectedFault
-	faulted        map[int]bool // killed or paused now, by process
-	upgraded       map[int]bool // those that have shut down gracefully, by process
+	faulted        map[int]bool // whether a process is killed, shut down or paused now, by process
+	upgraded       map[int]bool // whether a process has shut down gracefully, by process
 	unanswered     []unansweredCall
 	notStarted     []Violation
 }
 
-// serviceRoute leads from a process to a service that is not a coordinator.
+// serviceRoute identifies the route from a process to the journal service or an engine.
 type serviceRoute struct {
 	process int
 	service string // live.ToJournal or live.ToEngine
@@ -111,42 +111,42 @@
 	if err := r.prepare(); err != nil {
 		return nil, err
 	}
-	report, err := r.play(ctx)
+	report, err := r.runProcesses(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("%w\n%s", err, r.logTails())
 	}
 	return r.evaluate(ctx, report)
 }
 
-// play runs the processes, engines and clients until the drill's end.
-func (r *realRun) play(ctx context.Context) (*observer.Report, error) {
+// runProcesses runs the processes, engines and clients until the drill's end.
+func (r *realRun) runProcesses(ctx context.Context) (*observer.Report, error) {
 	s := *r.options.Scenario
 	s.DurationMS = r.drill.DurationMS
 	s.Coordinators.Count = r.drill.Members
 	options := live.Options{
 		Seed: r.options.Seed, Coordinator: r.options.Coordinator, Log: io.Discard, Progress: r.options.Progress,
 		Environment: func(process int) (string, []string, io.Writer) {
-			return r.home(process), r.environment(process), r.logs[process]
+			return r.processDirectory(process), r.environment(process), r.logs[process]
 		},
 		ServiceAddress: r.serviceAddress, ReceivedAt: r.origins.receivedAt, GossipAddresses: r.peerAddresses, Program: r.program,
-		Control: func(_ context.Context, rig *live.Controller) { r.start(rig) },
+		Control: func(_ context.Context, controller *live.Controller) { r.start(controller) },
 	}
-	if r.drill.Soak { // in a crowd an idle connection may be closed in the instant of a request
+	if r.drill.Soak { // with a crowd, a coordinator may close an idle connection as a request is sent on it
 		options.Unanswered = r.addUnanswered
 	}
 	return live.Run(ctx, &s, options)
 }
 
 // start schedules the faults.
-func (r *realRun) start(rig *live.Controller) {
-	r.rig = rig
+func (r *realRun) start(controller *live.Controller) {
+	r.controller = controller
 	r.startedAt = time.Now()
 	for _, f := range r.drill.schedule(r.options.Seed) {
-		rig.At(f.AtMS, func() { r.inject(f) })
+		controller.At(f.AtMS, func() { r.inject(f) })
 	}
 }
 
-// program returns what a process runs: the older one until its first graceful shutdown.
+// program returns the path of the program that a process runs: OlderCoordinator, if set, until its first graceful shutdown.
 func (r *realRun) program(process, _ int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,11 +156,15 @@
 	return r.options.Coordinator
 }
 
-// home returns a process's directory.
-func (r *realRun) home(process int) string { return filepath.Join(r.directory, ProcessName(process)) }
+// processDirectory returns the working directory of a process.
+func (r *realRun) processDirectory(process int) string {
+	return filepath.Join(r.directory, ProcessName(process))
+}
 
-// disk returns the directory with a process's replica.
-func (r *realRun) disk(process int) string { return filepath.Join(r.home(process), "fleet") }
+// replicaDirectory returns the directory in which a process stores its replica.
+func (r *realRun) replicaDirectory(process int) string {
+	return filepath.Join(r.processDirectory(process), "fleet")
+}
 
 func (r *realRun) logFault(message string) {
 	r.mu.Lock()
--- a/internal/drill/real_config.go
+++ b/internal/drill/real_config.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	purgeIntervalMS = 50 // between two writes of the owner of the record's job
-	directly        = -1 // in place of a process, for a configuration without relays
+	purgeIntervalMS = 50 // interval between two writes of the owner of lease.JobPruneRecord
+	withoutRelays   = -1 // in place of a process index, for a configuration without relays
 )
 
-// Blocks of hosts in a run's loopback network.
+// Blocks of hosts in a run's loopback network, as loopback.Network.Host takes them.
 const (
 	replicaHosts = 0
 	restHosts    = 10
 )
 
-// prepare chooses the addresses and writes the first configuration of each process.
+// prepare chooses the addresses, and writes the first configuration of each process.
 func (r *realRun) prepare() error {
 	for process := range r.drill.Members {
 		replica, err := r.network.FreeTCPAddress(replicaHosts, process)
@@ -38,7 +38,7 @@
 		r.restAddresses = append(r.restAddresses, rest)
 	}
 	const firstGeneration = 1
-	r.fleet = r.fleetConfig(directly, r.drill.Replicas, firstGeneration)
+	r.fleet = r.fleetConfig(withoutRelays, r.drill.Replicas, firstGeneration)
 	for process := range r.drill.Members {
 		if err := r.writeConfigs(process, r.drill.Replicas, firstGeneration); err != nil {
 			return err
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// fleetConfig returns the fleet's configuration for a process: it reaches all replicas but its own through relays, or
-// all directly.
+// fleetConfig returns the fleet's configuration for a process, which reaches all replicas but its own through relays. For
+// withoutRelays it has the addresses at which the replicas listen.
 func (r *realRun) fleetConfig(process, replicas int, generation uint64) fleetconf.Config {
 	c := fleetconf.Config{
 		Installation: "drill", Generation: generation, Directory: "fleet",
@@ -56,7 +56,7 @@
 	}
 	for replica := range replicas {
 		address := r.replicaAddresses[replica]
-		if process != directly && process != replica {
+		if process != withoutRelays && process != replica {
 			if relay, err := r.replicaRelay(link{process, replica}); err == nil {
 				address = relay.Addr()
 			}
@@ -66,10 +66,10 @@
 	return c
 }
 
-// writeConfigs writes the operators' files of a process.
+// writeConfigs writes the configuration files of a process.
 func (r *realRun) writeConfigs(process, replicas int, generation uint64) error {
-	directory := filepath.Join(r.home(process), "deploy")
-	if err := errors.Join(os.MkdirAll(directory, 0o755), os.MkdirAll(r.disk(process), 0o755)); err != nil {
+	directory := filepath.Join(r.processDirectory(process), "deploy")
+	if err := errors.Join(os.MkdirAll(directory, 0o755), os.MkdirAll(r.replicaDirectory(process), 0o755)); err != nil {
 		return fmt.Errorf("drill: %w", err)
 	}
 	fleet := r.fleetConfig(process, replicas, generation)
@@ -82,7 +82,7 @@
 			"listen": r.restAddresses[process], "store": r.recordFile(), "keep_seconds": 60, "purge_every_ms": purgeIntervalMS,
 		},
 	}
-	if r.options.Debug || r.drill.Soak { // a soak judges by what was taken
+	if r.options.Debug || r.drill.Soak { // checkUnanswered needs the debug log of received requests
 		files["log.json"] = map[string]any{"level": "debug"}
 	}
 	for name, content := range files {
@@ -103,10 +103,11 @@
 	return os.WriteFile(file, raw, 0o600)
 }
 
-// environment returns what is added to a process's environment: a directory for what outlives it, and the faults of its
-// clock and disk. Those must be known at its start, so that only faults that name the process count.
+// environment returns the variables that are added to a process's environment: the directory for temporary files, which
+// outlive the process, and the faults of its clock and disk. A process reads these faults only at its start, so the faults
+// must name the process: a role is resolved too late.
 func (r *realRun) environment(process int) []string {
-	environment := []string{"TMPDIR=" + r.home(process)}
+	environment := []string{"TMPDIR=" + r.processDirectory(process)}
 	clock, disk := "", ""
 	for _, f := range r.drill.Faults {
 		if f.Target != ProcessName(process) {
--- a/internal/drill/real_config_test.go
+++ b/internal/drill/real_config_test.go
@@ -9,8 +9,8 @@
 	"aniseloft/internal/emulator/loopback"
 )
 
-// Replicas and REST listeners listen with SO_REUSEPORT, as coordinators do. Only hosts of its own keep the processes of
-// another run away.
+// Coordinators listen with SO_REUSEPORT, so that two runs could listen at one address and receive each other's connections.
+// Each run must therefore use its own hosts for replicas and REST listeners.
 func TestConcurrentRealRunsShareNoHost(t *testing.T) {
 	runOf := map[string]int{} // by host
 	for run := range 3 {
--- a/internal/drill/real_faults.go
+++ b/internal/drill/real_faults.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	nobody             = -1 // in place of a process: a target that does not exist now, or no peer
+	noProcess          = -1 // in place of a process index: the target does not exist now, or there is no peer
 	statusTimeout      = 300 * time.Millisecond
 	adminTimeout       = time.Second
 	killAllWithin      = 100 * time.Millisecond
-	reconfigureSpacing = 50 * time.Millisecond // between two processes that get a new configuration
+	reconfigureSpacing = 50 * time.Millisecond // time between two processes that get a new configuration
 )
 
 // inject starts a fault. A fault whose target does not exist now has no effect.
 func (r *realRun) inject(f Fault) {
 	target := r.resolveTarget(f.Target)
-	if target == nobody {
+	if target == noProcess {
 		return
 	}
-	peer := nobody
+	peer := noProcess
 	if f.Peer != "" && !f.hasServicePeer() {
 		peer = r.resolveTarget(f.Peer)
-		if peer == nobody || peer == target {
+		if peer == noProcess || peer == target {
 			return
 		}
 	}
@@ -44,7 +44,7 @@
 	case FaultDuplicateName:
 		r.logNotInjected(f)
 	case FaultFullDisk, FaultClockDrift, FaultClockStep:
-		if !named { // a named process has the fault since its start
+		if !named { // a process that the drill names has had the fault since its start
 			r.logNotInjected(f)
 		}
 	case FaultSlowDisk:
@@ -58,7 +58,7 @@
 	case FaultShutdown:
 		r.shutDown(target, duration)
 	case FaultCrowd:
-		r.rig.Crowd(target, crowdConnections, duration)
+		r.controller.Crowd(target, crowdConnections, duration)
 	case FaultKillAll:
 		r.killAll(duration)
 	case FaultPause, FaultPauseBeforeWrite:
@@ -74,7 +74,7 @@
 	}
 }
 
-// recordFault notes a fault for the result and as a cause of times without an owner.
+// recordFault adds a fault to the result and to the possible causes of times without an owner.
 func (r *realRun) recordFault(f Fault, target int) {
 	r.logFault(fmt.Sprintf("%s (%s)", f, ProcessName(target)))
 	r.mu.Lock()
@@ -83,11 +83,11 @@
 }
 
 func (r *realRun) logNotInjected(f Fault) {
-	r.logFault(string(f.Kind) + " was not played: with real processes it needs a process by its name, and twin is only in virtual time")
+	r.logFault(string(f.Kind) + " was not injected: with real processes its target (who) must be a process name such as n0, and twin works only in virtual time")
 }
 
-// resolveTarget returns the process that a fault's target names now, a random one of several. Processes that are killed
-// or paused already are left out.
+// resolveTarget returns the process that a fault's target names now, chosen at random if there are several, or noProcess.
+// It excludes processes that are already killed, shut down or paused.
 func (r *realRun) resolveTarget(target string) int {
 	running, replicas := r.healthyProcesses()
 	switch target {
@@ -102,7 +102,7 @@
 	}
 	process, err := strconv.Atoi(strings.TrimPrefix(target, "n"))
 	if err != nil || !slices.Contains(running, process) {
-		return nobody
+		return noProcess
 	}
 	return process
 }
@@ -112,7 +112,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for process := range r.drill.Members {
-		if !r.rig.Running(process) || r.faulted[process] {
+		if !r.controller.Running(process) || r.faulted[process] {
 			continue
 		}
 		running = append(running, process)
@@ -126,17 +126,17 @@
 func (r *realRun) leader(running []int) int {
 	status := r.coordinationStatus()
 	if status == nil {
-		return nobody
+		return noProcess
 	}
 	for _, process := range running {
 		if status.Leader == ProcessName(process) {
 			return process
 		}
 	}
-	return nobody
+	return noProcess
 }
 
-// owners returns the owners of jobs; a process that owns several is in the list as often.
+// owners returns the owners of jobs, a process once for each job that it owns.
 func (r *realRun) owners(running []int) (owners []int) {
 	status := r.coordinationStatus()
 	if status == nil {
@@ -154,44 +154,44 @@
 
 func (r *realRun) pickRandom(processes []int) int {
 	if len(processes) == 0 {
-		return nobody
+		return noProcess
 	}
 	r.rngMu.Lock()
 	defer r.rngMu.Unlock()
 	return processes[r.rng.IntN(len(processes))]
 }
 
-// currentFleet returns the newest configuration, by which the group is reached directly.
+// currentFleet returns the newest configuration, which reaches the replicas without relays.
 func (r *realRun) currentFleet() fleetconf.Config {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fleet
 }
 
-// coordinationStatus returns the leader's status, or another replica's if the leader does not answer; nil: no replica
-// answers.
+// coordinationStatus returns the leader's status, or that of another replica if the leader does not answer. It returns nil
+// if no replica answers.
 func (r *realRun) coordinationStatus() *lease.Status {
 	if r.options.FleetOff {
 		return nil
 	}
 	fleet := r.currentFleet()
 	request := lease.AdminRequest{Operation: lease.AdminStatus}
-	first, err := coordination.Admin(context.Background(), fleet, "", request, statusTimeout)
-	if err != nil || first.Status == nil {
+	response, err := coordination.Admin(context.Background(), fleet, "", request, statusTimeout)
+	if err != nil || response.Status == nil {
 		return nil
 	}
-	status := first.Status
+	status := response.Status
 	if status.Leader == "" || status.Leader == status.Replica {
 		return status
 	}
-	leaders, err := coordination.Admin(context.Background(), fleet, status.Leader, request, statusTimeout)
-	if err != nil || leaders.Status == nil {
+	leaderResponse, err := coordination.Admin(context.Background(), fleet, status.Leader, request, statusTimeout)
+	if err != nil || leaderResponse.Status == nil {
 		return status
 	}
-	return leaders.Status
+	return leaderResponse.Status
 }
 
-// sendAdminRequest sends an operator's request. It may fail, as an operator's may.
+// sendAdminRequest sends an operator's request. It ignores errors, because faults may make any such request fail.
 func (r *realRun) sendAdminRequest(request lease.AdminRequest) {
 	_, _ = coordination.Admin(context.Background(), r.currentFleet(), "", request, adminTimeout)
 }
@@ -204,47 +204,47 @@
 
 func (r *realRun) pause(process int, duration time.Duration) {
 	r.setFaulted(process, true)
-	r.rig.Pause(process)
+	r.controller.Pause(process)
 	time.AfterFunc(duration, func() {
-		r.rig.Resume(process)
+		r.controller.Resume(process)
 		r.setFaulted(process, false)
 	})
 }
 
-// killAll kills all processes one after another. The later one is killed, the longer it stays down.
+// killAll kills all processes one after another within killAllWithin. A process that is killed later stays down longer.
 func (r *realRun) killAll(maxDowntime time.Duration) {
 	members := time.Duration(r.drill.Members)
 	for process := range r.drill.Members {
 		go func() {
 			time.Sleep(time.Duration(process) * killAllWithin / members)
-			if r.rig.Running(process) {
+			if r.controller.Running(process) {
 				r.endProcess(process, Fault{Kind: FaultKill, Disk: DiskIntact}, maxDowntime*time.Duration(process+1)/members)
 			}
 		}()
 	}
 }
 
-// endProcess kills a process, or shuts it down gracefully, and starts it after a downtime with the disk that the fault
-// names.
+// endProcess kills a process, or shuts it down gracefully, and restarts it after a downtime with the disk in the state that
+// the fault names.
 func (r *realRun) endProcess(process int, f Fault, downtime time.Duration) {
 	r.setFaulted(process, true)
-	backup := filepath.Join(r.home(process), "fleet-before")
+	backup := filepath.Join(r.processDirectory(process), "fleet-before")
 	if f.Disk == DiskRolledBack {
 		_ = os.RemoveAll(backup)
-		_ = os.CopyFS(backup, os.DirFS(r.disk(process)))
-		time.Sleep(downtime / 2) // lets the disk get ahead of its backup
+		_ = os.CopyFS(backup, os.DirFS(r.replicaDirectory(process)))
+		time.Sleep(downtime / 2) // until the disk is newer than its backup
 	}
 	if f.Kind == FaultTerminate {
-		r.rig.Terminate(process)
+		r.controller.Terminate(process)
 		r.setUpgraded(process)
 	} else {
-		r.rig.Kill(process)
+		r.controller.Kill(process)
 	}
-	damageDirectory(r.disk(process), backup, f.Disk)
+	damageDirectory(r.replicaDirectory(process), backup, f.Disk)
 	r.restartAfter(process, downtime)
 }
 
-// restartAfter starts a process again after a downtime.
+// restartAfter restarts a process after a downtime.
 func (r *realRun) restartAfter(process int, downtime time.Duration) {
 	time.AfterFunc(downtime, func() { r.restart(process) })
 }
@@ -256,10 +256,10 @@
 }
 
 func (r *realRun) restart(process int) {
-	if err := r.rig.Start(process); err != nil {
-		r.logFault(fmt.Sprintf("%s does not start: %v", ProcessName(process), err))
+	if err := r.controller.Start(process); err != nil {
+		r.logFault(fmt.Sprintf("%s failed to start: %v", ProcessName(process), err))
 		r.mu.Lock()
-		r.notStarted = append(r.notStarted, Violation{Rule: RuleRequest, Process: ProcessName(process), Detail: "it does not start: " + err.Error()})
+		r.notStarted = append(r.notStarted, Violation{Rule: RuleRequest, Process: ProcessName(process), Detail: "the process failed to start: " + err.Error()})
 		r.mu.Unlock()
 	}
 	r.setFaulted(process, false)
@@ -278,7 +278,7 @@
 // resize gives each process a new configuration of the consensus group, one after another.
 func (r *realRun) resize(replicas int) {
 	generation := r.currentFleet().Generation + 1
-	fleet := r.fleetConfig(directly, replicas, generation)
+	fleet := r.fleetConfig(withoutRelays, replicas, generation)
 	r.mu.Lock()
 	r.fleet = fleet
 	r.mu.Unlock()
@@ -287,7 +287,7 @@
 			r.logFault(err.Error())
 			continue
 		}
-		r.rig.Reload(process)
+		r.controller.Reload(process)
 		time.Sleep(reconfigureSpacing)
 	}
 }
--- a/internal/drill/real_log.go
+++ b/internal/drill/real_log.go
@@ -14,14 +14,15 @@
 	"aniseloft/internal/lease"
 )
 
-// What a coordinator prints in a drill: a message for each write, and its counters when it ends.
+// Parts of a coordinator's output from which results are read: the log message of each write, and the prefixes of the
+// counters that it prints when it exits.
 const (
 	writeMessage    = "fleet act"
 	fleetCounters   = "counters fleet "
 	journalCounters = "counters journal "
 )
 
-// processLog collects what one process prints, over all its incarnations.
+// processLog collects the output of one process over all its incarnations.
 type processLog struct {
 	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
@@ -51,7 +52,7 @@
 	return tails.String()
 }
 
-// storeLog writes a process's log to the directory that the caller asked for, if any.
+// storeLog writes a process's log to RealOptions.Directory, if that is set.
 func (r *realRun) storeLog(process int, raw []byte) error {
 	if r.options.Directory == "" {
 		return nil
@@ -62,12 +63,12 @@
 	return nil
 }
 
-// logSummary is what logs say of writes and counters.
+// logSummary holds the writes and the counters that logs contain.
 type logSummary struct {
-	writes       []FencedWrite // whose outcome is known
-	rejected     int           // of the writes
-	unknown      int           // writes whose outcome is not known
-	sentBytes    float64       // to other coordinators
+	writes       []FencedWrite // writes with a known outcome
+	rejected     int           // number of rejected writes
+	unknown      int           // number of writes with an unknown outcome
+	sentBytes    float64       // sent to other coordinators
 	syncs        float64
 	journalCalls int
 }
--- a/internal/drill/real_network.go
+++ b/internal/drill/real_network.go
@@ -7,20 +7,22 @@
 	"aniseloft/internal/emulator/live"
 )
 
-// maxServiceRelays bounds the relays to services; beyond it, processes reach engines directly.
+// maxServiceRelays limits the number of relays to services. Once it is reached, further connections to engines use no relay.
 const maxServiceRelays = 256
 
-// Faults of a lossy network. On a stream, loss shows as delay and less throughput.
+// Effects of FaultLossyNetwork. TCP retransmits lost bytes, so that a lossy network delays streams and lowers their
+// throughput.
 const (
 	lossyMaxDelay       = 200 * time.Millisecond
-	lossyStreamDelayMS  = 200 // times the loss ratio
+	lossyStreamDelayMS  = 200 // multiplied by the loss ratio
 	lossyBytesPerSecond = 64 << 10
 )
 
-// slowDiskDelayRatio is the part of a slow sync by which each message of the process is late.
-const slowDiskDelayRatio = 10
+// slowDiskDelayDivisor divides the duration of a slow sync. The quotient is the delay of each message to or from the
+// process.
+const slowDiskDelayDivisor = 10
 
-// replicaRelay returns the relay from a process to another's replica.
+// replicaRelay returns the relay from a process to the replica of another, and creates it if necessary.
 func (r *realRun) replicaRelay(l link) (*Relay, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,7 +37,8 @@
 	return relay, nil
 }
 
-// serviceAddress returns the address by which a process reaches a service that listens at an address.
+// serviceAddress returns the address at which a process reaches a service that listens at address: that of a relay, or the
+// service's own.
 func (r *realRun) serviceAddress(process int, service, address string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,11 +74,11 @@
 			}
 			r.datagramRelays[l] = relay
 		}
-		end := 0
+		coordinator := 0
 		if peer == l.destination {
-			end = 1
+			coordinator = 1
 		}
-		addresses[peer] = r.datagramRelays[l].Address(end)
+		addresses[peer] = r.datagramRelays[l].Address(coordinator)
 	}
 	return addresses, nil
 }
@@ -102,7 +105,8 @@
 	}
 }
 
-// disturbNetwork applies a fault to what passes between a target and a peer, or all others, for a while.
+// disturbNetwork applies a fault for a duration to the traffic between a target and a peer, or all other processes if peer
+// is noProcess. FaultLossyNetwork applies to the traffic of all processes.
 func (r *realRun) disturbNetwork(target, peer int, f Fault, duration time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,8 +126,8 @@
 	}
 }
 
-// connects reports whether a link leads, in either direction, between a target and a peer, or any process if the peer
-// is negative.
+// connects reports whether a link leads, in either direction, between a target and a peer, or any other process if peer is
+// negative.
 func (l link) connects(target, peer int) bool {
 	if l.source != target && l.destination != target {
 		return false
@@ -154,7 +158,7 @@
 	time.AfterFunc(duration, func() { relay.SetFaults(0, 0, 0) })
 }
 
-// disturbStream applies a fault to a relay, whose connections come from the target or lead to it.
+// disturbStream applies a fault to a relay whose connections come from the target, if fromTarget is set, or lead to it.
 func disturbStream(relay *Relay, f Fault, fromTarget bool, duration time.Duration) {
 	switch f.Kind {
 	case FaultLossyNetwork:
@@ -162,7 +166,7 @@
 		relay.SetDelay(delay, delay, lossyBytesPerSecond)
 		time.AfterFunc(duration, func() { relay.SetDelay(0, 0, 0) })
 	case FaultSlowDisk:
-		relay.SetDelay(duration/slowDiskDelayRatio, 0, 0)
+		relay.SetDelay(duration/slowDiskDelayDivisor, 0, 0)
 		time.AfterFunc(duration, func() { relay.SetDelay(0, 0, 0) })
 	default:
 		outbound, inbound := f.Direction != DirectionInbound, f.Direction != DirectionOutbound
--- a/internal/drill/real_result.go
+++ b/internal/drill/real_result.go
@@ -14,7 +14,7 @@
 
 const (
 	recordTimeout = 5 * time.Second
-	// minUnownedIntervals is the time between two writes, in purge intervals, from which the job counts as unowned.
+	// minUnownedIntervals is a number of purge intervals. The job counts as unowned between two writes that are further apart.
 	minUnownedIntervals = 4
 )
 
@@ -31,7 +31,7 @@
 	}
 	result.Violations = append(result.Violations, r.checkUnanswered()...)
 	r.mu.Lock()
-	if r.drill.Soak { // in other drills a start may fall into the drill's end
+	if r.drill.Soak { // in other drills a process may still be starting when the drill ends
 		result.Violations = append(result.Violations, r.notStarted...)
 	}
 	r.mu.Unlock()
@@ -43,12 +43,13 @@
 	}
 	result.Unowned = r.unownedTimes(writes).rows()
 	if slices.Contains(r.drill.Jobs, lease.JobPruneRecord) && len(result.Grants) == 0 {
-		result.Violations = append(result.Violations, Violation{Rule: RuleProgress, Detail: "nobody ever acted on the record"})
+		result.Violations = append(result.Violations, Violation{Rule: RuleProgress, Detail: "no process ever wrote to the record"})
 	}
 	return result, nil
 }
 
-// evaluateLogs sums up what the processes logged, checks the history of their writes and returns it by the writes' calls.
+// evaluateLogs sums up the processes' logs, checks the history of their writes and returns the writes in the order of their
+// calls.
 func (r *realRun) evaluateLogs(report *observer.Report) (*RealResult, []FencedWrite, error) {
 	var total logSummary
 	for process, log := range r.logs {
@@ -84,7 +85,7 @@
 	return record.Fences(ctx)
 }
 
-// unownedTimes returns the times between admitted writes that are too long for an owner at work.
+// unownedTimes returns the times between admitted writes that are longer than an owner's regular interval allows.
 func (r *realRun) unownedTimes(writes []FencedWrite) unownedTimes {
 	times := unownedTimes{}
 	lastReturn := 0.0
@@ -101,7 +102,7 @@
 	return times
 }
 
-// faultBefore returns the kind of the last fault before a time.
+// faultBefore returns the kind of the last fault before a time, or causeBeforeFault.
 func (r *realRun) faultBefore(ms float64) FaultKind {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -11,12 +11,12 @@
 	"aniseloft/internal/emulator/receivetime"
 )
 
-// Relay forwards TCP connections to a target, and delays or blocks their bytes. A goroutine accepts connections until
+// Relay forwards TCP connections to a target, and delays or blocks their bytes. One goroutine accepts connections until
 // Close; two goroutines for each connection copy its bytes until either side closes.
 type Relay struct {
 	target   string
 	listener net.Listener
-	origins  *connectionOrigins // told of each connection to the target; nil: nobody asks
+	origins  *connectionOrigins // records each connection to the target; nil: not recorded
 
 	mu                sync.Mutex // guards the fields below
 	unblocked         *sync.Cond // signals a change of the blocked fields or of closed
@@ -29,7 +29,7 @@
 	bytesPerSecond    int // in each direction; 0: no limit
 }
 
-// NewRelay listens on loopback for connections that are to go to target.
+// NewRelay opens a relay that listens on loopback and forwards connections to target.
 func NewRelay(target string) (*Relay, error) { return newRelay(target, nil) }
 
 func newRelay(target string, origins *connectionOrigins) (*Relay, error) {
@@ -46,8 +46,8 @@
 // Addr returns the address where the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Block holds bytes back, in each direction by itself, until it is called again. They are forwarded then, as TCP would
-// retransmit them.
+// Block sets for each direction whether the relay holds bytes back. Held bytes are forwarded when their direction is
+// unblocked, as TCP would retransmit them after an interruption.
 func (r *Relay) Block(toTarget, fromTarget bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,8 @@
 	r.unblocked.Broadcast()
 }
 
-// SetDelay delays bytes by delay plus or minus jitter, and limits them in each direction; 0: no delay, no limit.
+// SetDelay delays bytes by delay plus or minus jitter, and limits the throughput of each direction. Zero values mean no
+// delay and no limit.
 func (r *Relay) SetDelay(delay, jitter time.Duration, bytesPerSecond int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,14 +73,14 @@
 	}
 }
 
-// resetOnClose lets a connection end with a reset rather than gracefully.
+// resetOnClose makes Close end a connection with a TCP reset.
 func resetOnClose(connection net.Conn) {
 	if tcp, ok := connection.(interface{ SetLinger(seconds int) error }); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// Close resets all connections and ends the relay.
+// Close resets all connections and stops the relay.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -118,10 +119,11 @@
 	_ = connection.Close()
 }
 
-// forward connects to the target once nothing blocks that, and copies bytes both ways until one direction ends.
+// forward connects to the target once the direction to it is not blocked, and copies bytes both ways until one direction
+// ends.
 func (r *Relay) forward(accepted net.Conn) {
 	client, err := receivetime.New(accepted.(*net.TCPConn))
-	if err != nil { // it has been reset already
+	if err != nil { // the client has already reset the connection
 		_ = accepted.Close()
 		return
 	}
@@ -183,7 +185,7 @@
 	}
 }
 
-// delayOf returns how long n bytes take.
+// delayOf returns the delay of n bytes, including the time that they take at the throughput limit.
 func (r *Relay) delayOf(n int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/relay_test.go
+++ b/internal/drill/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startEchoServer returns the address of a server that answers each connection with what it reads.
+// startEchoServer returns the address of a server that sends back the bytes that it reads from each connection.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -30,7 +30,8 @@
 	return listener.Addr().String()
 }
 
-// A relay holds bytes back in one direction or both, and forwards them after that; a reset ends what is open.
+// A relay holds bytes back while their direction is blocked, and forwards them after that. ResetConnections ends open
+// connections.
 func TestRelayBlocksEachDirectionByItself(t *testing.T) {
 	relay, err := NewRelay(startEchoServer(t))
 	require.NoError(t, err)
--- a/internal/drill/shrink.go
+++ b/internal/drill/shrink.go
@@ -5,8 +5,9 @@
 // minShrunkMS is the duration below which Shrink does not shorten a fault.
 const minShrunkMS = 100
 
-// Shrink removes faults from a drill that fails with a seed while it goes on failing, then halves the durations of those
-// that are left, and returns the smallest drill that was found to fail. Fails runs a drill and reports whether it fails.
+// Shrink reduces a drill that fails with a seed. It removes faults while the drill still fails, then halves the durations of
+// the remaining faults, and returns the smallest drill that it found to fail. The function fails runs a drill and reports
+// whether it fails.
 func Shrink(d *Drill, seed uint64, fails func(*Drill) bool) *Drill {
 	smallest := *d
 	smallest.Faults, smallest.RandomFaults = d.schedule(seed), 0
@@ -19,7 +20,7 @@
 	return &smallest
 }
 
-// removeOneFault removes the first fault that the failure does not need.
+// removeOneFault removes the first fault without which the drill still fails.
 func removeOneFault(d Drill, fails func(*Drill) bool) (smaller Drill, removed bool) {
 	for i := range d.Faults {
 		smaller = d
@@ -31,7 +32,7 @@
 	return d, false
 }
 
-// shortenFault halves a fault's duration while the drill fails.
+// shortenFault halves a fault's duration while the drill still fails.
 func shortenFault(d Drill, fault int, fails func(*Drill) bool) Drill {
 	for d.Faults[fault].DurationMS > minShrunkMS {
 		shorter := d
--- a/internal/drill/soak.go
+++ b/internal/drill/soak.go
@@ -10,46 +10,46 @@
 	"aniseloft/internal/emulator/live"
 )
 
-// A soak's plan: shutdowns, one after another, with something that crosses each.
+// The faults of a soak: successive shutdowns, each with another fault that overlaps with it.
 const (
 	soakShutdowns       = 3
 	soakFromMS          = 2500
 	soakShutdownEveryMS = 5000
 	soakDowntimeMS      = 300
-	soakCrossingMS      = 1500 // how much sooner than its shutdown something else may begin
-	soakCrowdOneIn      = 4    // runs
+	soakOverlapMS       = 1500 // maximum time from the start of an overlapping fault to its shutdown
+	soakCrowdOneIn      = 4    // one in this number of runs has a crowd
 	soakCrowdMS         = 6000
 	crowdConnections    = 1500
 	soakMinPauseMS      = 50
 	soakMaxPauseMS      = 500
-	soakStartOneIn      = 3 // shutdowns are followed by one during the start
-	soakMaxStart        = 60 * time.Millisecond
+	soakStartOneIn      = 3                     // one in this number of shutdowns is followed by another during the restart
+	soakMaxTermDelay    = 60 * time.Millisecond // maximum time from a start to SIGTERM
 )
 
-// soakFaults draws the plan of a soak from the seed.
+// soakFaults generates the faults of a soak from the seed.
 func (d *Drill) soakFaults(rng *rand.Rand) (faults []Fault) {
 	crowd := rng.IntN(soakCrowdOneIn) == 0
 	for i := range soakShutdowns {
 		at := soakFromMS + float64(i)*soakShutdownEveryMS
 		target := ProcessName(rng.IntN(d.Members))
 		faults = append(faults, Fault{Kind: FaultShutdown, AtMS: at, DurationMS: soakDowntimeMS, Target: target})
-		faults = append(faults, d.soakCrossing(rng, at-soakCrossingMS*rng.Float64(), target))
+		faults = append(faults, d.overlappingFault(rng, at-soakOverlapMS*rng.Float64(), target))
 		if crowd && i == 0 {
-			faults = append(faults, Fault{Kind: FaultCrowd, AtMS: at - soakCrossingMS, DurationMS: soakCrowdMS, Target: target})
+			faults = append(faults, Fault{Kind: FaultCrowd, AtMS: at - soakOverlapMS, DurationMS: soakCrowdMS, Target: target})
 		}
 	}
 	return faults
 }
 
-// soakCrossing draws what happens around a shutdown.
-func (d *Drill) soakCrossing(rng *rand.Rand, atMS float64, target string) Fault {
+// overlappingFault generates a fault that overlaps with a shutdown of target.
+func (d *Drill) overlappingFault(rng *rand.Rand, atMS float64, target string) Fault {
 	other := ProcessName(rng.IntN(d.Members))
 	f := Fault{AtMS: atMS, DurationMS: soakMinPauseMS + rng.Float64()*(soakMaxPauseMS-soakMinPauseMS), Target: target}
 	switch rng.IntN(6) {
 	case 0:
-		f.Kind, f.Peer, f.Direction, f.DurationMS = FaultPartition, PeerEngines, DirectionInbound, 2*soakCrossingMS
+		f.Kind, f.Peer, f.Direction, f.DurationMS = FaultPartition, PeerEngines, DirectionInbound, 2*soakOverlapMS
 	case 1:
-		f.Kind, f.Peer, f.Direction, f.DurationMS = FaultPartition, PeerJournal, DirectionBoth, 2*soakCrossingMS
+		f.Kind, f.Peer, f.Direction, f.DurationMS = FaultPartition, PeerJournal, DirectionBoth, 2*soakOverlapMS
 	case 2:
 		f.Kind, f.Target = FaultPause, other
 	case 3:
@@ -62,27 +62,27 @@
 	return f
 }
 
-// shutDown carries out a FaultShutdown and starts the process again after a downtime.
+// shutDown carries out a FaultShutdown and restarts the process after a downtime.
 func (r *realRun) shutDown(process int, downtime time.Duration) {
 	r.setFaulted(process, true)
 	r.rngMu.Lock()
 	series := live.AllSignalSeries[r.rng.IntN(len(live.AllSignalSeries))]
 	rng := rand.New(rand.NewPCG(r.rng.Uint64(), 1))
-	startFirst := r.rng.IntN(soakStartOneIn) == 0
+	terminateAtStart := r.rng.IntN(soakStartOneIn) == 0
 	r.rngMu.Unlock()
 	r.logFault(fmt.Sprintf("%s of %s: %s", FaultShutdown, ProcessName(process), series))
-	r.rig.Shutdown(process, series, rng, func(call string) { r.addUnanswered(process, call) })
+	r.controller.Shutdown(process, series, rng, func(call string) { r.addUnanswered(process, call) })
 	r.setUpgraded(process)
-	if startFirst {
-		r.terminateDuringStart(process, time.Duration(rng.Int64N(int64(soakMaxStart))))
+	if terminateAtStart {
+		r.terminateDuringStart(process, time.Duration(rng.Int64N(int64(soakMaxTermDelay))))
 	}
 	r.restartAfter(process, downtime)
 }
 
-// terminateDuringStart starts a process only to end it at once.
+// terminateDuringStart starts a process and sends it SIGTERM after a short time.
 func (r *realRun) terminateDuringStart(process int, after time.Duration) {
 	r.logFault(fmt.Sprintf("SIGTERM %v after a start of %s", after, ProcessName(process)))
-	if err := r.rig.TerminateDuringStart(process, after); err != nil {
+	if err := r.controller.TerminateDuringStart(process, after); err != nil {
 		r.logFault(err.Error())
 	}
 }
@@ -99,23 +99,24 @@
 	r.unanswered = append(r.unanswered, unansweredCall{process, call})
 }
 
-// checkUnanswered finds requests whose connection was closed without an answer although their coordinator had taken them. A
-// request that crosses a close is not taken, and its client sends it again.
+// checkUnanswered returns a violation for each request that, by the debug log, its coordinator had received before it closed
+// the connection without an answer. A request that arrives while its connection closes is not received, and its client
+// sends it again.
 func (r *realRun) checkUnanswered() (violations []Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, u := range r.unanswered {
-		lines := linesAbout(r.logs[u.process].bytes(), u.call)
+		lines := linesWithCall(r.logs[u.process].bytes(), u.call)
 		if len(lines) > 0 {
 			violations = append(violations, Violation{Rule: RuleRequest, Process: ProcessName(u.process),
-				Detail: "request " + u.call + " was taken, and its connection closed without an answer", Evidence: lines})
+				Detail: "request " + u.call + " was received, but its connection was closed without an answer", Evidence: lines})
 		}
 	}
 	return violations
 }
 
-// linesAbout returns the lines of a debug log that name a call.
-func linesAbout(log []byte, call string) (lines []string) {
+// linesWithCall returns the lines of a debug log that name a call.
+func linesWithCall(log []byte, call string) (lines []string) {
 	for line := range bytes.SplitSeq(log, []byte("\n")) {
 		if strings.Contains(string(line), "call="+call) {
 			lines = append(lines, string(line))
--- a/internal/drill/summary.go
+++ b/internal/drill/summary.go
@@ -1,12 +1,12 @@
 package drill
 
-// Summary sums up virtual runs of one drill.
+// Summary sums up the virtual runs of one drill.
 type Summary struct {
 	Name       string        `json:"name"`
 	Runs       int           `json:"plays"`
 	Failed     []uint64      `json:"failed"` // seeds of the runs with violations
 	Violations []Violation   `json:"broken"` // of the first failed run
-	OwnedRatio float64       `json:"owned"`  // mean part of the time in which the jobs had an owner
+	OwnedRatio float64       `json:"owned"`  // mean ratio of the time in which the jobs had an owner
 	Writes     int           `json:"acts"`
 	Rejected   int           `json:"refused"`
 	Grants     int           `json:"grants"`
@@ -17,7 +17,7 @@
 	unowned unownedTimes
 }
 
-// Add adds a run. It takes over the run's histograms.
+// Add adds the result of a run, and may keep and modify its histograms.
 func (s *Summary) Add(r *VirtualResult) {
 	if s.unowned == nil {
 		s.unowned = unownedTimes{}
--- a/internal/drill/unowned.go
+++ b/internal/drill/unowned.go
@@ -26,7 +26,7 @@
 	_ = u[cause].RecordValue(int64(math.Max(ms, minUnownedMS)))
 }
 
-// merge adds the times of other, whose histograms it may take over.
+// merge adds the times of other, whose histograms it may keep and modify.
 func (u unownedTimes) merge(other unownedTimes) {
 	for cause, histogram := range other {
 		if u[cause] == nil {
@@ -39,14 +39,14 @@
 
 // UnownedTime summarizes the times without an owner that had one cause.
 type UnownedTime struct {
-	Cause FaultKind `json:"after"` // the kind of the last fault before, or start
+	Cause FaultKind `json:"after"` // kind of the last fault before the time, or "start"
 	Count int64     `json:"n"`
 	P50   float64   `json:"p50_ms"`
 	P95   float64   `json:"p95_ms"`
 	Max   float64   `json:"most_ms"`
 }
 
-// rows returns a summary for each cause, by its name.
+// rows returns a summary for each cause, sorted by cause.
 func (u unownedTimes) rows() (rows []UnownedTime) {
 	for cause, histogram := range u {
 		rows = append(rows, UnownedTime{
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// The rules that runs are checked against. The values stand in results.
+// The rules that runs are checked against. The values are written to results.
 const (
 	RuleFence        = "fence"   // no write under a lower fencing token after one under a higher
-	RuleSingleOwner  = "one"     // no two processes own a job at one time, each by its own lease
-	RuleLinearizable = "order"   // admitted and rejected writes are linearizable over a register that only grows
-	RuleRequest      = "request" // no request is lost, and no rule of the protocol violated
-	RuleProgress     = "owned"   // the jobs are done at all
-	RuleRefusal      = "refused" // no grant is renewed for longer than a few keep-alives while its target refuses it
+	RuleSingleOwner  = "one"     // no two processes hold the lease of a job at the same time, each by its own clock
+	RuleLinearizable = "order"   // admitted and rejected writes are linearizable over a register that never decreases
+	RuleRequest      = "request" // no request is lost, no rule of package observer is violated, and each process starts
+	RuleProgress     = "owned"   // the record is written to under lease.JobPruneRecord
+	RuleRefusal      = "refused" // no grant is renewed for more than maxRefusedKeepAlives while its target rejects its writes
 )
 
-// Violation is one violation of a rule.
+// Violation describes one violation of a rule, with its evidence.
 type Violation struct {
 	Rule     string   `json:"rule"`
 	Process  string   `json:"process"`
--- a/internal/drill/virtual.go
+++ b/internal/drill/virtual.go
@@ -8,10 +8,11 @@
 	"aniseloft/internal/lease"
 )
 
-// DisabledGuards are the guards that a virtual run leaves out, to show that each matters and that the checkers can fail.
+// DisabledGuards selects the guards that a virtual run leaves out, to show that each guard is necessary and that the
+// checkers detect violations.
 type DisabledGuards struct {
 	FenceCheck       bool // targets admit all writes
-	LeaseFromRequest bool // leases count from the reply, not from the request
+	LeaseFromRequest bool // leases start at the response instead of the request
 	VoteSync         bool // a vote is not synced, so that a kill undoes it
 	DriftAllowance   bool // lease holders do not allow for clock drift
 }
@@ -21,9 +22,9 @@
 	Seed       uint64      `json:"seed"`
 	Violations []Violation `json:"broken"`
 	Writes     int         `json:"acts"`
-	Rejected   int         `json:"refused"` // of the writes
+	Rejected   int         `json:"refused"` // number of rejected writes
 	Grants     int         `json:"grants"`
-	OwnedRatio float64     `json:"owned"` // part of the time in which the jobs had an owner
+	OwnedRatio float64     `json:"owned"` // ratio of the time in which the jobs had an owner
 	Faults     []Fault     `json:"faults"`
 	Log        []string    `json:"log,omitempty"`
 	Messages   int         `json:"messages"`
@@ -33,7 +34,7 @@
 	unowned unownedTimes
 }
 
-// simulation is one virtual run. All of it happens on the event loop's goroutine.
+// simulation is one virtual run. All its code runs on the event loop's goroutine.
 type simulation struct {
 	drill        *Drill
 	disabled     DisabledGuards
@@ -42,30 +43,30 @@
 	faultRand    *rand.Rand
 	timing       lease.Timing
 	processes    []*process
-	replicas     []string // names of the consensus group's members, by the newest configuration
-	generation   uint64   // of the configuration
+	replicas     []string // names of the consensus group's replicas in the newest configuration
+	generation   uint64   // generation of that configuration
 	fenceRecords map[string]*lease.FenceRecord
-	refusals     map[string]*refusedGrant // the grant whose writes the target refuses, by job
+	refusals     map[string]*refusedGrant // grants whose writes the target rejects, by job
 	partitions   map[link]int             // number of partitions that block a link
 	lossRatio    float64
-	// assumptionsHold: clocks and disks have kept to what the protocol assumes. Two owners at one time violate a rule only
-	// while it holds.
+	// assumptionsHold is false once a clock or a disk has violated the protocol's assumptions, or RuleSingleOwner has been
+	// violated. RuleSingleOwner is checked only while it is true.
 	assumptionsHold bool
 	lastFault       FaultKind
-	unownedSince    map[string]float64 // by job; negative: it has an owner
+	unownedSince    map[string]float64 // start of the time without an owner, by job; negative: the job has an owner
 	ownedSamples    float64
 	incarnations    uint64 // started so far
 	keepLog         bool
 	result          *VirtualResult
 }
 
-// link leads from one process to another, by their indexes.
+// link is the direction of traffic from one process to another, by their indexes.
 type link struct {
 	source, destination int
 }
 
-// RunVirtual runs a drill once in virtual time: the state machines of the program, with a simulated network and simulated
-// disks and clocks that fail as the drill says.
+// RunVirtual runs a drill once in virtual time. It runs the program's state machines on a simulated network with simulated
+// disks and clocks, and injects the drill's faults.
 func RunVirtual(d *Drill, seed uint64, disabled DisabledGuards, keepLog bool) (*VirtualResult, error) {
 	s := newSimulation(d, seed, disabled)
 	s.keepLog = keepLog
@@ -137,7 +138,7 @@
 	}
 }
 
-// find returns the process with a name, and of two the first; nil: there is none.
+// find returns the process with a name, but no duplicate of it. It returns nil if there is no such process.
 func (s *simulation) find(name string) *process {
 	for _, p := range s.processes {
 		if p.name == name && !p.duplicate {
--- a/internal/drill/virtual_checks.go
+++ b/internal/drill/virtual_checks.go
@@ -10,7 +10,7 @@
 // sampleIntervalMS is the resolution of the times without an owner.
 const sampleIntervalMS = 10.0
 
-// sampleOwners measures each interval which jobs have an owner that runs.
+// sampleOwners checks once each interval which jobs have a running owner, and that no job has two.
 func (s *simulation) sampleOwners() {
 	for _, job := range s.drill.Jobs {
 		s.sampleOwner(job)
@@ -45,7 +45,8 @@
 	return owns
 }
 
-// checkSingleOwner finds another running process that owns a job of this one. It reports one violation for each run.
+// checkSingleOwner reports a violation if another running process owns a job that p owns. It reports at most one violation
+// in a run.
 func (s *simulation) checkSingleOwner(p *process) {
 	if !s.assumptionsHold {
 		return
@@ -65,7 +66,7 @@
 			}
 			s.result.Violations = append(s.result.Violations, Violation{
 				Rule: RuleSingleOwner, Process: p.name, AtMS: s.loop.Now(),
-				Detail:   fmt.Sprintf("%s: owned by %s too", job, other.name),
+				Detail:   fmt.Sprintf("%s: also owned by %s", job, other.name),
 				Evidence: []string{fmt.Sprintf("%s under fence %d", p.name, fence), fmt.Sprintf("%s under fence %d", other.name, otherFence)},
 			})
 			s.assumptionsHold = false
@@ -74,11 +75,11 @@
 	}
 }
 
-// maxRefusedKeepAlives is how many keep-alive intervals a grant may be renewed for while its target refuses it: the holder
-// reports the refusal with the next one.
+// maxRefusedKeepAlives is the number of keep-alive intervals for which a grant may be renewed while its target rejects its
+// writes. The holder reports the rejection with its next keep-alive.
 const maxRefusedKeepAlives = 3
 
-// refusedGrant is a grant whose writes a target refuses, without another's in between.
+// refusedGrant is a grant whose writes the target has rejected since a time, with no write under another grant in between.
 type refusedGrant struct {
 	fence    lease.Fence
 	holder   string
@@ -86,8 +87,8 @@
 	violated bool
 }
 
-// checkRefusals finds a grant that is renewed again and again while its target refuses it: the job stands still. A
-// holder whose group has no quorum gets no renewal, and stops.
+// checkRefusals reports a violation if a grant is renewed for too long while its target rejects its writes, because the job
+// makes no progress meanwhile. A holder whose consensus group has no quorum gets no renewal, and stops writing.
 func (s *simulation) checkRefusals(write FencedWrite) {
 	if write.Admitted {
 		delete(s.refusals, write.Job)
@@ -105,6 +106,6 @@
 	refused.violated = true
 	s.result.Violations = append(s.result.Violations, Violation{
 		Rule: RuleRefusal, Process: write.Holder, AtMS: now,
-		Detail: fmt.Sprintf("%s: fence %d is refused since %.0f ms and still renewed", write.Job, write.Fence, refused.since),
+		Detail: fmt.Sprintf("%s: the target has rejected writes under fence %d since %.0f ms, but the grant is still renewed", write.Job, write.Fence, refused.since),
 	})
 }
--- a/internal/drill/virtual_faults.go
+++ b/internal/drill/virtual_faults.go
@@ -7,7 +7,7 @@
 	"aniseloft/internal/lease"
 )
 
-// resolveTarget returns the process that a fault's target names now, a random one of several; nil: there is none.
+// resolveTarget returns the running process that a fault's target names now, chosen at random if there are several, or nil.
 func (s *simulation) resolveTarget(target, job string) *process {
 	var candidates []*process
 	for _, p := range s.processes {
@@ -21,7 +21,7 @@
 	return candidates[s.faultRand.IntN(len(candidates))]
 }
 
-// matches reports whether the process is one that a target names; the owner is that of the job.
+// matches reports whether a target names the process. TargetOwner names the owner of the job.
 func (p *process) matches(target, job string) bool {
 	owner := p.owns(job)
 	switch target {
@@ -127,11 +127,11 @@
 	}
 }
 
-// addDuplicate runs a second process under a name for a while. It has a clock and a disk of its own.
+// addDuplicate runs a second process with the same name for a duration. It has its own clock and disk.
 func (s *simulation) addDuplicate(name string, durationMS float64) {
 	const (
 		maxClockOffsetMS  = 1e6
-		incarnationOffset = 1000 // tells its writes from those of the first
+		incarnationOffset = 1000 // distinguishes its writes from those of the first process
 	)
 	p := &process{
 		sim: s, index: len(s.processes), name: name, duplicate: true,
--- a/internal/drill/virtual_network.go
+++ b/internal/drill/virtual_network.go
@@ -1,7 +1,7 @@
 package drill
 
-// send delivers a message by calling receive, unless the link is blocked or the message lost. Messages that are late
-// overtake others.
+// send delivers a message by calling receive, unless the link is blocked or the message is lost. Random delays reorder
+// messages.
 func (s *simulation) send(from, to *process, receive func()) {
 	const (
 		minDelayMS     = 0.1
@@ -11,11 +11,11 @@
 	)
 	s.result.Messages++
 	l := link{from.index, to.index}
-	if s.partitions[l] > 0 || s.drawLoss(s.lossRatio) {
+	if s.partitions[l] > 0 || s.drawNetworkFault(s.lossRatio) {
 		return
 	}
 	delay := minDelayMS + meanDelayMS*s.networkRand.ExpFloat64()
-	if s.drawLoss(s.lossRatio) {
+	if s.drawNetworkFault(s.lossRatio) {
 		delay += maxLateMS * s.networkRand.Float64()
 	}
 	s.loop.After(delay, func() {
@@ -23,13 +23,13 @@
 			receive()
 		}
 	})
-	if s.drawLoss(s.lossRatio / 2) {
+	if s.drawNetworkFault(s.lossRatio / 2) {
 		s.loop.After(delay+maxDuplicateMS*s.networkRand.Float64(), receive)
 	}
 }
 
-// drawLoss reports whether a random fault of the network befalls a message.
-func (s *simulation) drawLoss(ratio float64) bool {
+// drawNetworkFault reports whether a message suffers a random network fault of the given ratio.
+func (s *simulation) drawNetworkFault(ratio float64) bool {
 	return s.lossRatio > 0 && s.networkRand.Float64() < ratio
 }
 
--- a/internal/drill/virtual_process.go
+++ b/internal/drill/virtual_process.go
@@ -12,21 +12,21 @@
 	sim         *simulation
 	index       int
 	name        string
-	duplicate   bool // a second process under a name
+	duplicate   bool // whether this is a second process with the same name
 	running     bool
 	paused      bool
 	incarnation int      // number of starts; callbacks of an earlier incarnation do nothing
 	pending     []func() // inputs that wait for a sync, or for the process to resume
 	clockOffset float64  // ms
-	clockRate   float64  // 1: as the virtual clock
+	clockRate   float64  // relative to the virtual clock
 
 	client   *lease.Client
 	resolver *lease.LeaderResolver
 
 	replica        *consensus.Replica // nil: the process is not in the consensus group
-	replicaID      uint64             // of its disk; 0: the disk is new
+	replicaID      uint64             // identity of the replica on the disk; 0: the disk is new
 	disk           consensus.PersistentState
-	diskHistory    []consensus.PersistentState // earlier states, for a disk that is rolled back
+	diskHistory    []consensus.PersistentState // earlier states, to which the disk may be rolled back
 	diskFull       bool
 	syncing        bool
 	nextSyncMS     float64 // duration of the next sync; 0: random
@@ -42,7 +42,7 @@
 // alive reports whether the process still runs the incarnation that a callback belongs to.
 func (p *process) alive(incarnation int) bool { return p.running && p.incarnation == incarnation }
 
-// start begins a new incarnation from what the disk holds.
+// start begins a new incarnation with the state on the disk.
 func (p *process) start() error {
 	const writesPerLease = 20
 	s := p.sim
@@ -74,7 +74,8 @@
 	p.heartbeat()
 }
 
-// repeat calls f about each interval, with jitter, until the incarnation ends. It skips the calls while paused.
+// repeat calls f at the interval, with a jitter of 10%, until the incarnation ends. It skips the calls while the process is
+// paused.
 func (p *process) repeat(intervalMS float64, f func()) {
 	incarnation := p.incarnation
 	var next func()
@@ -90,7 +91,7 @@
 	p.sim.loop.After(intervalMS*p.sim.faultRand.Float64(), next)
 }
 
-// whenResumed calls f at once, or first of all when the process resumes.
+// whenResumed calls f at once, or before all other pending inputs when the paused process resumes.
 func (p *process) whenResumed(f func()) {
 	if p.paused {
 		p.pending = append([]func(){f}, p.pending...)
@@ -114,7 +115,7 @@
 	})
 }
 
-// end kills a process, or shuts it down gracefully, and starts it again.
+// end kills a process, or shuts it down gracefully, and restarts it.
 func (p *process) end(f Fault) {
 	if f.Kind == FaultKill || p.paused {
 		p.kill(f)
@@ -123,14 +124,14 @@
 	p.shutDown(f)
 }
 
-// kill ends the process at once, and restarts it after the fault's duration with the disk that the fault names.
+// kill ends the process at once, and restarts it after the fault's duration with the disk in the state that the fault names.
 func (p *process) kill(f Fault) {
 	const minRestartMS = 1
 	p.running = false
 	p.sim.loop.After(max(f.DurationMS, minRestartMS), func() {
 		p.damageDisk(f.Disk)
 		if !p.running {
-			_ = p.start() // a process that can't start stays down, and is in the log
+			_ = p.start() // a process that fails to start stays down; the error is in the log
 		}
 	})
 }
@@ -154,10 +155,11 @@
 	p.disk, p.replicaID, p.diskHistory = consensus.PersistentState{}, 0, nil
 }
 
-// minShutdownMS is the least duration of a graceful shutdown, in which the process still serves and votes.
+// minShutdownMS is the minimum duration of a graceful shutdown, during which the process still serves and votes.
 const minShutdownMS = 900
 
-// shutDown gives the leases back, and ends the process once that is done or a lease's time has passed.
+// shutDown releases the leases, and ends the process once they are released and minShutdownMS has passed, or at the latest
+// after the duration of a lease.
 func (p *process) shutDown(f Fault) {
 	const pollMS = 5
 	s := p.sim
--- a/internal/drill/virtual_replica.go
+++ b/internal/drill/virtual_replica.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxPending     = 4096 // inputs that wait for a replica; more are dropped, as by a full socket
-	maxDiskHistory = 400  // disk states that are stored for a rollback
+	maxPending     = 4096 // queued inputs of a replica; further ones are dropped, as by a full socket buffer
+	maxDiskHistory = 400  // stored disk states to which a disk may be rolled back
 )
 
-// openReplica opens the process's replica from what its disk holds.
+// openReplica opens the process's replica with the state on its disk.
 func (p *process) openReplica() (err error) {
 	s := p.sim
 	if p.replicaID == 0 {
@@ -30,7 +30,8 @@
 	return err
 }
 
-// step passes an input to the replica and handles what becomes ready. The input waits while the replica syncs.
+// step passes an input to the replica and handles the resulting output. The input is queued while the replica syncs or the
+// process is paused.
 func (p *process) step(input func()) {
 	if !p.running || p.replica == nil {
 		return
@@ -45,7 +46,7 @@
 	p.handleReady(p.replica.Ready())
 }
 
-// drain passes the inputs that have waited, until the next sync.
+// drain processes the queued inputs until the next sync or pause.
 func (p *process) drain() {
 	for len(p.pending) > 0 && !p.syncing && !p.paused && p.running {
 		input := p.pending[0]
@@ -57,7 +58,7 @@
 	}
 }
 
-// handleReady saves what must be on disk, and sends messages only after that.
+// handleReady persists the state that must be on disk, and sends the messages only after that.
 func (p *process) handleReady(ready consensus.Ready) {
 	if ready.DiskRegressed || ready.Failure != nil {
 		p.replaceReplica(ready)
@@ -73,7 +74,8 @@
 	p.sim.loop.After(p.syncDurationMS(), func() { p.synced(ready, incarnation) })
 }
 
-// replaceReplica ends a replica that can't go on. One whose disk is behind what it has promised joins anew.
+// replaceReplica ends a replica that can't continue. If the disk is behind the state that the replica has acknowledged, the
+// process joins the consensus group again with a new disk.
 func (p *process) replaceReplica(ready consensus.Ready) {
 	p.sim.logf("%s: replica stopped: disk regressed %t, failure %v", p.name, ready.DiskRegressed, ready.Failure)
 	p.replica, p.pending = nil, nil
@@ -95,13 +97,13 @@
 func (p *process) synced(ready consensus.Ready, incarnation int) {
 	if !p.alive(incarnation) {
 		killedInSync := p.incarnation == incarnation
-		if killedInSync && p.sim.faultRand.IntN(2) == 0 { // it reached the disk, or not
+		if killedInSync && p.sim.faultRand.IntN(2) == 0 { // the interrupted sync may or may not have reached the disk
 			p.persist(ready)
 		}
 		return
 	}
-	if p.diskFull { // without a sync nothing may be promised: the replica ends, the process serves on
-		p.sim.logf("%s: disk full: it leaves the consensus group", p.name)
+	if p.diskFull { // a replica must not acknowledge unsynced state: it ends, and the process continues without it
+		p.sim.logf("%s: disk full: leaves the consensus group", p.name)
 		p.replica, p.pending, p.syncing = nil, nil, false
 		return
 	}
--- a/internal/drill/virtual_test.go
+++ b/internal/drill/virtual_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// runSeeds runs a drill from many seeds, as many at a time as there are cores.
+// runSeeds runs a drill with the seeds from 0 to seeds-1, at most GOMAXPROCS at a time.
 func runSeeds(t *testing.T, d *Drill, seeds int, disabled DisabledGuards) []*VirtualResult {
 	t.Helper()
 	results := make([]*VirtualResult, seeds)
@@ -60,7 +60,8 @@
 	require.Greater(t, owned/runs, 0.7)
 }
 
-// forgottenVotes kills n1 again and again right after its votes, while it is the only link between n0 and n2.
+// forgottenVotes returns a drill that kills n1 repeatedly, each time immediately after it has voted, while n0 and n2 are
+// partitioned from each other.
 func forgottenVotes() *Drill {
 	d := testDrill()
 	d.Members, d.RandomFaults = 3, 0
@@ -75,9 +76,9 @@
 	return d
 }
 
-// Without each guard a run from the seed named here violates a rule, and with it a run from the same seed violates none. The seeds
-// were found among thousands; they also show that the checkers can fail.
-func TestEachGuardMatters(t *testing.T) {
+// Each guard is necessary: without it, a run with the given seed violates a rule; with it, the same run violates none. This
+// also shows that the checkers detect violations. The seeds were found among thousands.
+func TestDisablingAnyGuardViolatesRule(t *testing.T) {
 	drifting := testDrill()
 	drifting.DriftBound = 0.05
 	for name, c := range map[string]struct {
@@ -94,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			result, err := RunVirtual(c.drill, c.seed, c.disabled, false)
 			require.NoError(t, err)
-			require.NotEmpty(t, result.Violations, "the seed no longer shows it: find another")
+			require.NotEmpty(t, result.Violations, "this seed no longer causes a violation: search for one that does")
 			require.Equal(t, c.rule, result.Violations[0].Rule)
 			result, err = RunVirtual(c.drill, c.seed, DisabledGuards{}, false)
 			require.NoError(t, err)
