--- a/drills/drills.go
+++ b/drills/drills.go
@@ -25,7 +25,8 @@
 	return names
 }
 
-// Load reads a drill by its name, or from a file. The errors of an invalid drill are scenario.Faults.
+// Load reads an embedded drill by its name, or a drill file by its path. The error of an invalid drill is a
+// scenario.ValidationErrors.
 func Load(name string) (*drill.Drill, error) {
 	file := name + ".json"
 	raw, err := files.ReadFile(file)
--- a/drills/drills_test.go
+++ b/drills/drills_test.go
@@ -13,7 +13,8 @@
 
 var equalRunSeeds = flag.Uint64("equal-run-seeds", 25, "number of seeds that TestEqualSeedsGiveEqualRunsOfAllDrills runs of each drill")
 
-// Each drill runs from a few seeds in virtual time; longer checks by hand run thousands.
+// Runs each drill in virtual time with 20 seeds, or with one if it has more than 100 members. Longer checks, which are
+// started by hand, run thousands.
 func TestVirtualDrillsViolateNoRule(t *testing.T) {
 	for _, name := range drills.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +41,8 @@
 	}
 }
 
-// A seed whose run has two outcomes can't be replayed: map order and other chance must decide nothing.
+// Two runs of one seed must be equal, or a failure can't be replayed. They differ if a decision depends on the order of a
+// map or on another source of chance than the seed.
 func TestEqualSeedsGiveEqualRunsOfAllDrills(t *testing.T) {
 	for _, name := range drills.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +59,7 @@
 				second, err := drill.RunVirtual(d, seed, drill.DisabledGuards{}, true)
 				require.NoError(t, err)
 				if !reflect.DeepEqual(first, second) {
-					t.Errorf("seed %d: two outcomes", seed)
+					t.Errorf("seed %d: two runs have different results", seed)
 				}
 			}
 		})
--- a/drills/real_test.go
+++ b/drills/real_test.go
@@ -15,11 +15,11 @@
 	"aniseloft/scenarios"
 )
 
-// A request that was taken is answered before its process ends, and the process is gone before the kill: a few seeds of the
-// soak. The long run is started by hand: aniseloftctl drill run soak --seeds 50.
+// Runs the soak with four seeds. A coordinator that shuts down must answer the requests that it has received, and must exit
+// before SIGKILL. Longer runs are started by hand: aniseloftctl drill run soak --seeds 50.
 func TestSoakViolatesNoRule(t *testing.T) {
 	if testing.Short() {
-		t.Skip("half a minute of real processes")
+		t.Skip("runs real processes for half a minute")
 	}
 	program := filepath.Join(t.TempDir(), "aniseloft")
 	out, err := exec.Command("go", "build", "-o", program, "aniseloft/cmd/aniseloft").CombinedOutput()
@@ -42,10 +42,11 @@
 	}
 }
 
-// Five drills of five real processes each run side by side. Only rules are checked, so that the result does not depend on speed.
+// Runs five drills in parallel, each with five real processes. It checks rules and that jobs are carried out, but no times, so
+// that the result does not depend on the machine's speed.
 func TestRealDrillsViolateNoRule(t *testing.T) {
 	if testing.Short() {
-		t.Skip("half a minute of real processes")
+		t.Skip("runs real processes for half a minute")
 	}
 	program := filepath.Join(t.TempDir(), "aniseloft")
 	out, err := exec.Command("go", "build", "-o", program, "aniseloft/cmd/aniseloft").CombinedOutput()
