--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -15,7 +15,7 @@
 // Formats are the file formats of charts, also their file extensions.
 var Formats = []string{"svg", "png"}
 
-// ErrNoResults is returned by Charts where there is nothing to draw.
+// ErrNoResults is returned by Charts if there are no results to draw.
 var ErrNoResults = errors.New("charts: there are no results")
 
 // Charts draws the service by policy, the latency curves of each scenario and variant, and the timeline of the first seed
@@ -44,7 +44,7 @@
 	files     []string
 }
 
-// drawDay draws the charts that a result belongs to, where they are not drawn yet.
+// drawDay draws the charts that a result belongs to, unless they are already drawn.
 func (w *chartWriter) drawDay(results []Result, r Result) error {
 	name := strings.TrimSuffix(r.Scenario+"-"+r.Variant, "-"+unchangedVariant)
 	name = strings.TrimSuffix(filepath.Base(name), ".json")
--- a/internal/experiment/chart_latency.go
+++ b/internal/experiment/chart_latency.go
@@ -8,13 +8,13 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// minLatencyMS is the least latency drawn: a logarithmic axis has no zero.
+// minLatencyMS is the smallest latency that is drawn, because a logarithmic axis has no zero.
 const minLatencyMS = 0.1
 
 // latencyChart draws the cumulative distribution of the first class's latency for each policy, averaged over seeds.
 func latencyChart(results []Result, scenario, variant string) (*plot.Plot, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "latency, ms (log)", "part of served answers"
+	p.X.Label.Text, p.Y.Label.Text = "latency, ms (log)", "cumulative ratio of served requests"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Min, p.Y.Max, p.Legend.Left, p.Legend.Top = 0, 1, true, true
 	var policies []string
@@ -39,7 +39,7 @@
 	return p, nil
 }
 
-// latencyCurve averages the latency of each of observer.Quantiles over seeds.
+// latencyCurve averages the latency at each of observer.Quantiles over seeds.
 func latencyCurve(bySeed [][]float64) plotter.XYs {
 	var curve plotter.XYs
 	for i, percent := range observer.Quantiles {
--- a/internal/experiment/chart_service.go
+++ b/internal/experiment/chart_service.go
@@ -38,7 +38,7 @@
 	return p, nil
 }
 
-// barsWithErrors are the bars of one policy with their intervals, as plotter.NewYErrorBars takes them.
+// barsWithErrors holds the bars of one policy with their intervals, in the form that plotter.NewYErrorBars takes.
 type barsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
--- a/internal/experiment/chart_timeline.go
+++ b/internal/experiment/chart_timeline.go
@@ -12,7 +12,7 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// minFaultMS is the least width of a fault's shade, so that an instant is seen.
+// minFaultMS is the minimum width of a fault's shaded area, so that an instantaneous fault is visible.
 const minFaultMS = 200
 
 // timelineSeries are the curves of a timeline.
@@ -20,17 +20,17 @@
 	name  string
 	count func(observer.WindowReport) int
 }{
-	{"tries", func(w observer.WindowReport) int { return w.Tries }},
+	{"attempts", func(w observer.WindowReport) int { return w.Tries }},
 	{"served", func(w observer.WindowReport) int { return w.Served }},
-	{"refused", func(w observer.WindowReport) int { return w.Rejected }},
+	{"rejected", func(w observer.WindowReport) int { return w.Rejected }},
 	{"failed", func(w observer.WindowReport) int { return w.Failed }},
 }
 
-// timelineChart draws attempts and outcomes a second over one day, with its faults shaded.
+// timelineChart draws attempts and outcomes per second over one day, with its faults shaded.
 func timelineChart(r Result) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s, seed %d: service %.3f", dayLabel(r.Scenario, r.Variant), r.Policy, r.Seed, r.Report.Service)
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "a second"
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "per second"
 	p.Legend.Top, p.Legend.Left = true, true
 	windows := r.Report.Windows
 	if len(windows) < 2 {
@@ -58,7 +58,7 @@
 	return p, nil
 }
 
-// addFaults shades the time of each fault up to the height top and writes its kind there.
+// addFaults shades the time of each fault up to the height top, and labels it with the fault's kind.
 func addFaults(p *plot.Plot, faults []scenario.FaultSpan, top, endMS float64) error {
 	for _, fault := range faults {
 		from, to := fault.FromMS/1000, min(max(fault.ToMS, fault.FromMS+minFaultMS), endMS)/1000
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -53,10 +53,11 @@
 	return differences
 }
 
-// minPairs is how many pairs a verdict needs.
+// minPairs is the minimum number of pairs for a verdict.
 const minPairs = 3
 
-// difference sorts the changes first, so that the interval does not depend on the order of the results.
+// difference returns the mean change with its interval and verdict. It sorts the changes first, so that the interval does
+// not depend on the order of the results.
 func difference(name string, changes []float64) Difference {
 	slices.Sort(changes)
 	d := Difference{name, Bootstrap(changes), "no difference seen"}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -13,7 +13,7 @@
 	"aniseloft/internal/golden"
 )
 
-// The golden files were written by d9ce9f6: go test ./internal/experiment -update
+// The golden files were written by commit d9ce9f6. To update them: go test ./internal/experiment -update
 func TestRecordedPlanIsReadCompletely(t *testing.T) {
 	raw, err := os.ReadFile("testdata/plan.json")
 	require.NoError(t, err)
@@ -23,7 +23,7 @@
 	golden.JSON(t, "testdata/cells.golden", p.Cells())
 }
 
-// testdata/results.jsonl is the result of testdata/plan.json as d9ce9f6 kept it.
+// testdata/results.jsonl holds the result of testdata/plan.json as commit d9ce9f6 stored it.
 func TestRecordedResultsAreReadCompletely(t *testing.T) {
 	if *golden.Update {
 		require.NoError(t, os.RemoveAll(filepath.Join("testdata", resultsFile)))
@@ -43,16 +43,16 @@
 	require.Equal(t, string(bytes.TrimSpace(want)), string(got))
 }
 
-// The golden files hold what aniseloftctl of d9ce9f6 printed for testdata:
+// The golden files hold the output of these commands of commit d9ce9f6 for testdata:
 // aniseloftctl experiment table DIR --json and aniseloftctl experiment compare DIR DIR --json
-func TestTableAndComparisonKeepTheirJSON(t *testing.T) {
+func TestTableAndComparisonJSONIsStable(t *testing.T) {
 	results, err := Load("testdata")
 	require.NoError(t, err)
 	golden.JSON(t, "testdata/table.golden", Rows(results))
 	golden.JSON(t, "testdata/compare.golden", Compare(results, results))
 }
 
-func TestLoadNamesTheLineThatIsNoResult(t *testing.T) {
+func TestLoadReportsTheInvalidLine(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, resultsFile)
 	require.NoError(t, os.WriteFile(path, []byte("{}\n"), 0o600))
@@ -63,7 +63,7 @@
 	require.EqualError(t, err, path+": line 1: not a result; remove that line, and run the plan again")
 }
 
-func TestChartsWithoutResultsAreAnError(t *testing.T) {
+func TestChartsWithoutResultsReturnError(t *testing.T) {
 	_, err := Charts(nil, t.TempDir())
 	require.ErrorIs(t, err, ErrNoResults)
 }
--- a/internal/experiment/interval.go
+++ b/internal/experiment/interval.go
@@ -15,11 +15,11 @@
 	Count int     `json:"n"` // size of the sample
 }
 
-// resamples is how many resampled means give the interval.
+// resamples is the number of resampled means that the interval is computed from.
 const resamples = 4000
 
-// Bootstrap returns the mean of a sample and the interval that resampling gives. Its random stream depends only on the
-// size of the sample, so that the same results always give the same table.
+// Bootstrap returns the mean of a sample with its bootstrap confidence interval. Its random stream depends only on the size
+// of the sample, so that the same results always give the same table.
 func Bootstrap(sample []float64) Interval {
 	if len(sample) == 0 {
 		return Interval{}
--- a/internal/experiment/offset_plotter.go
+++ b/internal/experiment/offset_plotter.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// offsetPlotter draws a plotter shifted to the right, so that error bars stand over their own bar of a group.
+// offsetPlotter draws a plotter with a horizontal offset, so that each error bar is drawn over its own bar of a group.
 type offsetPlotter struct {
 	plot.Plotter
 	offset vg.Length
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,5 +1,5 @@
-// Package experiment plays plans of emulated days, appends each result to a file as it ends, and makes tables, charts
-// and comparisons of the results.
+// Package experiment runs plans of emulated days, appends the result of each day to a file as the day ends, and makes
+// tables, charts and comparisons of the results.
 package experiment
 
 import (
@@ -24,7 +24,7 @@
 	Seeds     []uint64  `json:"seeds"`
 	Policies  []string  `json:"policies"`
 	Variants  []Variant `json:"variants"`
-	directory string    // of the plan's file; scenario files are relative to it
+	directory string    // directory of the plan's file, to which the paths of scenario files are relative
 }
 
 // Variant changes every scenario of a plan.
@@ -41,8 +41,8 @@
 	Seed     uint64 `json:"seed"`
 }
 
-// ParsePlan reads and validates a plan. Scenario files are looked for in the directory of the plan's file. The error is a
-// scenario.ValidationErrors where the plan or one of its scenarios is invalid.
+// ParsePlan decodes and validates a plan. Paths of scenario files are relative to the directory of the plan's file. The error
+// is or wraps a scenario.ValidationErrors if the plan or one of its scenarios is invalid.
 func ParsePlan(file string, raw []byte) (*Plan, error) {
 	if err := scenario.Validate(file, raw, schema.Plan); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	return scenario.ParseWith(file, raw, changes)
 }
 
-// changes lists what a variant sets as POINTER=JSON, sorted by pointer.
+// changes lists the values that a variant sets in the form POINTER=JSON, sorted by pointer.
 func (p *Plan) changes(variant string) ([]string, error) {
 	var changes []string
 	for _, v := range p.Variants {
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -16,17 +16,17 @@
 	"aniseloft/internal/emulator/policy"
 )
 
-// Result is the report of one day and the cell that it was played from.
+// Result is the report of one day, with the cell of the plan that it belongs to.
 type Result struct {
 	Cell
-	ScenarioHash string           `json:"day"` // of the scenario as played: a result of a changed scenario is not reused
+	ScenarioHash string           `json:"day"` // hash of the scenario with the variant's changes; a result of another hash is not reused
 	Report       *observer.Report `json:"report"`
 }
 
-// resultsFile holds one Result a line.
+// resultsFile is the name of the file of results, which holds one Result in each line.
 const resultsFile = "results.jsonl"
 
-// LineError is a line of a results file that is not a result.
+// LineError reports a line of a results file that is not a result.
 type LineError struct {
 	File string
 	Line int // from 1
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("%s: line %d: not a result; remove that line, and run the plan again", e.File, e.Line)
 }
 
-// Load reads the results in a directory, sorted by cell. A last line without its end, as an interrupted run leaves it, is
-// ignored; any other unreadable line is a LineError. Without a results file the error wraps fs.ErrNotExist.
+// Load reads the results in a directory, sorted by cell. It ignores a last line without a line feed, which an interrupted run
+// leaves behind. Any other invalid line causes a LineError. Without a results file, the error wraps fs.ErrNotExist.
 func Load(directory string) ([]Result, error) {
 	path := filepath.Join(directory, resultsFile)
 	file, err := os.Open(path)
@@ -83,7 +83,7 @@
 	return names
 }
 
-// openForAppend opens a results file for appending and removes a last line without its end.
+// openForAppend opens a results file for appending, and removes a last line without a line feed.
 func openForAppend(path string) (*os.File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,14 +16,14 @@
 	"aniseloft/internal/emulator/simulation"
 )
 
-// Run plays the cells of a plan that have no result in the directory yet, one on each core, and appends each result as it
-// ends. It reports progress in cells, one call at a time. When the context ends it starts no further cell, waits for those
-// that play and returns the context's error; their results are kept.
+// Run runs the cells of a plan that have no result in the directory yet, up to GOMAXPROCS at a time, and appends each result
+// as its cell ends. It reports progress in cells, one call at a time. When the context ends, it starts no further cell, waits
+// for the running ones and returns the context's error; their results are stored.
 func Run(ctx context.Context, p *Plan, directory string, progress func(completed, total int)) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return fmt.Errorf("experiment: %w", err)
 	}
-	kept, err := Load(directory)
+	stored, err := Load(directory)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -38,10 +38,10 @@
 	defer func() { _ = file.Close() }()
 	cells := p.Cells()
 	r := &runner{plan: p, hashes: hashes, total: len(cells), progress: progress, file: file}
-	return r.run(ctx, cells, kept)
+	return r.run(ctx, cells, stored)
 }
 
-// scenarioKey identifies a scenario as changed by a variant.
+// scenarioKey identifies a scenario with the changes of a variant.
 type scenarioKey struct{ scenario, variant string }
 
 // resultKey identifies a result: a cell and the content of its scenario.
@@ -71,7 +71,7 @@
 	return hashes, nil
 }
 
-// runner plays cells on several goroutines, which all end before run returns.
+// runner runs cells on several goroutines, which all end before run returns.
 type runner struct {
 	plan     *Plan
 	hashes   map[scenarioKey]string
@@ -84,9 +84,9 @@
 	errs      error
 }
 
-func (r *runner) run(ctx context.Context, cells []Cell, kept []Result) error {
+func (r *runner) run(ctx context.Context, cells []Cell, stored []Result) error {
 	skip := map[resultKey]bool{}
-	for _, result := range kept {
+	for _, result := range stored {
 		skip[resultKey{result.Cell, result.ScenarioHash}] = true
 	}
 	queue := make(chan Cell)
@@ -94,7 +94,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for cell := range queue {
-				line, err := r.play(cell)
+				line, err := r.runCell(cell)
 				r.complete(line, err)
 			}
 		})
@@ -116,7 +116,7 @@
 
 func (r *runner) hash(cell Cell) string { return r.hashes[scenarioKey{cell.Scenario, cell.Variant}] }
 
-// complete counts a cell and appends its line, which is nil where the result was kept already.
+// complete counts a cell as completed and appends its line. The line is nil if the result is already stored.
 func (r *runner) complete(line []byte, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,8 +130,8 @@
 	r.progress(r.completed, r.total)
 }
 
-// play plays one cell and returns its line of the results file.
-func (r *runner) play(cell Cell) ([]byte, error) {
+// runCell runs one cell and returns its line of the results file.
+func (r *runner) runCell(cell Cell) ([]byte, error) {
 	changed, err := r.plan.scenario(cell.Scenario, cell.Variant)
 	if err != nil {
 		return nil, err
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// Row summarizes one scenario and variant under one policy, over all seeds. Service, WorstClass and WorstWindow are parts
-// of the score, from 0 to 1.
+// Row summarizes one scenario and variant under one policy, over all seeds. Service is the score; WorstClass and WorstWindow
+// are components of it. All are from 0 to 1.
 type Row struct {
 	Scenario    string   `json:"scenario"`
 	Variant     string   `json:"variant"`
 	Policy      string   `json:"policy"`
 	Service     Interval `json:"service"`
 	WorstClass  float64  `json:"worst_class"`
-	WorstWindow float64  `json:"worst_window"` // of 10 s
+	WorstWindow float64  `json:"worst_window"` // worst window of 10 s
 	RulesBroken int      `json:"rules_broken"`
-	WastedRatio float64  `json:"wasted_part"` // of the work that endpoints did
+	WastedRatio float64  `json:"wasted_part"` // ratio of wasted work to all work that endpoints received
 }
 
 // Rows summarizes results, in the order in which Load returns them.
@@ -40,7 +40,7 @@
 	return rows
 }
 
-// summarize makes the row of results that differ only in their seed.
+// summarize returns the row of results that differ only in their seed.
 func summarize(results []Result) Row {
 	row := Row{Scenario: results[0].Scenario, Variant: results[0].Variant, Policy: results[0].Policy}
 	var service []float64
