--- a/internal/drill/real_result.go
+++ b/internal/drill/real_result.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"slices"
 	"time"
 
@@ -26,7 +25,7 @@
 	}
 	for _, rule := range report.Rules {
 		if rule.Count > 0 {
-			result.Violations = append(result.Violations, Violation{Rule: RuleRequest, Detail: fmt.Sprintf("%+v", rule)})
+			result.Violations = append(result.Violations, Violation{Rule: RuleRequest, Detail: rule.String()})
 		}
 	}
 	result.Violations = append(result.Violations, r.checkUnanswered()...)
--- a/internal/emulator/observer/rules.go
+++ b/internal/emulator/observer/rules.go
@@ -33,6 +33,11 @@
 	First string  `json:"first,omitempty"`
 }
 
+// String returns the rule, the number of violations, and the time and description of the first one.
+func (v RuleViolations) String() string {
+	return fmt.Sprintf("%s: violations: %d, first at %.1f ms: %s", v.Rule, v.Count, v.AtMS, v.First)
+}
+
 // Violate records a violation of a rule. Violations may be told of in any order; the report names the earliest.
 func (o *Observer) Violate(rule string, at float64, format string, args ...any) {
 	b := o.violations[rule]
