--- a/internal/drill/virtual_test.go
+++ b/internal/drill/virtual_test.go
@@ -60,8 +60,8 @@
 	require.Greater(t, owned/runs, 0.7)
 }
 
-// forgottenVotes returns a drill that kills n1 repeatedly, each time immediately after it has voted, while n0 and n2 are
-// partitioned from each other.
+// forgottenVotes returns a drill that kills n1 repeatedly, each time immediately after it has voted. n0 and n2 are
+// partitioned, so that only n1 connects them.
 func forgottenVotes() *Drill {
 	d := testDrill()
 	d.Members, d.RandomFaults = 3, 0
