--- a/cmd/aniseloftctl/main.go
+++ b/cmd/aniseloftctl/main.go
@@ -1,4 +1,4 @@
-// Command aniseloftctl is the operators' tool.
+// Command aniseloftctl is the operators' command-line tool.
 package main
 
 import (
--- a/internal/fleetlog/fleetlog.go
+++ b/internal/fleetlog/fleetlog.go
@@ -1,6 +1,6 @@
-// Package fleetlog adds up the debug logs of many coordinators. What is harmless at one coordinator, such as one probe a
-// second, may be harmful as the sum over a fleet; the report shows that sum by second and by endpoint. The package reads
-// log lines from a reader and opens no files.
+// Package fleetlog sums up the debug logs of many coordinators. A rate that is harmless at one coordinator, such as one probe
+// per second, may be harmful when it is summed over a fleet; the report shows the sums by second and by endpoint. The package
+// reads log lines from an io.Reader and opens no files.
 package fleetlog
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Events whose rate is reported.
+// Events whose rates are reported. The values are part of the JSON report.
 const (
 	EventAnswers  = "answers"
 	EventAttempts = "sends"
@@ -19,14 +19,14 @@
 	EventProbes   = "probes"
 )
 
-// States of an endpoint in an update.
+// States of an endpoint in an update, as logged.
 const (
 	StateRemoved  = "0"
 	StateReady    = "1"
 	StateDraining = "2"
 )
 
-// Summary adds up logs. It is not safe for concurrent use.
+// Summary accumulates the events of the logs. It is not safe for concurrent use.
 type Summary struct {
 	warmUpMS      float64
 	coordinators  map[string]bool
@@ -41,11 +41,11 @@
 	attempts      []attempt
 }
 
-// updateKey identifies an update of the endpoint list, whichever coordinator logs it.
+// updateKey identifies an update of the endpoint list across all coordinators.
 type updateKey struct{ endpoint, state string }
 
-// updateSpread is when coordinators received an update. An update that is received again, as a complete list repeats it,
-// keeps its first time.
+// updateSpread holds the time at which each coordinator first received an update. Repetitions, as in a complete list, are
+// ignored.
 type updateSpread struct {
 	first, last time.Time
 	received    map[string]time.Time // by coordinator
@@ -58,7 +58,7 @@
 	endpoint    string
 }
 
-// New returns an empty summary. An endpoint counts as warming up for the given time after its start.
+// New returns an empty summary. An endpoint counts as warming up for the duration warmUp after its start.
 func New(warmUp time.Duration) *Summary {
 	return &Summary{
 		warmUpMS:      float64(warmUp.Milliseconds()),
@@ -72,7 +72,7 @@
 	}
 }
 
-// maxLineBytes is the longest line that is read.
+// maxLineBytes is the maximum length of a line; Read fails on a longer one.
 const maxLineBytes = 1 << 20
 
 // Read adds the log of one coordinator. Lines that are not log lines, such as counters, are skipped and counted. The error
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// add counts one event.
+// add counts the event of one log line. Other messages are ignored.
 func (s *Summary) add(coordinator string, l logLine) {
 	switch l.message() {
 	case messageProbed:
@@ -141,7 +141,7 @@
 		spread = &updateSpread{first: l.time, received: map[string]time.Time{}}
 		s.updates[key] = spread
 	}
-	if _, again := spread.received[coordinator]; again {
+	if _, repeated := spread.received[coordinator]; repeated {
 		return
 	}
 	spread.received[coordinator] = l.time
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/fleetlog/fleetlog_test.go
@@ -28,41 +28,41 @@
 `
 )
 
-func TestLogsOfAllCoordinatorsAddUp(t *testing.T) {
-	f := New(15 * time.Second)
-	require.NoError(t, f.Read("n0", strings.NewReader(n0)))
-	require.NoError(t, f.Read("n1", strings.NewReader(n1)))
-	r := f.Report()
-	require.Equal(t, 2, r.Coordinators)
-	require.Equal(t, 3, r.SkippedLines, "counters, and two lines that can't be read")
+func TestReportSumsLogsOfAllCoordinators(t *testing.T) {
+	summary := New(15 * time.Second)
+	require.NoError(t, summary.Read("n0", strings.NewReader(n0)))
+	require.NoError(t, summary.Read("n1", strings.NewReader(n1)))
+	report := summary.Report()
+	require.Equal(t, 2, report.Coordinators)
+	require.Equal(t, 3, report.SkippedLines, "the counters and two lines that cannot be parsed")
 	require.Equal(t, []Rate{{EventAnswers, 2, 2.0 / 7, 1, 1796119201}, {EventAttempts, 4, 0.8, 3, 1796119201}, {EventDials, 1, 1, 1, 1796119201},
-		{EventProbes, 1, 1, 1, 1796119201}}, r.Rates)
-	require.Equal(t, map[string]int{"served": 1}, r.AttemptsEnded)
-	require.Equal(t, map[string]int{"served": 1, "refused refused": 1}, r.Answers)
-	require.Len(t, r.Endpoints, 1)
-	e := r.Endpoints[0]
-	require.Equal(t, []any{4, 1, 1, 1, 3.0}, []any{e.Attempts, e.Dials, e.DialsFailed, e.Probes, e.MaxWarmingAttempts}, "the sum of both in the busiest second of the warm-up")
-	require.Equal(t, EndpointUpdate{"s-1", "2", 2, 1250, 1, 800}, r.Updates[0], "one attempt 800 ms after the update that it drains")
-	require.InDelta(t, 1.0, r.BusiestOverMean, 1e-9)
+		{EventProbes, 1, 1, 1, 1796119201}}, report.Rates)
+	require.Equal(t, map[string]int{"served": 1}, report.AttemptsEnded)
+	require.Equal(t, map[string]int{"served": 1, "refused refused": 1}, report.Answers)
+	require.Len(t, report.Endpoints, 1)
+	e := report.Endpoints[0]
+	require.Equal(t, []any{4, 1, 1, 1, 3.0}, []any{e.Attempts, e.Dials, e.DialsFailed, e.Probes, e.MaxWarmingAttempts}, "the sum of both coordinators in the busiest second of the warm-up")
+	require.Equal(t, EndpointUpdate{"s-1", "2", 2, 1250, 1, 800}, report.Updates[0], "one attempt 800 ms after the update that the endpoint is draining")
+	require.InDelta(t, 1.0, report.BusiestOverMean, 1e-9)
 }
 
-func TestLineOverTheLimitIsAnError(t *testing.T) {
+func TestReadRejectsTooLongLine(t *testing.T) {
 	require.ErrorContains(t, New(0).Read("n0", strings.NewReader(strings.Repeat("x", 2<<20))), "log of n0")
 }
 
-// During an upgrade coordinators of two versions write the same events in other words.
-func TestFormerMessagesAndKeysCountAsCurrentOnes(t *testing.T) {
-	inCurrentTerms := strings.NewReplacer("msg=listed", `msg="endpoint listed"`, "msg=sent", `msg="attempt started"`,
+// During an upgrade, coordinators of two versions log the same events with different messages and keys.
+func TestReadAcceptsMessagesAndKeysOfEarlierVersions(t *testing.T) {
+	toCurrentNames := strings.NewReplacer("msg=listed", `msg="endpoint listed"`, "msg=sent", `msg="attempt started"`,
 		"msg=ended", `msg="attempt ended"`, "msg=answered", `msg="request answered"`, "msg=probed", `msg="endpoint probed"`, "msg=dialled", `msg="endpoint dialled"`,
 		"engine=", "endpoint=", "why=", "reason=").Replace
-	require.NotContains(t, inCurrentTerms(n0+n1), "engine=")
+	require.NotContains(t, toCurrentNames(n0+n1), "engine=")
 	report := func(log0, log1 string) *Report {
-		f := New(15 * time.Second)
-		require.NoError(t, f.Read("n0", strings.NewReader(log0)))
-		require.NoError(t, f.Read("n1", strings.NewReader(log1)))
-		return f.Report()
+		summary := New(15 * time.Second)
+		require.NoError(t, summary.Read("n0", strings.NewReader(log0)))
+		require.NoError(t, summary.Read("n1", strings.NewReader(log1)))
+		return summary.Report()
 	}
 	former := report(n0, n1)
-	require.Equal(t, former, report(inCurrentTerms(n0), n1), "one version each")
-	require.Equal(t, former, report(inCurrentTerms(n0), inCurrentTerms(n1)))
+	require.Equal(t, former, report(toCurrentNames(n0), n1), "two versions at a time")
+	require.Equal(t, former, report(toCurrentNames(n0), toCurrentNames(n1)))
 }
--- a/internal/fleetlog/golden_test.go
+++ b/internal/fleetlog/golden_test.go
@@ -10,16 +10,16 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/*.log are lines of two coordinators' logs at d9ce9f6, of a drill of 3 s played by
-// aniseloftctl drill run FILE --debug --out DIR; most lines of each request are left out.
-// testdata/report.golden was written at d9ce9f6: go test ./internal/fleetlog -update
-func TestRecordedLogsGiveTheRecordedReport(t *testing.T) {
-	f := New(15 * time.Second)
+// testdata/*.log are excerpts of two coordinators' logs at commit d9ce9f6, written by a drill of 3 s:
+// aniseloftctl drill run FILE --debug --out DIR. Most lines of each request are left out.
+// testdata/report.golden was written at commit d9ce9f6 by go test ./internal/fleetlog -update.
+func TestReportOfRecordedLogs(t *testing.T) {
+	summary := New(15 * time.Second)
 	for _, name := range []string{"n0", "n1"} {
 		log, err := os.Open("testdata/" + name + ".log")
 		require.NoError(t, err)
-		require.NoError(t, f.Read(name, log))
+		require.NoError(t, summary.Read(name, log))
 		require.NoError(t, log.Close())
 	}
-	golden.JSON(t, "testdata/report.golden", f.Report())
+	golden.JSON(t, "testdata/report.golden", summary.Report())
 }
--- a/internal/fleetlog/line.go
+++ b/internal/fleetlog/line.go
@@ -8,7 +8,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// logLine is one parsed line of a log, with its message and keys in the current terms.
+// logLine is one parsed line of a log. Messages and keys of earlier versions are replaced by the current ones.
 type logLine struct {
 	time   time.Time
 	fields map[string]string
@@ -17,17 +17,17 @@
 func (l logLine) message() string  { return l.fields["msg"] }
 func (l logLine) endpoint() string { return l.fields["endpoint"] }
 
-// number returns a numeric field, or false where the line has none of that name.
+// number returns a numeric field, or false if the line has no number of that name.
 func (l logLine) number(key string) (float64, bool) {
 	value, err := strconv.ParseFloat(l.fields[key], 64)
 	return value, err == nil
 }
 
-// parseLine parses a line in logfmt, or returns false. What stands before the line's own time, such as the stamp of a log
-// collector, is ignored.
+// parseLine parses a line in logfmt. It returns false if the line has no valid time or is not logfmt. Text before the line's
+// own time, such as the timestamp of a log collector, is ignored.
 func parseLine(text string) (logLine, bool) {
-	_, afterTime, stamped := strings.Cut(text, "time=")
-	if !stamped {
+	_, afterTime, found := strings.Cut(text, "time=")
+	if !found {
 		return logLine{}, false
 	}
 	decoder := logfmt.NewDecoder(strings.NewReader("time=" + afterTime))
@@ -42,6 +42,6 @@
 	if decoder.Err() != nil || err != nil {
 		return logLine{}, false
 	}
-	currentTerms(fields)
+	replaceFormerNames(fields)
 	return logLine{at, fields}, true
 }
--- a/internal/fleetlog/messages.go
+++ b/internal/fleetlog/messages.go
@@ -1,6 +1,6 @@
 package fleetlog
 
-// Messages of the coordinator's log that are counted.
+// Messages of the coordinator's log whose events are counted.
 const (
 	messageProbed          = "endpoint probed"
 	messageDialled         = "endpoint dialled"
@@ -10,7 +10,7 @@
 	messageListed          = "endpoint listed"
 )
 
-// formerMessages are what earlier versions wrote for a message.
+// formerMessages maps the messages of earlier versions to the current ones.
 var formerMessages = map[string]string{
 	"probed":   messageProbed,
 	"dialled":  messageDialled,
@@ -20,15 +20,15 @@
 	"listed":   messageListed,
 }
 
-// formerKeys are what earlier versions wrote for a key.
+// formerKeys maps the keys of earlier versions to the current ones.
 var formerKeys = map[string]string{
 	"engine": "endpoint",
 	"why":    "reason",
 }
 
-// currentTerms renames in a line's fields what earlier versions wrote: coordinators of two versions
-// run beside each other during an upgrade.
-func currentTerms(fields map[string]string) {
+// replaceFormerNames replaces the message and the keys of earlier versions in a line's fields. Coordinators of two versions
+// run side by side during an upgrade.
+func replaceFormerNames(fields map[string]string) {
 	if message, former := formerMessages[fields["msg"]]; former {
 		fields["msg"] = message
 	}
--- a/internal/fleetlog/report.go
+++ b/internal/fleetlog/report.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Report is the sum of all logs. Its JSON names are those that operators' scripts read.
+// Report sums up all logs. Its JSON names must not change, as operators' scripts read them.
 type Report struct {
 	Coordinators    int              `json:"coordinators"`
 	Lines           int              `json:"lines"`
@@ -15,11 +15,11 @@
 	AttemptsEnded   map[string]int   `json:"attempts_ended"` // by outcome
 	Answers         map[string]int   `json:"answers"`        // by kind and reason
 	Endpoints       []*Endpoint      `json:"engines"`        // the busiest first
-	Updates         []EndpointUpdate `json:"notices"`        // those with the most late attempts first
+	Updates         []EndpointUpdate `json:"notices"`        // those with the most attempts after them first
 	BusiestOverMean float64          `json:"busiest_over_mean"`
 }
 
-// Rate is how often the whole fleet did something.
+// Rate is the rate of one event over the whole fleet.
 type Rate struct {
 	Event         string  `json:"deed"`
 	Total         int     `json:"total"`
@@ -28,29 +28,29 @@
 	MaxAtUnix     int64   `json:"worst_at_unix_s"` // the first of the busiest seconds, in Unix seconds
 }
 
-// Endpoint is what the fleet did to one endpoint.
+// Endpoint counts the operations of the whole fleet on one endpoint.
 type Endpoint struct {
 	Name               string         `json:"engine"`
 	Attempts           int            `json:"sends"`
 	Dials              int            `json:"dials"`
 	DialsFailed        int            `json:"dials_failed"`
 	Probes             int            `json:"probes"`
-	AttemptsEnded      map[string]int `json:"ends"`                 // by outcome
-	StartedMS          float64        `json:"started_ms,omitempty"` // Unix ms; 0: unknown or long ago
-	MaxWarmingAttempts float64        `json:"cold_peak_sends_s,omitempty"`
+	AttemptsEnded      map[string]int `json:"ends"`                        // by outcome
+	StartedMS          float64        `json:"started_ms,omitempty"`        // Unix ms; 0: unknown or long ago
+	MaxWarmingAttempts float64        `json:"cold_peak_sends_s,omitempty"` // attempts in the busiest second of the warm-up
 }
 
-// EndpointUpdate is how one update of the endpoint list spread among the coordinators.
+// EndpointUpdate describes how one update of the endpoint list spread among the coordinators.
 type EndpointUpdate struct {
 	Endpoint      string  `json:"engine"`
 	State         string  `json:"state"`          // StateRemoved, StateReady or StateDraining
-	Coordinators  int     `json:"heard_by"`       // that received it
-	SpreadMS      float64 `json:"spread_ms"`      // from the first that received it to the last
-	AttemptsAfter int     `json:"sent_after"`     // by coordinators that had received it, where the endpoint is not ready
-	LastAttemptMS float64 `json:"latest_send_ms"` // the latest of them, in ms after its coordinator received the update
+	Coordinators  int     `json:"heard_by"`       // number that received the update
+	SpreadMS      float64 `json:"spread_ms"`      // from the first receipt to the last
+	AttemptsAfter int     `json:"sent_after"`     // attempts by coordinators that had received the update; 0 for StateReady
+	LastAttemptMS float64 `json:"latest_send_ms"` // longest time in ms from a receipt to such an attempt
 }
 
-// Report returns the sum of what was read so far.
+// Report returns the sums of the logs read so far.
 func (s *Summary) Report() *Report {
 	s.findWarmingPeaks()
 	return &Report{
@@ -60,8 +60,8 @@
 		Rates:           s.rates(),
 		AttemptsEnded:   s.attemptsEnded,
 		Answers:         s.answers,
-		Endpoints:       s.endpointsByLoad(),
-		Updates:         s.updatesByHarm(),
+		Endpoints:       s.endpointsByOperations(),
+		Updates:         s.updatesByAttemptsAfter(),
 		BusiestOverMean: s.busiestOverMean(),
 	}
 }
@@ -90,19 +90,19 @@
 	return rate
 }
 
-func (s *Summary) endpointsByLoad() []*Endpoint {
+func (s *Summary) endpointsByOperations() []*Endpoint {
 	var endpoints []*Endpoint
 	for _, e := range s.endpoints {
 		endpoints = append(endpoints, e)
 	}
-	load := func(e *Endpoint) int { return e.Attempts + e.Dials + e.Probes }
+	operations := func(e *Endpoint) int { return e.Attempts + e.Dials + e.Probes }
 	slices.SortFunc(endpoints, func(a, b *Endpoint) int {
-		return cmp.Or(cmp.Compare(load(b), load(a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(operations(b), operations(a)), cmp.Compare(a.Name, b.Name))
 	})
 	return endpoints
 }
 
-func (s *Summary) updatesByHarm() []EndpointUpdate {
+func (s *Summary) updatesByAttemptsAfter() []EndpointUpdate {
 	var updates []EndpointUpdate
 	for key, spread := range s.updates {
 		update := EndpointUpdate{
@@ -126,8 +126,8 @@
 	return updates
 }
 
-// attemptsAfter counts attempts at an endpoint by coordinators that had received the update that it is draining or gone.
-// Attempts after a later update that it is ready again do not count.
+// attemptsAfter counts attempts at an endpoint by coordinators that had received the update that it is draining or removed,
+// and returns the longest time from a receipt to such an attempt. Attempts after a later update that it is ready do not count.
 func (s *Summary) attemptsAfter(endpoint string, spread *updateSpread) (count int, lastMS float64) {
 	readyAgain := s.updates[updateKey{endpoint, StateReady}]
 	for _, a := range s.attempts {
@@ -147,7 +147,7 @@
 	return count, lastMS
 }
 
-// findWarmingPeaks sets the busiest second of attempts at each endpoint while it warmed up.
+// findWarmingPeaks sets MaxWarmingAttempts of each endpoint to the attempts in the busiest second of its warm-up.
 func (s *Summary) findWarmingPeaks() {
 	type endpointSecond struct {
 		endpoint string
@@ -166,7 +166,7 @@
 	}
 }
 
-// busiestOverMean is the answers of the busiest coordinator over the mean of all, or 0 without answers.
+// busiestOverMean returns the number of answers of the busiest coordinator over the mean of all, or 0 if there are none.
 func (s *Summary) busiestOverMean() float64 {
 	total, busiest := 0, 0
 	for _, count := range s.answeredBy {
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -3,9 +3,9 @@
 
 import _ "embed"
 
-// Scenario describes a day to rehearse; Plan an experiment; Rest the paged REST front
-// and its spool, deploy/rest.json; Log what the coordinator logs, deploy/log.json; Drill what
-// goes wrong among many coordinators; Fleet what coordinators do together, deploy/fleet.json.
+// Each variable is the schema of one kind of file: Scenario of a simulated day, Plan of an experiment, Rest of the paged REST
+// front and its spool (deploy/rest.json), Log of the coordinator's log settings (deploy/log.json), Drill of a fault injection
+// into many coordinators, Fleet of the consensus group and its jobs (deploy/fleet.json).
 var (
 	//go:embed scenario.schema.json
 	Scenario []byte
