--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' command line, aniseloftctl. Each command stands in a file named for it: it parses flags,
-// calls the package that does the work and prints the result. Results go to standard output; errors and progress go to
-// standard error.
+// Package ctl implements aniseloftctl, the operators' command-line tool. Each command is in a file named after it: it parses
+// flags, calls the package that does the work and prints the result. Results go to standard output; errors and progress go
+// to standard error.
 package ctl
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes.
+// Exit codes that Run returns.
 const (
 	ExitOK     = 0
 	ExitFailed = 1 // the command could not be carried out
 	ExitUsage  = 2 // the command line or a file is invalid
-	ExitRules  = 3 // a run ended and violated a rule
+	ExitRules  = 3 // a run completed and violated a rule
 )
 
 // exitError gives an error an exit code other than ExitFailed.
@@ -39,9 +39,9 @@
 // Run executes a command line without the program's name and returns the exit code.
 func Run(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
-		Use: "aniseloftctl", Short: "The operators' tool of aniseloft",
+		Use: "aniseloftctl", Short: "Operators' command-line tool of aniseloft",
 		SilenceErrors: true, SilenceUsage: true,
-		Long: "Exit codes: 0 done, 1 it could not be done, 2 the command line or a file is wrong, 3 done and a rule was broken.",
+		Long: "Exit codes: 0 success, 1 failure, 2 the command line or a file is invalid, 3 the run completed and violated a rule.",
 	}
 	root.SetArgs(args)
 	root.SetOut(stdout)
@@ -58,14 +58,14 @@
 	return exitCode(root, cmd, err)
 }
 
-// exitCode maps the error of the command that was executed. The errors of cobra for an unknown command and for a wrong
-// number of arguments have no type, so that their cause is looked for in the command.
+// exitCode returns the exit code for an error of the executed command. Cobra's errors for an unknown command and for a wrong
+// number of arguments have no type of their own, so their cause is determined from the command.
 func exitCode(root, executed *cobra.Command, err error) int {
 	var exit exitError
 	switch {
 	case errors.As(err, &exit):
 		return exit.code
-	case executed == root: // no command was found; root itself does nothing that fails
+	case executed == root: // no command was found: the root command itself cannot fail
 		return ExitUsage
 	case executed.ValidateArgs(executed.Flags().Args()) != nil:
 		return ExitUsage
@@ -73,7 +73,7 @@
 	return ExitFailed
 }
 
-// commandGroup returns a command that only holds others.
+// commandGroup returns a command that only has subcommands; it prints its help when it is run without one.
 func commandGroup(use, short string, commands ...*cobra.Command) *cobra.Command {
 	cmd := &cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -30,7 +30,7 @@
 		{[]string{"completion", "bash", "more"}, ExitUsage, "unknown command"},
 		{[]string{"help", "emulat"}, ExitOK, "Unknown help topic"},
 		{[]string{"emulate"}, ExitOK, "rehearse"},
-		{nil, ExitOK, "Exit codes: 0 done"},
+		{nil, ExitOK, "Exit codes: 0 success"},
 		{[]string{"experiment", "table", t.TempDir()}, ExitUsage, "results.jsonl"},
 		{[]string{"experiment", "run", bad}, ExitUsage, "missing propert"},
 	})
@@ -62,21 +62,21 @@
 	results := filepath.Join(dir, "results.jsonl")
 	code, _, log := runCommand("experiment", "run", path, "--out", dir)
 	require.Equal(t, ExitOK, code, log)
-	_, whole, _ := runCommand("experiment", "table", dir)
+	_, uninterruptedTable, _ := runCommand("experiment", "table", dir)
 	b, err := os.ReadFile(results)
 	require.NoError(t, err)
 	lines := strings.SplitAfter(string(b), "\n")
 	require.Len(t, lines, 13)
-	// It died while it wrote the sixth.
+	// The file of a process that was killed while it wrote the sixth result.
 	require.NoError(t, os.WriteFile(results, []byte(strings.Join(lines[:5], "")+lines[5][:100]), 0o600))
 	code, _, log = runCommand("experiment", "run", path, "--out", dir)
 	require.Equal(t, ExitOK, code, log)
-	again, err := os.ReadFile(results)
+	resumed, err := os.ReadFile(results)
 	require.NoError(t, err)
-	require.True(t, strings.HasPrefix(string(again), strings.Join(lines[:5], "")), "what had ended is kept as it was")
-	require.Equal(t, 12, strings.Count(string(again), "\n"))
+	require.True(t, strings.HasPrefix(string(resumed), strings.Join(lines[:5], "")), "completed results are unchanged")
+	require.Equal(t, 12, strings.Count(string(resumed), "\n"))
 	_, table, _ := runCommand("experiment", "table", dir)
-	require.Equal(t, whole, table)
+	require.Equal(t, uninterruptedTable, table)
 	_, csv, _ := runCommand("experiment", "table", dir, "--csv")
 	require.Equal(t, 5, strings.Count(csv, "\n"))
 
@@ -92,7 +92,7 @@
 	code, out, log = runCommand("experiment", "chart", dir, "--out", t.TempDir())
 	require.Equal(t, ExitOK, code, log)
 	require.Equal(t, 2*(1+2+4), strings.Count(out, "\n"), "service, two latency curves, four timelines, as SVG and PNG")
-	require.NoError(t, os.WriteFile(results, []byte("{}\n"+string(again)), 0o600))
+	require.NoError(t, os.WriteFile(results, []byte("{}\n"+string(resumed)), 0o600))
 	code, _, log = runCommand("experiment", "table", dir)
 	require.Equal(t, ExitUsage, code)
 	require.Contains(t, log, "line 1")
--- a/internal/ctl/drill.go
+++ b/internal/ctl/drill.go
@@ -12,7 +12,7 @@
 )
 
 func drillCommand() *cobra.Command {
-	return commandGroup("drill", "Many coordinators with faults between them, judged by what each did",
+	return commandGroup("drill", "Inject faults into many coordinators and check their operations against rules",
 		drillRunCommand(), drillListCommand(), drillCheckCommand(), drillReplayCommand(), drillShrinkCommand())
 }
 
@@ -44,25 +44,25 @@
 }
 
 func drillCheckCommand() *cobra.Command {
-	cmd := checkFileCommand("check", "a drill's file", func(file string, raw []byte) (scenario.ValidationErrors, error) {
-		var faults scenario.ValidationErrors
-		if _, err := drill.Parse(file, raw); err != nil && !errors.As(err, &faults) {
+	cmd := checkFileCommand("check", "a drill file", func(file string, raw []byte) (scenario.ValidationErrors, error) {
+		var problems scenario.ValidationErrors
+		if _, err := drill.Parse(file, raw); err != nil && !errors.As(err, &problems) {
 			return nil, err
 		}
-		return faults, nil
+		return problems, nil
 	})
-	cmd.Use, cmd.Args, cmd.Short = "check FILE", cobra.ExactArgs(1), "Check a drill's file against its schema and its rules"
+	cmd.Use, cmd.Args, cmd.Short = "check FILE", cobra.ExactArgs(1), "Check a drill file against its schema and its rules"
 	cmd.Example = "  aniseloftctl drill check my-drill.json"
 	return cmd
 }
 
-// drillSelection is the drill of a command, and the guards that a run in virtual time is to go without.
+// drillSelection holds the drill of a command and the guards to disable in a run in virtual time.
 type drillSelection struct {
 	drill    *drill.Drill
 	disabled drill.DisabledGuards
 }
 
-// selectDrill loads a drill by its name or from a file.
+// selectDrill loads a drill by its name or from a file and parses the guards to disable.
 func selectDrill(nameOrFile string, without []string) (drillSelection, error) {
 	d, err := drills.Load(nameOrFile)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return drillSelection{d, disabled}, err
 }
 
-// parseGuards reads the names of guards that --without takes.
+// parseGuards parses the guard names of --without.
 func parseGuards(names []string) (disabled drill.DisabledGuards, err error) {
 	for _, name := range names {
 		switch name {
@@ -85,7 +85,7 @@
 		case "drift":
 			disabled.DriftAllowance = true
 		default:
-			return disabled, usageError(fmt.Errorf("--without %s: fence, asked, vote and drift are known", name))
+			return disabled, usageError(fmt.Errorf("--without %s: unknown guard; the guards are fence, asked, vote and drift", name))
 		}
 	}
 	return disabled, nil
--- a/internal/ctl/drill_print.go
+++ b/internal/ctl/drill_print.go
@@ -9,10 +9,10 @@
 	"aniseloft/internal/drill"
 )
 
-// printDrillSummary prints what many seeds in virtual time have in common.
+// printDrillSummary prints the summary of a drill's runs in virtual time.
 func printDrillSummary(cmd *cobra.Command, s *drill.Summary) error {
 	w := tableWriter(cmd)
-	_, _ = fmt.Fprintf(w, "%s: %d plays, %d with a rule broken; %d acts, %d refused by their fence, %d grants; owned %.3f of the time\n",
+	_, _ = fmt.Fprintf(w, "%s: %d runs, %d with a rule violation; %d fenced writes, %d rejected, %d grants; jobs owned %.3f of the time\n",
 		s.Name, s.Runs, len(s.Failed), s.Writes, s.Rejected, s.Grants, s.OwnedRatio)
 	printUnownedTimes(w, s.Unowned)
 	printViolations(w, s.Violations)
@@ -22,8 +22,8 @@
 // printRealResult prints the result of one seed with real processes.
 func printRealResult(cmd *cobra.Command, d *drill.Drill, r *drill.RealResult) error {
 	w := tableWriter(cmd)
-	_, _ = fmt.Fprintf(w, "%s, seed %d: %d broken; service %.3f; %d acts, %d refused, %d unknown, %d grants; %d calls for lists; "+
-		"%.0f bytes a second and coordinator, %.2f syncs a second and seat\n",
+	_, _ = fmt.Fprintf(w, "%s, seed %d: %d rule violations; service %.3f; %d fenced writes, %d rejected, %d with unknown outcome, %d grants; "+
+		"%d calls to the journal service; %.0f bytes/s per coordinator, %.2f syncs/s per replica\n",
 		d.Name, r.Seed, len(r.Violations), r.Service, r.Writes, r.Rejected, r.Unknown, len(r.Grants), r.JournalCalls,
 		r.BytesPerSecond, r.SyncsPerSecond)
 	for _, fault := range r.Faults {
@@ -36,7 +36,7 @@
 
 func printUnownedTimes(w io.Writer, rows []drill.UnownedTime) {
 	if len(rows) > 0 {
-		_, _ = fmt.Fprintln(w, "\nwithout an owner after\ttimes\tmedian ms\t95 in 100\tmost")
+		_, _ = fmt.Fprintln(w, "\nunowned after\tcount\tp50 ms\tp95 ms\tmax ms")
 	}
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%.0f\n", row.Cause, row.Count, row.P50, row.P95, row.Max)
--- a/internal/ctl/drill_real.go
+++ b/internal/ctl/drill_real.go
@@ -42,12 +42,12 @@
 		}
 	}
 	if failed > 0 {
-		return rulesError("drill %s: a rule was broken in %d of %d plays", d.Name, failed, flags.seeds)
+		return rulesError("drill %s: a rule was violated in %d of %d runs", d.Name, failed, flags.seeds)
 	}
 	return nil
 }
 
-// realDrillOptions are the options that all seeds have in common. A scenario that the drill names overrides the flag.
+// realDrillOptions returns the options shared by all seeds. A scenario that the drill names overrides --scenario.
 func realDrillOptions(d *drill.Drill, flags *drillRunFlags) (options drill.RealOptions, err error) {
 	options.FleetOff, options.Debug = flags.fleetOff, flags.debug
 	name := flags.scenario
@@ -57,16 +57,16 @@
 	if options.Scenario, err = scenarios.Load(name); err != nil {
 		return options, usageError(err)
 	}
-	if options.Coordinator, err = programPath(flags.coordinator, "--coordinator", "build it, or name it"); err != nil {
+	if options.Coordinator, err = programPath(flags.coordinator, "--coordinator", "build it or give its path"); err != nil {
 		return options, err
 	}
 	if flags.olderCoordinator != "" {
-		options.OlderCoordinator, err = programPath(flags.olderCoordinator, "--older", "name an earlier build")
+		options.OlderCoordinator, err = programPath(flags.olderCoordinator, "--older", "give the path of an earlier build")
 	}
 	return options, err
 }
 
-// programPath returns the absolute path of an existing program.
+// programPath returns the absolute path of a program, or an error with the remedy if it does not exist.
 func programPath(path, flag, remedy string) (string, error) {
 	absolute, err := filepath.Abs(path)
 	if err != nil {
--- a/internal/ctl/drill_run.go
+++ b/internal/ctl/drill_run.go
@@ -9,7 +9,7 @@
 	"aniseloft/internal/drill"
 )
 
-// drillRunFlags are the flags of drill run.
+// drillRunFlags holds the flags of drill run.
 type drillRunFlags struct {
 	firstSeed, seeds uint64
 	virtual          bool
@@ -26,15 +26,15 @@
 func (f *drillRunFlags) register(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.Uint64Var(&f.firstSeed, "seed", 1, "the first seed")
-	flags.Uint64Var(&f.seeds, "seeds", 1, "how many seeds, one after another")
+	flags.Uint64Var(&f.seeds, "seeds", 1, "number of consecutive seeds to run")
 	flags.BoolVar(&f.virtual, "virtual", false, "run in virtual time")
-	flags.BoolVar(&f.fleetOff, "off", false, "no consensus group: each coordinator for itself, as a comparison")
-	flags.BoolVar(&f.debug, "debug", false, "coordinators log each request and each endpoint update, for aniseloftctl fleet logs")
-	flags.StringSliceVar(&f.without, "without", nil, "guards to disable, in virtual time: fence, asked, vote, drift")
-	flags.StringVar(&f.coordinator, "coordinator", filepath.Join("bin", "aniseloft"), "the coordinator's program")
-	flags.StringVar(&f.olderCoordinator, "older", "", "an earlier program, which each process runs until its first planned end, as in a rolling upgrade")
-	flags.StringVar(&f.output, "out", "", "directory for logs and disks")
-	flags.StringVar(&f.scenario, "scenario", "calm-weekday", "engines and clients of a drill with real processes, where it names none")
+	flags.BoolVar(&f.fleetOff, "off", false, "run each coordinator alone, without a consensus group, for comparison")
+	flags.BoolVar(&f.debug, "debug", false, "make coordinators log each request and each endpoint update, as input for aniseloftctl fleet logs")
+	flags.StringSliceVar(&f.without, "without", nil, "guards to disable, only with --virtual: fence, asked, vote, drift")
+	flags.StringVar(&f.coordinator, "coordinator", filepath.Join("bin", "aniseloft"), "path of the coordinator program")
+	flags.StringVar(&f.olderCoordinator, "older", "", "path of an earlier coordinator program, which each process runs until its first graceful shutdown, as in a rolling upgrade")
+	flags.StringVar(&f.output, "out", "", "directory for the logs and disks of the processes")
+	flags.StringVar(&f.scenario, "scenario", "calm-weekday", "scenario of the engines and clients, for a drill with real processes that names none")
 	flags.BoolVar(&f.asJSON, "json", false, "print JSON")
 }
 
@@ -42,9 +42,10 @@
 	var flags drillRunFlags
 	cmd := &cobra.Command{
 		Use: "run NAME|FILE", Short: "Run a drill, with real processes or many times in virtual time", Args: cobra.ExactArgs(1),
-		Long: "With real processes a drill takes as long as it says, on loopback: coordinators, emulated engines and clients, the journal service, " +
-			"and proxies between them that inject network faults. With --virtual the replicas and lease holders run in virtual time, thousands of " +
-			"seeds a minute. Exit code 3: a rule was broken. --without disables a guard, to see the checkers fail.",
+		Long: "Without --virtual, the drill runs in real time with processes on loopback: coordinators, emulated engines and clients, the journal " +
+			"service, and proxies between them that inject network faults. With --virtual, the replicas and lease holders run in virtual time, " +
+			"thousands of seeds per minute. Exit code 3: a rule was violated. --without disables a guard, to show that the checkers " +
+			"detect the resulting violations.",
 		Example: "  aniseloftctl drill run drawn --virtual --seeds 10000\n" +
 			"  aniseloftctl drill run owner-killed --seed 7 --out out\n" +
 			"  aniseloftctl drill run drawn --virtual --seeds 100 --without fence",
@@ -57,7 +58,7 @@
 				return runVirtualDrill(cmd, selected, &flags)
 			}
 			if selected.disabled != (drill.DisabledGuards{}) {
-				return usageError(errors.New("--without goes with --virtual: a real process keeps its guards"))
+				return usageError(errors.New("--without requires --virtual: guards cannot be disabled in real processes"))
 			}
 			return runRealDrill(cmd, selected.drill, &flags)
 		},
--- a/internal/ctl/drill_virtual.go
+++ b/internal/ctl/drill_virtual.go
@@ -28,16 +28,16 @@
 		return err
 	}
 	if len(summary.Failed) > 0 {
-		return rulesError("drill %s: a rule was broken in %d of %d plays, first with --seed %d",
+		return rulesError("drill %s: a rule was violated in %d of %d runs, first with --seed %d",
 			selected.drill.Name, len(summary.Failed), summary.Runs, summary.Failed[0])
 	}
 	return nil
 }
 
-// seedBatch is how many results are held before they are added to the summary in the order of their seeds.
+// seedBatch is the number of results that are held in memory before they are added to the summary in seed order.
 const seedBatch = 256
 
-// runSeeds runs consecutive seeds, one on each core. The summary does not depend on the number of cores.
+// runSeeds runs consecutive seeds, as many at a time as there are cores. The summary does not depend on the number of cores.
 func runSeeds(cmd *cobra.Command, selected drillSelection, first, seeds uint64) (*drill.Summary, error) {
 	summary := &drill.Summary{Name: selected.drill.Name}
 	bar := newProgressBar(cmd, int(seeds), selected.drill.Name)
@@ -69,7 +69,7 @@
 	return results, errors.Join(errs...)
 }
 
-// seedFlags are the flags of the commands that run one seed in virtual time.
+// seedFlags holds the flags of the commands that run one seed in virtual time.
 type seedFlags struct {
 	seed    uint64
 	without []string
@@ -101,7 +101,7 @@
 				_, _ = fmt.Fprintln(cmd.OutOrStdout(), violation.String(), violation.Evidence)
 			}
 			if len(result.Violations) > 0 {
-				return rulesError("drill %s, seed %d: a rule was broken", selected.drill.Name, flags.seed)
+				return rulesError("drill %s, seed %d: a rule was violated", selected.drill.Name, flags.seed)
 			}
 			return nil
 		},
@@ -113,7 +113,7 @@
 func drillShrinkCommand() *cobra.Command {
 	var flags seedFlags
 	cmd := &cobra.Command{
-		Use: "shrink NAME|FILE", Short: "Remove faults while the failure stays, and print the smallest drill", Args: cobra.ExactArgs(1),
+		Use: "shrink NAME|FILE", Short: "Print the smallest drill that still violates a rule, found by removing faults", Args: cobra.ExactArgs(1),
 		Example: "  aniseloftctl drill shrink drawn --seed 1 --without fence > least.json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			selected, err := selectDrill(args[0], flags.without)
@@ -126,7 +126,7 @@
 			}
 			text, err := json.MarshalIndent(smallest, "", " ")
 			if err != nil {
-				return fmt.Errorf("write: %w", err)
+				return fmt.Errorf("encode the drill as JSON: %w", err)
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(text))
 			return err
@@ -136,14 +136,14 @@
 	return cmd
 }
 
-// shrinkDrill returns the smallest drill that still violates a rule with a seed.
+// shrinkDrill returns the smallest drill that still violates a rule with the given seed.
 func shrinkDrill(selected drillSelection, seed uint64) (*drill.Drill, error) {
 	fails := func(d *drill.Drill) bool {
 		result, err := drill.RunVirtual(d, seed, selected.disabled, false)
 		return err == nil && len(result.Violations) > 0
 	}
 	if !fails(selected.drill) {
-		return nil, fmt.Errorf("drill %s, seed %d: no rule is broken: there is nothing to shrink", selected.drill.Name, seed)
+		return nil, fmt.Errorf("drill %s, seed %d: no rule is violated: there is nothing to shrink", selected.drill.Name, seed)
 	}
 	smallest := drill.Shrink(selected.drill, seed, fails)
 	smallest.Name, smallest.Schema = selected.drill.Name+"-least", ""
--- a/internal/ctl/emulate.go
+++ b/internal/ctl/emulate.go
@@ -11,11 +11,11 @@
 )
 
 func emulateCommand() *cobra.Command {
-	return commandGroup("emulate", "Rehearse incidents: in virtual time, or with real coordinators",
+	return commandGroup("emulate", "Simulate incidents in virtual time, or rehearse them with real coordinators",
 		emulateListCommand(), emulateCheckCommand(), emulateRunCommand(), emulateRehearseCommand(), emulateServeCommand())
 }
 
-// scenarioLine is a line of emulate list.
+// scenarioLine is a line of the output of emulate list.
 type scenarioLine struct {
 	Name        string `json:"name"`
 	Description string `json:"tells"`
@@ -64,42 +64,43 @@
 func emulateCheckCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "check FILE...", Short: "Check scenario files; nothing is run", Args: cobra.MinimumNArgs(1),
+		Use: "check FILE...", Short: "Check scenario files without running them", Args: cobra.MinimumNArgs(1),
 		Example: "  aniseloftctl emulate check flood.json",
 		RunE: func(cmd *cobra.Command, files []string) error {
-			faults, err := scenarioFaults(files)
+			problems, err := validateScenarios(files)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				if err := printJSON(cmd, faults); err != nil {
+				if err := printJSON(cmd, problems); err != nil {
 					return err
 				}
 			}
-			if len(faults) > 0 {
-				return usageError(faults)
+			if len(problems) > 0 {
+				return usageError(problems)
 			}
 			if !asJSON {
-				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d good\n", len(files))
+				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d valid\n", len(files))
 			}
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print the faults as JSON")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the problems as JSON")
 	return cmd
 }
 
-// scenarioFaults lists what is invalid in scenario files. The list is empty, not nil, where they are valid.
-func scenarioFaults(files []string) (scenario.ValidationErrors, error) {
-	faults := scenario.ValidationErrors{}
+// validateScenarios lists the problems of scenario files. If they are valid, the list is empty and not nil, which JSON
+// shows as [].
+func validateScenarios(files []string) (scenario.ValidationErrors, error) {
+	problems := scenario.ValidationErrors{}
 	for _, file := range files {
 		_, err := scenarios.Load(file)
 		var list scenario.ValidationErrors
 		if errors.As(err, &list) {
-			faults = append(faults, list...)
+			problems = append(problems, list...)
 		} else if err != nil {
 			return nil, usageError(err)
 		}
 	}
-	return faults, nil
+	return problems, nil
 }
--- a/internal/ctl/emulate_live.go
+++ b/internal/ctl/emulate_live.go
@@ -17,10 +17,10 @@
 	var day dayFlags
 	var coordinator, logFile string
 	cmd := &cobra.Command{
-		Use: "rehearse NAME|FILE", Short: "Play a day with real coordinators on loopback sockets", Args: cobra.ExactArgs(1),
+		Use: "rehearse NAME|FILE", Short: "Run a day with real coordinators on loopback sockets", Args: cobra.ExactArgs(1),
 		Long: "Starts the scenario's coordinators as processes, with emulated engines and a journal service on loopback,\n" +
-			"plays its clients over JSON-RPC in real time, injects its faults and judges by the same rules as a\n" +
-			"virtual day. It takes as long as the day. Exit code 3: a rule was broken.",
+			"runs its clients over JSON-RPC in real time, injects its faults and checks the same rules as a day in\n" +
+			"virtual time. It takes as long as the day. Exit code 3: a rule was violated.",
 		Example: "  aniseloftctl emulate rehearse calm-weekday --coordinator bin/aniseloft\n" +
 			"  aniseloftctl emulate rehearse flood-day --seed 7 --out out --log coordinators.log",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -29,7 +29,7 @@
 				return err
 			}
 			if _, err := os.Stat(coordinator); err != nil {
-				return usageError(fmt.Errorf("--coordinator: %w; build it, or name it", err))
+				return usageError(fmt.Errorf("--coordinator: %w; build it or give its path", err))
 			}
 			log := io.Discard
 			if logFile != "" {
@@ -51,7 +51,7 @@
 		},
 	}
 	day.register(cmd)
-	cmd.Flags().StringVar(&coordinator, "coordinator", filepath.Join("bin", "aniseloft"), "the coordinator's program")
+	cmd.Flags().StringVar(&coordinator, "coordinator", filepath.Join("bin", "aniseloft"), "path of the coordinator program")
 	cmd.Flags().StringVar(&logFile, "log", "", "file for the coordinators' logs")
 	return cmd
 }
@@ -60,9 +60,9 @@
 	var day dayFlags
 	cmd := &cobra.Command{
 		Use: "serve NAME|FILE", Short: "Serve a day's engines and journal service on loopback, with its faults", Args: cobra.ExactArgs(1),
-		Long: "Serves until the day is over. With --out it writes a configuration for each coordinator, to start them by hand\n" +
-			"as LB_CONFIG=DIR/n0.json bin/aniseloft. The day's clients are not played: queries that\n" +
-			"you send need what their class usually does.",
+		Long: "Serves until the end of the day. With --out it writes a configuration for each coordinator, to start them by hand\n" +
+			"as LB_CONFIG=DIR/n0.json bin/aniseloft. The day's clients are not run: a query that\n" +
+			"you send uses the average resources of its class.",
 		Example: "  aniseloftctl emulate serve calm-weekday --out conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := day.load(args[0])
@@ -82,11 +82,11 @@
 	return cmd
 }
 
-// firstPort is the port of the first coordinator that is started by hand; each further one listens on the next port.
+// firstPort is the port of the first coordinator that is started by hand; each further coordinator listens on the next port.
 const firstPort = 8443
 
-// announceJournals prints the address of each coordinator's journal service. Where a directory is given it also writes
-// the coordinator's configuration there.
+// announceJournals prints the address of each coordinator's journal service. If a directory is given, it also writes the
+// coordinator's configuration there.
 func announceJournals(cmd *cobra.Command, journals []string, config func(coordinator int, listen string) ([]byte, error), directory string) error {
 	for n, address := range journals {
 		_, _ = fmt.Fprintf(cmd.OutOrStdout(), "coordinator %d: journal service at %s\n", n, address)
--- a/internal/ctl/emulate_run.go
+++ b/internal/ctl/emulate_run.go
@@ -16,7 +16,7 @@
 	"aniseloft/scenarios"
 )
 
-// dayFlags are the flags that the commands which play an emulated day have in common.
+// dayFlags holds the flags shared by the commands that run an emulated day.
 type dayFlags struct {
 	seed    uint64
 	changes []string
@@ -25,13 +25,13 @@
 }
 
 func (f *dayFlags) register(cmd *cobra.Command) {
-	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "the day's seed: the same seed is the same day")
-	cmd.Flags().StringArrayVar(&f.changes, "set", nil, "change the scenario, as /load/per_s=300 (may be given again)")
-	cmd.Flags().StringVar(&f.output, "out", "", "folder for report.json")
+	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "the day's seed; the same seed gives the same day")
+	cmd.Flags().StringArrayVar(&f.changes, "set", nil, "change a scenario value by its JSON pointer, such as /load/per_s=300 (repeatable)")
+	cmd.Flags().StringVar(&f.output, "out", "", "directory for report.json")
 	cmd.Flags().BoolVar(&f.asJSON, "json", false, "print the report as JSON")
 }
 
-// load reads a scenario, by its name or from a file, with the changes of --set.
+// load reads a scenario by its name or from a file and applies the changes of --set.
 func (f *dayFlags) load(nameOrFile string) (*scenario.Scenario, error) {
 	file, raw, err := scenarios.Raw(nameOrFile)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return s, nil
 }
 
-// finish writes and prints the report of a day. It is an error with ExitRules where the day violated a rule.
+// finish writes and prints the report of a day. It returns an error with ExitRules if the day violated a rule.
 func (f *dayFlags) finish(cmd *cobra.Command, report *observer.Report) error {
 	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
@@ -62,15 +62,15 @@
 		printDayReport(cmd, report)
 	}
 	if report.RulesBroken > 0 {
-		return rulesError("%d times a rule was broken; first: %s: %s", report.RulesBroken, report.Rules[0].Rule, report.Rules[0].First)
+		return rulesError("%d rule violations; first: %s: %s", report.RulesBroken, report.Rules[0].Rule, report.Rules[0].First)
 	}
 	return nil
 }
 
 func printDayReport(cmd *cobra.Command, r *observer.Report) {
 	w := tableWriter(cmd)
-	_, _ = fmt.Fprintf(w, "%s, seed %d, %s: service %.4f, rules broken %d\n", r.Scenario, r.Seed, r.Policy, r.Service, r.RulesBroken)
-	_, _ = fmt.Fprintln(w, "class\tservice\tasked\tserved\tlate\tnever\trefusals\tfailures\tlost\tp50 ms\tp95 ms\tp99 ms")
+	_, _ = fmt.Fprintf(w, "%s, seed %d, %s: service %.4f, rule violations %d\n", r.Scenario, r.Seed, r.Policy, r.Service, r.RulesBroken)
+	_, _ = fmt.Fprintln(w, "class\tservice\tqueries\tserved\tlate\tnever served\trejected\tfailed\tlost\tp50 ms\tp95 ms\tp99 ms")
 	for _, class := range r.Classes {
 		_, _ = fmt.Fprintf(w, "%s\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\n", class.Name, class.Service, class.First, class.Served,
 			class.Late, class.NeverServed, class.Rejected, class.Failed, class.Lost, class.P50, class.P95, class.P99)
@@ -82,9 +82,9 @@
 	var day dayFlags
 	var policyName string
 	cmd := &cobra.Command{
-		Use: "run NAME|FILE", Short: "Play a day in virtual time", Args: cobra.ExactArgs(1),
-		Long: "Plays a day in virtual time and judges it by the site's rules. The same seed gives the same bytes in\n" +
-			"report.json, on any number of cores. Exit code 3: a rule was broken.",
+		Use: "run NAME|FILE", Short: "Run a day in virtual time", Args: cobra.ExactArgs(1),
+		Long: "Runs a day in virtual time and checks it against the scenario's rules. The same seed gives the same bytes in\n" +
+			"report.json, on any number of cores. Exit code 3: a rule was violated.",
 		Example: "  aniseloftctl emulate run flood-day --seed 7 --out out\n" +
 			"  aniseloftctl emulate run calm-weekday --policy two-choices\n" +
 			"  aniseloftctl emulate run my-day.json --set /load/per_s=300 --set /troubles/0/size=1.5",
@@ -94,7 +94,7 @@
 				return err
 			}
 			if !slices.Contains(policy.Names(), policyName) {
-				return usageError(fmt.Errorf("--policy %s: unknown; one of %v", policyName, policy.Names()))
+				return usageError(fmt.Errorf("--policy %s: unknown policy; the policies are %v", policyName, policy.Names()))
 			}
 			report, err := simulateDay(cmd, s, day.seed, policyName)
 			if err != nil {
@@ -104,11 +104,11 @@
 		},
 	}
 	day.register(cmd)
-	cmd.Flags().StringVar(&policyName, "policy", policy.Module, fmt.Sprintf("who decides: one of %v", policy.Names()))
+	cmd.Flags().StringVar(&policyName, "policy", policy.Module, fmt.Sprintf("decision policy: one of %v", policy.Names()))
 	return cmd
 }
 
-// simulateDay plays a day in virtual time and prints how fast it was simulated.
+// simulateDay runs a day in virtual time and prints the number of simulated events per second.
 func simulateDay(cmd *cobra.Command, s *scenario.Scenario, seed uint64, policyName string) (*observer.Report, error) {
 	bar := newProgressBar(cmd, 100, s.Name)
 	began := time.Now()
@@ -117,6 +117,6 @@
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	elapsed := time.Since(began).Seconds()
-	_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "%d events in %.2f s, %.0f a second\n", report.Events, elapsed, float64(report.Events)/elapsed)
+	_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "%d events in %.2f s, %.0f per second\n", report.Events, elapsed, float64(report.Events)/elapsed)
 	return report, nil
 }
--- a/internal/ctl/experiment.go
+++ b/internal/ctl/experiment.go
@@ -19,8 +19,8 @@
 func experimentRunCommand() *cobra.Command {
 	var output string
 	cmd := &cobra.Command{
-		Use: "run PLAN.json", Short: "Play a plan's days on all cores, keeping each result as it ends", Args: cobra.ExactArgs(1),
-		Long:    "Plays scenarios x variants x policies x seeds. After an interruption the same command continues where it stopped.",
+		Use: "run PLAN.json", Short: "Run a plan's days on all cores, saving each result as its day ends", Args: cobra.ExactArgs(1),
+		Long:    "Runs scenarios x variants x policies x seeds. After an interruption the same command continues where it stopped.",
 		Example: "  aniseloftctl experiment run baselines.json --out results/baselines",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
@@ -39,13 +39,13 @@
 			days := len(plan.Cells())
 			bar := newProgressBar(cmd, days, plan.Name)
 			if err := experiment.Run(ctx, plan, output, func(completed, _ int) { _ = bar.Set(completed) }); err != nil {
-				return fmt.Errorf("%w; what ended is kept in %s, run it again to go on", err, output)
+				return fmt.Errorf("%w; completed results are kept in %s; run the same command again to continue", err, output)
 			}
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d days in %s\n", days, output)
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&output, "out", "", "folder of the results (results/NAME)")
+	cmd.Flags().StringVar(&output, "out", "", "results directory (default results/NAME)")
 	return cmd
 }
 
@@ -100,6 +100,6 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&output, "out", "", "folder of the charts (that of the results)")
+	cmd.Flags().StringVar(&output, "out", "", "directory for the charts (default: the results directory)")
 	return cmd
 }
--- a/internal/ctl/experiment_compare.go
+++ b/internal/ctl/experiment_compare.go
@@ -13,9 +13,9 @@
 	var asJSON bool
 	var policyA, policyB string
 	cmd := &cobra.Command{
-		Use: "compare A B", Short: "Compare two folders of results, paired by scenario and seed", Args: cobra.ExactArgs(2),
-		Long: "Prints B minus A with a 95% bootstrap interval, or that no difference is seen. With --policy-a and --policy-b\n" +
-			"two policies can be compared, also within one folder.",
+		Use: "compare A B", Short: "Compare two result directories, paired by scenario and seed", Args: cobra.ExactArgs(2),
+		Long: "Prints B minus A with a 95% bootstrap interval, or that no difference is seen. --policy-a and --policy-b\n" +
+			"select the policies to compare, also within one directory.",
 		Example: "  aniseloftctl experiment compare results/before results/after\n" +
 			"  aniseloftctl experiment compare results/all results/all --policy-a two-choices --policy-b module",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -29,7 +29,7 @@
 			}
 			differences := experiment.Compare(a, b)
 			if len(differences) == 0 {
-				return usageError(errors.New("no scenario and seed is in both"))
+				return usageError(errors.New("no scenario and seed is in both A and B"))
 			}
 			if asJSON {
 				return printJSON(cmd, differences)
@@ -43,7 +43,7 @@
 	return cmd
 }
 
-// loadPolicy reads the results of one policy, which must be named where the directory holds several.
+// loadPolicy loads the results of one policy. The policy must be named if the directory has results of several.
 func loadPolicy(directory, policy string) ([]experiment.Result, error) {
 	all, err := experiment.Load(directory)
 	if err != nil {
@@ -56,14 +56,14 @@
 		}
 	}
 	if names := experiment.Policies(results); len(names) > 1 {
-		return nil, usageError(fmt.Errorf("%s holds %v: choose with --policy-a and --policy-b", directory, names))
+		return nil, usageError(fmt.Errorf("%s has results of the policies %v: choose one with --policy-a and --policy-b", directory, names))
 	}
 	return results, nil
 }
 
 func printDifferences(cmd *cobra.Command, differences []experiment.Difference) error {
 	w := tableWriter(cmd)
-	_, _ = fmt.Fprintln(w, "scenario\tpairs\tB less A\t95% interval\tverdict")
+	_, _ = fmt.Fprintln(w, "scenario\tpairs\tB minus A\t95% interval\tverdict")
 	for _, d := range differences {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%+.4f\t%+.4f to %+.4f\t%s\n",
 			d.Scenario, d.Service.Count, d.Service.Mean, d.Service.Lower, d.Service.Upper, d.Verdict)
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -3,6 +3,6 @@
 import "github.com/spf13/cobra"
 
 func fleetCommand() *cobra.Command {
-	return commandGroup("fleet", "The consensus group of many coordinators, and their logs",
+	return commandGroup("fleet", "Inspect and administer the coordinators' consensus group, and summarize their logs",
 		fleetStatusCommand(), fleetJobsCommand(), fleetHistoryCommand(), fleetMoveCommand(), fleetStepDownCommand(), fleetLogsCommand())
 }
--- a/internal/ctl/fleet_admin.go
+++ b/internal/ctl/fleet_admin.go
@@ -13,7 +13,7 @@
 	"aniseloft/internal/transport/coordination"
 )
 
-// adminFlags are the flags of the commands that send a request to the consensus group.
+// adminFlags holds the flags of the commands that send a request to the consensus group.
 type adminFlags struct {
 	file, replica string
 	asJSON        bool
@@ -21,13 +21,13 @@
 }
 
 func (f *adminFlags) register(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.file, "file", fleetconf.File, "the fleet's configuration, with the replicas (seats) of the consensus group")
-	cmd.Flags().StringVar(&f.replica, "at", "", "the replica to ask; empty: all in turn")
+	cmd.Flags().StringVar(&f.file, "file", fleetconf.File, "fleet configuration file, which lists the replicas (seats) of the consensus group")
+	cmd.Flags().StringVar(&f.replica, "at", "", "name of the replica to ask; empty: each in turn")
 	cmd.Flags().BoolVar(&f.asJSON, "json", false, "print JSON")
 	cmd.Flags().DurationVar(&f.timeout, "timeout", 2*time.Second, "how long to wait for each replica")
 }
 
-// config reads and validates the fleet's file.
+// config reads and validates the fleet configuration file.
 func (f *adminFlags) config() (fleetconf.Config, error) {
 	raw, err := os.ReadFile(f.file)
 	if err != nil {
@@ -38,12 +38,12 @@
 		return conf, usageError(err)
 	}
 	if !conf.Enabled() {
-		return conf, usageError(fmt.Errorf("fleet: %s names no installation: nothing is done together here", f.file))
+		return conf, usageError(fmt.Errorf("fleet: %s names no installation, so there is no consensus group", f.file))
 	}
 	return conf, nil
 }
 
-// send sends a request to the consensus group. An error of the group is returned as an error.
+// send sends a request to the consensus group. An error in its response is returned as an error.
 func (f *adminFlags) send(ctx context.Context, request lease.AdminRequest) (lease.AdminResponse, error) {
 	conf, err := f.config()
 	if err != nil {
@@ -79,8 +79,8 @@
 	return cmd
 }
 
-// leaderStatus is the status as the leader sees it, which alone knows the clients, or else as another replica does. With
-// --at it is that replica's.
+// leaderStatus returns the leader's status, as only the leader knows the clients. If the leader is unknown or cannot be
+// asked, it returns the status of the replica that answered; with --at, always that of the named replica.
 func (f *adminFlags) leaderStatus(ctx context.Context) (*lease.Status, error) {
 	response, err := f.send(ctx, lease.AdminRequest{Operation: lease.AdminStatus})
 	if err != nil {
@@ -103,19 +103,19 @@
 	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 	leader := s.Leader
 	if leader == "" {
-		leader = "nobody: nothing new is granted until a majority of the seats hear each other"
+		leader = "none: no new lease is granted until a majority of the replicas communicate"
 	}
-	printf("seat\t%s\nleader\t%s\nterm\t%d\ncouncil\t%s, generation %d, seats %v\n\n", s.Replica, leader, s.Term, s.GroupID, s.Generation, s.Replicas)
+	printf("replica\t%s\nleader\t%s\nterm\t%d\ngroup\t%s, generation %d, replicas %v\n\n", s.Replica, leader, s.Term, s.GroupID, s.Generation, s.Replicas)
 	printJobs(printf, s.Jobs)
 	if len(s.Clients) > 0 {
-		printf("\nmember\theard ms ago\troom\t\n")
+		printf("\nclient\tkeep-alive ms ago\tcapacity\t\n")
 	}
 	for _, client := range s.Clients {
 		state := ""
 		if client.Draining {
-			state = "leaving"
+			state = "draining"
 		} else if client.HeldDown {
-			state = "held down: it let its jobs run out"
+			state = "held down: it let leases expire"
 		}
 		printf("%s\t%.0f\t%.1f\t%s\n", client.Name, client.AgeMS, client.Capacity, state)
 	}
@@ -123,11 +123,11 @@
 }
 
 func printJobs(printf printFunc, jobs []lease.JobStatus) {
-	printf("job\tfence\towner\tasked ms ago\twanted\n")
+	printf("job\tfence\tholder\trenewed ms ago\tpreferred\n")
 	for _, job := range jobs {
 		holder := job.Holder
 		if holder == "" {
-			holder = "nobody"
+			holder = "none"
 		}
 		printf("%s\t%d\t%s\t%.0f\t%s\n", job.Job, job.Fence, holder, job.AgeMS, job.Preferred)
 	}
@@ -135,7 +135,7 @@
 
 func fleetJobsCommand() *cobra.Command {
 	var asJSON bool
-	cmd := &cobra.Command{Use: "jobs", Short: "List the jobs that one coordinator does for all, and where their fences are checked", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "jobs", Short: "List the jobs that one coordinator performs for all, and where their fences are checked", Args: cobra.NoArgs,
 		Example: "  aniseloftctl fleet jobs",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if asJSON {
@@ -144,7 +144,7 @@
 			for _, job := range lease.Jobs() {
 				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s\n  %s\n  fence: %s\n", job.Name, job.Description, job.FenceCheck)
 				if job.OverlapSafety != "" {
-					_, _ = fmt.Fprintf(cmd.OutOrStdout(), "  twice does no harm: %s\n", job.OverlapSafety)
+					_, _ = fmt.Fprintf(cmd.OutOrStdout(), "  safe with two holders: %s\n", job.OverlapSafety)
 				}
 			}
 			return nil
@@ -155,7 +155,7 @@
 
 func fleetHistoryCommand() *cobra.Command {
 	var f adminFlags
-	cmd := &cobra.Command{Use: "history", Short: "Show the last grants and releases of leases, and the preferences that operators have set", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "history", Short: "Show the latest lease grants and releases, and the preferred holders that operators have set", Args: cobra.NoArgs,
 		Example: "  aniseloftctl fleet history\n  aniseloftctl fleet history --json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			response, err := f.send(cmd.Context(), lease.AdminRequest{Operation: lease.AdminHistory})
@@ -166,7 +166,7 @@
 				return printJSON(cmd, response.History)
 			}
 			w := tableWriter(cmd)
-			_, _ = fmt.Fprintln(w, "place\tjob\tfence\twhat\twho\twhy")
+			_, _ = fmt.Fprintln(w, "index\tjob\tfence\tevent\tholder\treason")
 			for _, e := range response.History {
 				_, _ = fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\n", e.Index, e.Job, e.Fence, e.Event, e.Holder, e.Reason)
 			}
@@ -180,7 +180,7 @@
 	var f adminFlags
 	var to string
 	cmd := &cobra.Command{Use: "move JOB", Short: "Set the preferred holder of a job", Args: cobra.ExactArgs(1),
-		Long: "The holder ends its active operation and gives the job back; then the named coordinator is granted the job, with the next fence. The " +
+		Long: "The holder finishes its active operation and releases the job; then the named coordinator is granted the job, with the next fence. The " +
 			"preference stays: while that coordinator is unavailable another one holds the job. Without --to the preference is cleared.",
 		Example: "  aniseloftctl fleet move prune-record --to n2\n  aniseloftctl fleet move prune-record",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -201,13 +201,13 @@
 func fleetStepDownCommand() *cobra.Command {
 	var f adminFlags
 	cmd := &cobra.Command{Use: "step-down", Short: "Transfer leadership of the consensus group to another replica", Args: cobra.NoArgs,
-		Long:    "Holders keep their jobs. Use it before work on the leader's machine.",
+		Long:    "Holders keep their jobs. Use it before maintenance of the leader's machine.",
 		Example: "  aniseloftctl fleet step-down",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := f.send(cmd.Context(), lease.AdminRequest{Operation: lease.AdminStepDown}); err != nil {
 				return err
 			}
-			_, _ = fmt.Fprintln(cmd.ErrOrStderr(), "asked; fleet status tells who leads")
+			_, _ = fmt.Fprintln(cmd.ErrOrStderr(), "requested; fleet status shows the leader")
 			return nil
 		}}
 	f.register(cmd)
--- a/internal/ctl/fleet_admin_test.go
+++ b/internal/ctl/fleet_admin_test.go
@@ -14,18 +14,19 @@
 	"aniseloft/internal/lease"
 )
 
-// The files under testdata were written by the release before the first rename of what they show, with
+// updateFleetOutput makes the test rewrite the files under testdata. The JSON files were first written by the release before
+// the first rename of the fields that they show. To rewrite the files:
 //
 //	go test ./internal/ctl -run TestFleetOutput -update-fleet-output
-var updateFleetOutput = flag.Bool("update-fleet-output", false, "write the fixtures anew")
+var updateFleetOutput = flag.Bool("update-fleet-output", false, "rewrite the fixtures")
 
-// What operators and their scripts read of a fleet stays as it is, letter by letter.
-func TestFleetOutputKeepsItsForm(t *testing.T) {
+// The names in the JSON output must not change, as operators' scripts read them. The text is for people and may be reworded.
+func TestFleetOutputMatchesFixtures(t *testing.T) {
 	status := &lease.Status{Replica: "n1", Leader: "n2", Term: 5, GroupID: "000000000000000c", Generation: 2, Replicas: []string{"n1", "n2", "n3"},
 		Jobs: []lease.JobStatus{{Job: lease.JobPruneRecord, Fence: 8, Holder: "n1/7f3a", Preferred: "n2", AgeMS: 12.5}, {Job: lease.JobReadJournal}},
 		Clients: []lease.ClientStatus{{Name: "n1", AgeMS: 12.5, Capacity: 2.5, Draining: true}, {Name: "n2", AgeMS: 3, Capacity: 1, HeldDown: true},
 			{Name: "n3", AgeMS: 4, Capacity: 1}}}
-	printed := func(f func(c *cobra.Command) error) []byte {
+	capture := func(f func(c *cobra.Command) error) []byte {
 		var b bytes.Buffer
 		c := &cobra.Command{}
 		c.SetOut(&b)
@@ -38,8 +39,8 @@
 		return []byte(out)
 	}
 	for name, got := range map[string][]byte{
-		"fleet-status.txt":  printed(func(c *cobra.Command) error { return printStatus(c, status) }),
-		"fleet-status.json": printed(func(c *cobra.Command) error { return printJSON(c, status) }),
+		"fleet-status.txt":  capture(func(c *cobra.Command) error { return printStatus(c, status) }),
+		"fleet-status.json": capture(func(c *cobra.Command) error { return printJSON(c, status) }),
 		"fleet-jobs.txt":    command("fleet", "jobs"),
 		"fleet-jobs.json":   command("fleet", "jobs", "--json"),
 	} {
@@ -47,13 +48,13 @@
 		if *updateFleetOutput {
 			require.NoError(t, os.WriteFile(path, got, 0o644))
 		}
-		kept, err := os.ReadFile(path)
+		fixture, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.Equal(t, string(kept), string(got), name)
+		require.Equal(t, string(fixture), string(got), name)
 	}
-	kept, err := os.ReadFile(filepath.Join("testdata", "fleet-status.json"))
+	fixture, err := os.ReadFile(filepath.Join("testdata", "fleet-status.json"))
 	require.NoError(t, err)
-	read := &lease.Status{}
-	require.NoError(t, json.Unmarshal(kept, read))
-	require.Equal(t, status, read)
+	decoded := &lease.Status{}
+	require.NoError(t, json.Unmarshal(fixture, decoded))
+	require.Equal(t, status, decoded)
 }
--- a/internal/ctl/fleet_logs.go
+++ b/internal/ctl/fleet_logs.go
@@ -18,12 +18,12 @@
 	var maxRows int
 	var warmUp time.Duration
 	cmd := &cobra.Command{
-		Use: "logs FILE|DIR ...", Short: "Add up the debug logs of a fleet, by second and by engine", Args: cobra.MinimumNArgs(1),
+		Use: "logs FILE|DIR ...", Short: "Sum up the debug logs of a fleet, by second and by engine", Args: cobra.MinimumNArgs(1),
 		Example: "  aniseloftctl fleet logs logs/\n  aniseloftctl fleet logs n0.log n1.log --most 20 --json",
-		Long: "Reads one log a coordinator, written with {\"level\":\"debug\"} in deploy/log.json, and adds up what all did: answers, " +
-			"attempts (sends), dials and probes each second with the worst second, attempts and answers by their outcome, the busiest engines, " +
-			"the worst second of attempts at each engine in slow start (cold), how endpoint updates (news) spread, and attempts after the update that an " +
-			"engine is draining or gone. A directory is read for *.log. Lines that are not the coordinator's log are skipped and counted.",
+		Long: "Reads one log per coordinator, written with {\"level\":\"debug\"} in deploy/log.json, and sums them up: the mean and maximum rates of " +
+			"answers, attempts (sends), dials and probes, attempts and answers by their outcome, the busiest engines, the maximum rate " +
+			"of attempts at each engine during its slow start (cold), how endpoint updates spread, and attempts after the update that an " +
+			"engine is draining or removed. Of a directory, the files *.log are read. Lines that are not the coordinator's log are skipped and counted.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			files, err := logFiles(args)
 			if err != nil {
@@ -45,12 +45,12 @@
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON, with all rows")
-	cmd.Flags().IntVar(&maxRows, "most", 8, "rows of engines and of endpoint updates")
-	cmd.Flags().DurationVar(&warmUp, "cold", 15*time.Second, "how long the slow start of an engine lasts (rules.coldMs)")
+	cmd.Flags().IntVar(&maxRows, "most", 8, "maximum number of rows for engines and for endpoint updates")
+	cmd.Flags().DurationVar(&warmUp, "cold", 15*time.Second, "duration of an engine's slow start (rules.coldMs)")
 	return cmd
 }
 
-// logFiles lists the named files and the logs in the named directories, sorted and each once.
+// logFiles lists the named files and the *.log files in the named directories, sorted and without duplicates.
 func logFiles(names []string) ([]string, error) {
 	var files []string
 	for _, name := range names {
@@ -75,7 +75,7 @@
 	return slices.Compact(files), nil
 }
 
-// readLog adds a log under the name of its file.
+// readLog adds a log file to the summary. The file name without .log is the name of the coordinator.
 func readLog(summary *fleetlog.Summary, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -85,22 +85,22 @@
 	return summary.Read(strings.TrimSuffix(filepath.Base(path), ".log"), file)
 }
 
-// endpointStates are the operators' words for fleetlog.EndpointUpdate.State.
+// endpointStates maps fleetlog.EndpointUpdate.State to the names that are printed.
 var endpointStates = map[string]string{
-	fleetlog.StateRemoved:  "gone",
+	fleetlog.StateRemoved:  "removed",
 	fleetlog.StateReady:    "ready",
 	fleetlog.StateDraining: "draining",
 }
 
-// printFunc writes to the table that a report is printed to; the table's Flush returns the first error.
+// printFunc writes formatted text to a table, whose Flush returns the first error.
 type printFunc func(format string, args ...any)
 
 func printFleetLogs(cmd *cobra.Command, r *fleetlog.Report, maxRows int) error {
 	w := tableWriter(cmd)
 	printRow := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
-	printRow("%d coordinators, %d lines, %d passed over; the busiest answers %.1f times the mean\n\n",
+	printRow("%d coordinators, %d lines, %d skipped; the busiest coordinator sends %.1f times the mean number of answers\n\n",
 		r.Coordinators, r.Lines, r.SkippedLines, r.BusiestOverMean)
-	printRow("fleet\ttotal\ta second\tworst second\n")
+	printRow("event\ttotal\tmean/s\tmax/s\n")
 	for _, rate := range r.Rates {
 		printRow("%s\t%d\t%.1f\t%d\n", rate.Event, rate.Total, rate.MeanPerSecond, rate.MaxPerSecond)
 	}
@@ -108,18 +108,18 @@
 	printCounts(printRow, r.AttemptsEnded)
 	printRow("\nanswers\n")
 	printCounts(printRow, r.Answers)
-	printRow("\nengine\tsends\tdials\tfailed\tprobes\tworst cold second\n")
+	printRow("\nengine\tattempts\tdials\tfailed dials\tprobes\tmax attempts/s in slow start\n")
 	for _, e := range r.Endpoints[:min(maxRows, len(r.Endpoints))] {
 		printRow("%s\t%d\t%d\t%d\t%d\t%.0f\n", e.Name, e.Attempts, e.Dials, e.DialsFailed, e.Probes, e.MaxWarmingAttempts)
 	}
-	printRow("\nnews\tstate\theard by\tspread ms\tsent after\tlatest ms\n")
+	printRow("\nupdate of\tstate\treceived by\tspread ms\tattempts after\tlast attempt after ms\n")
 	for _, u := range r.Updates[:min(maxRows, len(r.Updates))] {
 		printRow("%s\t%s\t%d\t%.0f\t%d\t%.0f\n", u.Endpoint, endpointStates[u.State], u.Coordinators, u.SpreadMS, u.AttemptsAfter, u.LastAttemptMS)
 	}
 	return w.Flush()
 }
 
-// printCounts prints counts, the largest first.
+// printCounts prints counts in descending order.
 func printCounts(printRow printFunc, counts map[string]int) {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
--- a/internal/ctl/helpers_test.go
+++ b/internal/ctl/helpers_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runCommand runs the command line as the operator would.
+// runCommand executes a command line and returns its exit code and its output.
 func runCommand(args ...string) (code int, stdout, stderr string) {
 	var out, log bytes.Buffer
 	code = Run(args, &out, &log)
 	return code, out.String(), log.String()
 }
 
-// commandCase is a command line with its exit code and a part of what it prints on either stream.
+// commandCase is a command line with its expected exit code and a text that one of its output streams must contain.
 type commandCase struct {
 	args     []string
 	code     int
@@ -25,14 +25,14 @@
 
 func requireCommands(t *testing.T, cases []commandCase) {
 	t.Helper()
-	for _, one := range cases {
-		code, stdout, stderr := runCommand(one.args...)
-		require.Equal(t, one.code, code, "%v: %s", one.args, stderr)
-		require.Contains(t, stdout+stderr, one.contains, one.args)
+	for _, tc := range cases {
+		code, stdout, stderr := runCommand(tc.args...)
+		require.Equal(t, tc.code, code, "%v: %s", tc.args, stderr)
+		require.Contains(t, stdout+stderr, tc.contains, tc.args)
 	}
 }
 
-// writeTestFile writes a file in a directory of its own and returns its path.
+// writeTestFile writes a file in a new temporary directory and returns its path.
 func writeTestFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -17,7 +17,7 @@
 func printJSON(cmd *cobra.Command, value any) error {
 	text, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return fmt.Errorf("write: %w", err)
+		return fmt.Errorf("encode the output as JSON: %w", err)
 	}
 	_, err = fmt.Fprintln(cmd.OutOrStdout(), string(text))
 	return err
@@ -28,14 +28,14 @@
 	return tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 }
 
-// writeFile writes a file and its directory. The file appears under its name only when it is complete.
+// writeFile writes a file and creates its directory. The file appears under its name only when it is complete.
 func writeFile(path string, content []byte) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return fmt.Errorf("keep: %w", err)
+		return fmt.Errorf("write file: %w", err)
 	}
 	temporary, err := os.CreateTemp(filepath.Dir(path), ".keep-*")
 	if err != nil {
-		return fmt.Errorf("keep: %w", err)
+		return fmt.Errorf("write file: %w", err)
 	}
 	_, err = temporary.Write(content)
 	if closeErr := temporary.Close(); err == nil {
@@ -49,12 +49,12 @@
 	}
 	if err != nil {
 		_ = os.Remove(temporary.Name())
-		return fmt.Errorf("keep %s: %w", path, err)
+		return fmt.Errorf("write %s: %w", path, err)
 	}
 	return nil
 }
 
-// newProgressBar returns a bar on standard error where that is a terminal, and one that prints nothing elsewhere.
+// newProgressBar returns a progress bar that is printed to standard error if that is a terminal, and not printed otherwise.
 func newProgressBar(cmd *cobra.Command, total int, description string) *progressbar.ProgressBar {
 	w := cmd.ErrOrStderr()
 	file, ok := w.(*os.File)
@@ -65,7 +65,7 @@
 		progressbar.OptionShowCount(), progressbar.OptionClearOnFinish())
 }
 
-// percentProgress returns a callback that shows how much of a run has passed, for runs that report their time in ms.
+// percentProgress returns a callback that shows the elapsed percentage of a run, for runs that report their time in ms.
 func percentProgress(bar *progressbar.ProgressBar) func(nowMS, endMS float64) {
 	return func(nowMS, endMS float64) { _ = bar.Set(int(100 * nowMS / endMS)) }
 }
--- a/internal/ctl/spool.go
+++ b/internal/ctl/spool.go
@@ -11,7 +11,7 @@
 )
 
 func spoolCommand() *cobra.Command {
-	return commandGroup("spool", "Look at a directory of spooled results, check it, and free space",
+	return commandGroup("spool", "List, verify and delete the spooled results of a directory",
 		spoolListCommand(), spoolShowCommand(), spoolVerifyCommand(), spoolGCCommand())
 }
 
@@ -28,7 +28,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use: "ls DIR", Short: "List the results", Args: cobra.ExactArgs(1),
-		Example: "  aniseloftctl spool ls spool", Long: "Lists results by the order of their first page. The spool may be in use.",
+		Example: "  aniseloftctl spool ls spool", Long: "Lists results in the order of their first page. The spool may be in use.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			found, err := inspectSpool(args[0], false)
 			if err != nil {
@@ -82,14 +82,14 @@
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&page, "page", 0, "the page, from 0")
+	cmd.Flags().IntVar(&page, "page", 0, "page number, from 0")
 	return cmd
 }
 
 func spoolVerifyCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "verify DIR", Short: "Read every page and check it; exit code 1 where any is damaged", Args: cobra.ExactArgs(1),
+		Use: "verify DIR", Short: "Read and verify every page; exit code 1 if any is damaged", Args: cobra.ExactArgs(1),
 		Example: "  aniseloftctl spool verify spool",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			found, err := inspectSpool(args[0], true)
@@ -105,7 +105,7 @@
 				return damageError(found.Damage)
 			}
 			if !asJSON {
-				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d results, %d bytes in %d segments: good\n", len(found.Results), found.Bytes, found.Segments)
+				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d results, %d bytes in %d segments: no damage\n", len(found.Results), found.Bytes, found.Segments)
 			}
 			return nil
 		},
@@ -114,7 +114,7 @@
 	return cmd
 }
 
-// damageError joins one error for each damaged record.
+// damageError returns the joined errors of all damaged records.
 func damageError(damage []spool.Damage) error {
 	var all error
 	for _, d := range damage {
--- a/internal/ctl/spool_gc.go
+++ b/internal/ctl/spool_gc.go
@@ -15,8 +15,8 @@
 func spoolGCCommand() *cobra.Command {
 	var retention time.Duration
 	cmd := &cobra.Command{
-		Use: "gc DIR", Short: "Drop results older than --keep and incomplete ones, and free their space", Args: cobra.ExactArgs(1),
-		Long:    "The coordinator does this by itself; gc is for a spool that none uses any more. A spool in use is left alone.",
+		Use: "gc DIR", Short: "Delete results older than --keep and incomplete ones, and free their space", Args: cobra.ExactArgs(1),
+		Long:    "The coordinator does this by itself; gc is for a spool that no coordinator uses any more. A spool in use is not changed.",
 		Example: "  aniseloftctl spool gc spool --keep 24h",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if retention <= 0 {
@@ -29,19 +29,19 @@
 			return collectSpool(cmd, args[0], retention, before.Bytes)
 		},
 	}
-	cmd.Flags().DurationVar(&retention, "keep", 24*time.Hour, "how old a result may be")
+	cmd.Flags().DurationVar(&retention, "keep", 24*time.Hour, "maximum age of the results that are kept")
 	return cmd
 }
 
-// gcSegmentBytes is the size at which a segment that the collection writes is full.
+// gcSegmentBytes is the size at which a segment written by gc is full.
 const gcSegmentBytes = 64 << 20
 
-// collectSpool drops incomplete results and those older than the retention. It fails with a usage error while a
+// collectSpool deletes incomplete results and those older than the retention. It fails with a usage error while a
 // coordinator has the directory open.
 func collectSpool(cmd *cobra.Command, path string, retention time.Duration, bytesBefore int64) (err error) {
 	directory, err := spool.OpenDirectory(path)
 	if errors.Is(err, spool.ErrInUse) {
-		return usageError(fmt.Errorf("%w: stop the coordinator that has it first", err))
+		return usageError(fmt.Errorf("%w: stop the coordinator that uses it first", err))
 	} else if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	if err = errors.Join(err, store.Close()); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d results dropped, %d cleared, %d kept; %d bytes before, %d after\n",
+	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d expired and %d incomplete results deleted, %d kept; %d bytes before, %d after\n",
 		expired, recovered.Discarded, recovered.Sealed-expired, bytesBefore, store.Usage().StoredBytes)
 	return nil
 }
--- a/internal/ctl/spool_test.go
+++ b/internal/ctl/spool_test.go
@@ -14,26 +14,26 @@
 	"aniseloft/internal/spool/ledger"
 )
 
-func TestSpoolCommandsListShowCollectAndVerify(t *testing.T) {
+func TestSpoolCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "spool")
-	d, err := spool.OpenDirectory(dir)
+	directory, err := spool.OpenDirectory(dir)
 	require.NoError(t, err)
-	old := float64(time.Now().Add(-48 * time.Hour).UnixMilli())
-	now := old
-	st, _, err := spool.Open(d, spool.Options{SegmentBytes: 4096, NowMS: func() float64 { return now },
+	twoDaysAgo := float64(time.Now().Add(-48 * time.Hour).UnixMilli())
+	now := twoDaysAgo
+	store, _, err := spool.Open(directory, spool.Options{SegmentBytes: 4096, NowMS: func() float64 { return now },
 		Limits: ledger.Limits{Total: 1 << 30, RetentionMS: 1e12, MaxRetentionMS: 1e12}})
 	require.NoError(t, err)
 	for i := range 6 {
 		if i == 3 {
 			now = float64(time.Now().UnixMilli())
 		}
-		w, err := st.Begin(fmt.Sprint("result", i), "planner", "ridership-report", 0)
+		writer, err := store.Begin(fmt.Sprint("result", i), "planner", "ridership-report", 0)
 		require.NoError(t, err)
 		for p := range 3 {
-			require.NoError(t, w.WritePage(bytes.Repeat([]byte{byte('a' + i), byte('0' + p)}, 500)))
+			require.NoError(t, writer.WritePage(bytes.Repeat([]byte{byte('a' + i), byte('0' + p)}, 500)))
 		}
 		if i != 5 {
-			require.NoError(t, w.Seal())
+			require.NoError(t, writer.Seal())
 		}
 	}
 	code, out, _ := runCommand("spool", "ls", dir)
@@ -45,23 +45,23 @@
 	require.Equal(t, string(bytes.Repeat([]byte("c1"), 500)), out)
 	code, _, log := runCommand("spool", "show", dir, "result2", "--page", "3")
 	require.Equal(t, ExitUsage, code)
-	require.Contains(t, log, "there are 3")
+	require.Contains(t, log, "the result has 3 pages")
 	code, _, log = runCommand("spool", "gc", dir)
 	require.Equal(t, ExitUsage, code)
-	require.Contains(t, log, "in use", "a running coordinator's spool is left alone")
-	require.NoError(t, st.Close())
-	require.NoError(t, d.Close())
+	require.Contains(t, log, "in use", "a spool in use is not collected")
+	require.NoError(t, store.Close())
+	require.NoError(t, directory.Close())
 
 	code, out, log = runCommand("spool", "gc", dir, "--keep", "24h")
 	require.Equal(t, ExitOK, code, log)
-	require.Contains(t, out, "3 results dropped, 1 cleared, 2 kept")
+	require.Contains(t, out, "3 expired and 1 incomplete results deleted, 2 kept")
 	code, out, log = runCommand("spool", "verify", dir)
 	require.Equal(t, ExitOK, code, log)
-	require.Contains(t, out, "good")
-	segs, err := filepath.Glob(filepath.Join(dir, "*.seg"))
+	require.Contains(t, out, "no damage")
+	segments, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	require.NoError(t, err)
 	flipped := 0
-	for _, f := range segs {
+	for _, f := range segments {
 		b, err := os.ReadFile(f)
 		require.NoError(t, err)
 		if at := bytes.Index(b, []byte("d2d2d2")); at > 0 {
@@ -73,7 +73,7 @@
 	require.Equal(t, 1, flipped)
 	code, _, log = runCommand("spool", "verify", dir)
 	require.Equal(t, ExitFailed, code)
-	require.Regexp(t, `result result3: segment [0-9a-f]{16}, offset \d+, page 2: the page's bytes are spoilt`, log)
+	require.Regexp(t, `result result3: segment [0-9a-f]{16}, offset \d+, page 2: the page's bytes are corrupt`, log)
 	code, _, log = runCommand("spool", "verify", filepath.Join(dir, "none"))
 	require.Equal(t, ExitUsage, code, log)
 }
--- a/internal/ctl/validate.go
+++ b/internal/ctl/validate.go
@@ -13,47 +13,47 @@
 	"aniseloft/schema"
 )
 
-// schemaFaults lists the violations of a JSON schema.
-func schemaFaults(file string, raw, schemaText []byte) (scenario.ValidationErrors, error) {
-	var faults scenario.ValidationErrors
-	if err := scenario.Validate(file, raw, schemaText); err != nil && !errors.As(err, &faults) {
+// validateSchema lists the violations of a JSON schema.
+func validateSchema(file string, raw, schemaText []byte) (scenario.ValidationErrors, error) {
+	var problems scenario.ValidationErrors
+	if err := scenario.Validate(file, raw, schemaText); err != nil && !errors.As(err, &problems) {
 		return nil, err
 	}
-	return faults, nil
+	return problems, nil
 }
 
-// coordinatorFaults lists what a coordinator reports about its configuration.
-func coordinatorFaults(file string, raw []byte) (scenario.ValidationErrors, error) {
-	var faults scenario.ValidationErrors
+// validateCoordinator lists the problems that a coordinator reports about its configuration.
+func validateCoordinator(file string, raw []byte) (scenario.ValidationErrors, error) {
+	var problems scenario.ValidationErrors
 	_, findings := config.ParseCoordinator(raw, config.Override{})
 	for _, f := range findings {
-		faults = append(faults, scenario.ValidationError{File: file, Pointer: f.Field, Problem: f.Value + ": " + f.Message, Remedy: f.Consequence})
+		problems = append(problems, scenario.ValidationError{File: file, Pointer: f.Field, Problem: f.Value + ": " + f.Message, Remedy: f.Consequence})
 	}
-	return faults, nil
+	return problems, nil
 }
 
-// fleetFaults lists the violations of the schema, or where there are none those of the coordinator's rules.
-func fleetFaults(file string, raw []byte) (scenario.ValidationErrors, error) {
-	faults, err := schemaFaults(file, raw, schema.Fleet)
-	if err != nil || len(faults) > 0 {
-		return faults, err
+// validateFleet lists the violations of the schema or, if there are none, those of the coordinator's rules.
+func validateFleet(file string, raw []byte) (scenario.ValidationErrors, error) {
+	problems, err := validateSchema(file, raw, schema.Fleet)
+	if err != nil || len(problems) > 0 {
+		return problems, err
 	}
 	conf, err := fleetconf.Parse(raw)
 	if err != nil && !errors.As(err, &fleetconf.FieldError{}) {
 		return nil, err
 	}
 	for _, f := range conf.Validate() {
-		faults = append(faults, scenario.ValidationError{File: file, Pointer: f.Pointer, Problem: f.Problem, Remedy: f.Remedy})
+		problems = append(problems, scenario.ValidationError{File: file, Pointer: f.Pointer, Problem: f.Problem, Remedy: f.Remedy})
 	}
-	return faults, nil
+	return problems, nil
 }
 
-// restFaults lists the violations of the schema, or where there are none the first of the coordinator's rules. Without a
-// configuration file any kind of engine and any class is valid.
-func restFaults(file string, raw []byte, configFile string) (scenario.ValidationErrors, error) {
-	faults, err := schemaFaults(file, raw, schema.Rest)
-	if err != nil || len(faults) > 0 {
-		return faults, err
+// validateREST lists the violations of the schema or, if there are none, the first violation of the coordinator's rules.
+// Without a configuration file any engine kind and any class is valid.
+func validateREST(file string, raw []byte, configFile string) (scenario.ValidationErrors, error) {
+	problems, err := validateSchema(file, raw, schema.Rest)
+	if err != nil || len(problems) > 0 {
+		return problems, err
 	}
 	var kinds, classes []string
 	if configFile != "" {
@@ -66,9 +66,9 @@
 		if !errors.As(err, &f) {
 			return nil, err
 		}
-		faults = append(faults, scenario.ValidationError{File: file, Pointer: f.Pointer, Problem: f.Problem, Remedy: f.Remedy})
+		problems = append(problems, scenario.ValidationError{File: file, Pointer: f.Pointer, Problem: f.Problem, Remedy: f.Remedy})
 	}
-	return faults, nil
+	return problems, nil
 }
 
 // configuredNames reads the names of the engine kinds and the classes from a coordinator's configuration.
--- a/internal/spool/record.go
+++ b/internal/spool/record.go
@@ -91,7 +91,7 @@
 var (
 	errTruncated      = errors.New("the record is truncated")
 	errCorruptHeader  = errors.New("the record's header is corrupt")
-	errCorruptPayload = errors.New("the page's bytes are spoilt")
+	errCorruptPayload = errors.New("the page's bytes are corrupt")
 )
 
 func parseHeader(b []byte) (h header, err error) {
