--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs many instances of the decision module for a simulator: it reads one batch of events a line from
-// standard input and writes one reply a batch to standard output.
+// Command simhost runs many instances of the decision module for a simulator: it reads one batch of events per line from
+// standard input and writes one line of actions per batch to standard output.
 package main
 
 import (
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -6,76 +6,77 @@
 )
 
 func TestRequestWithoutTimeLeftIsAnsweredAtOnce(t *testing.T) {
-	set := plainSettings()
-	s := newScript(t, set, 0)
+	settings := plainSettings()
+	s := newScript(t, settings, 0)
 	s.at(100, RequestArrived{ID: "a", TimeLeft: 12})
 	if !s.rejected("a") {
-		t.Fatalf("held with 12 ms left: %v", s.actions)
+		t.Fatalf("not rejected with 12 ms left: %v", s.actions)
 	}
 }
 
-// TestLongPendingQueueIsNotRetriedCompletely: each try ranks the fleet, and a held queue is
-// looked at on every outcome.
+// TestLongPendingQueueIsNotRetriedCompletely guards against ranking all endpoints for each pending request: the
+// pending queue is examined at every outcome.
 func TestLongPendingQueueIsNotRetriedCompletely(t *testing.T) {
-	set := plainSettings()
-	set.Balancers = 300
-	s := newScript(t, set, 10)
+	settings := plainSettings()
+	settings.Balancers = 300
+	s := newScript(t, settings, 10)
 	for _, e := range s.balancer.endpoints.sorted {
-		e.overloadedAt = 1 // no engine has room for a moment
+		e.overloadedAt = 1 // every endpoint has just rejected a request for overload
 	}
 	for i := range 300 {
 		s.at(2, RequestArrived{ID: RequestID(fmt.Sprint(i)), Group: 5, TimeLeft: 3000})
 	}
 	if n := testing.AllocsPerRun(5, func() { s.balancer.dispatchPending(false) }); n > 300 {
-		t.Fatalf("%.0f allocations to look at 300 held queries", n)
+		t.Fatalf("%.0f allocations to examine 300 pending requests", n)
 	}
 	s.at(500, TimerFired{"tick"})
 	if len(s.balancer.admission.pending) > 290 {
-		t.Fatalf("%d of 300 still held with room on ten engines", len(s.balancer.admission.pending))
+		t.Fatalf("%d of 300 requests still pending with capacity at ten endpoints", len(s.balancer.admission.pending))
 	}
 }
 
-// kamloops-depot, full size: what earns most for its work waited in the jam with all else (4f514711).
-func TestHighestValueForWorkGoesFirst(t *testing.T) {
-	set := plainSettings()
-	set.PrioritiesEnabled = true
-	s := newScript(t, set, 8)
-	got := map[int]int{}
+// TestPriorityFollowsWeightPerWork guards against attempts of equal priority: requests with the highest weight per ms
+// of work then waited at overloaded endpoints like all others.
+func TestPriorityFollowsWeightPerWork(t *testing.T) {
+	settings := plainSettings()
+	settings.PrioritiesEnabled = true
+	s := newScript(t, settings, 8)
+	priorities := map[int]int{}
 	for i := range 40 {
 		class := i % 2
 		id := RequestID(fmt.Sprint("p", i))
 		s.at(float64(100*i), RequestArrived{ID: id, Class: class, TimeLeft: 3000, EstimatedWork: []float64{100, 4000}[class]})
-		got[class] = 1
+		priorities[class] = 1
 		for _, a := range s.actions {
-			if terms, ok := a.(SetAttemptResources); ok {
-				got[class] = terms.Priority
+			if resources, ok := a.(SetAttemptResources); ok {
+				priorities[class] = resources.Priority
 			}
 		}
 	}
-	if got[0] <= got[1] {
-		t.Fatalf("priority %d for 1 in 100 ms, %d for 10 in 4000", got[0], got[1])
+	if priorities[0] <= priorities[1] {
+		t.Fatalf("priority %d for weight 1 in 100 ms of work, %d for weight 10 in 4000 ms", priorities[0], priorities[1])
 	}
 }
 
-// lan-data-oslo, overload: where only a part of the flow may enter, worth for work decides which
-// (9bd4df2b: look-ups and long queries were refused alike).
-func TestRandomDrawsFollowValueForWork(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.MaxAttempts = 300, 1
-	s := newScript(t, set, 8)
-	var lot, n [2]float64
+// TestRandomDrawsFollowWeightPerWork guards against draws that ignore a request's weight per ms of work: where only a
+// share of the traffic is admitted, short and long queries were then rejected at the same rate.
+func TestRandomDrawsFollowWeightPerWork(t *testing.T) {
+	settings := plainSettings()
+	settings.Balancers, settings.MaxAttempts = 300, 1
+	s := newScript(t, settings, 8)
+	var draws, n [2]float64
 	for i := range 400 {
 		class := i % 2
 		id := RequestID(fmt.Sprint("w", i))
 		s.at(float64(50*i), RequestArrived{ID: id, Class: class, TimeLeft: 3000, EstimatedWork: []float64{100, 8000}[class]})
 		if r := s.balancer.requests[id]; r != nil {
-			lot[class], n[class] = lot[class]+r.draw, n[class]+1
+			draws[class], n[class] = draws[class]+r.draw, n[class]+1
 			if r.current.endpoint != nil {
 				s.at(float64(50*i+1), AttemptEnded{ID: id, Endpoint: r.current.endpoint.ID, Outcome: OutcomeSucceeded, Latency: []float64{100, 2000}[class], RequestClosed: true})
 			}
 		}
 	}
-	if lot[0]/n[0]+0.1 > lot[1]/n[1] {
-		t.Fatalf("mean lots %.2f for 1 in 100 ms, %.2f for 10 in 8000", lot[0]/n[0], lot[1]/n[1])
+	if draws[0]/n[0]+0.1 > draws[1]/n[1] {
+		t.Fatalf("mean draws %.2f for weight 1 in 100 ms of work, %.2f for weight 10 in 8000 ms", draws[0]/n[0], draws[1]/n[1])
 	}
 }
--- a/decide/attempt_test.go
+++ b/decide/attempt_test.go
@@ -5,34 +5,34 @@
 	"testing"
 )
 
-func TestAttemptThatCannotEndInTimeIsGivenUp(t *testing.T) {
-	set := plainSettings()
-	set.ProgressInterval, set.MaxAttempts = 500, 1
-	s := newScript(t, set, 2)
+func TestAttemptThatCannotEndInTimeIsCancelled(t *testing.T) {
+	settings := plainSettings()
+	settings.ProgressInterval, settings.MaxAttempts = 500, 1
+	s := newScript(t, settings, 2)
 	s.at(0, RequestArrived{ID: "heavy", Class: 1, Group: 5, TimeLeft: 15000})
 	s.at(1000, AttemptProgress{ID: "heavy", Kind: ProgressRatio, Value: 0.01})
 	if !s.rejected("heavy") || !s.cancelled("heavy") {
-		t.Fatalf("100 s of work in 15 s runs on: %v", s.actions)
+		t.Fatalf("attempt projected to take 100 s goes on with 15 s left: %v", s.actions)
 	}
 }
 
 func TestSlowPlanIsRetriedElsewhere(t *testing.T) {
-	set := plainSettings()
-	set.ProgressInterval = 500
-	s := newScript(t, set, 2)
+	settings := plainSettings()
+	settings.ProgressInterval = 500
+	s := newScript(t, settings, 2)
 	s.at(0, RequestArrived{ID: "r", Class: 1, Group: 5, TimeLeft: 15000, EstimatedWork: 3000})
 	s.at(500, AttemptProgress{ID: "r", Kind: ProgressRatio, Value: 0.05})
 	if !s.cancelled("r") || s.rejected("r") {
-		t.Fatalf("10 s at an expected 0.75 s: %v", s.actions)
+		t.Fatalf("attempt projected to take 10 s instead of 0.75 s is not cancelled for a retry: %v", s.actions)
 	}
 }
 
-// TestSlowPaceIsPressureBeforeItIsASlowPlan: where all runs slowly, an attempt as slow
-// as the others is not begun anew.
-func TestSlowPaceIsPressureBeforeItIsASlowPlan(t *testing.T) {
-	set := plainSettings()
-	set.ProgressInterval = 500
-	s := newScript(t, set, 1)
+// TestUniformSlownessCancelsNoAttempt checks that slow progress counts as latency pressure of the endpoint before it
+// counts as a bad query plan: an attempt as slow as all others is not cancelled for a retry.
+func TestUniformSlownessCancelsNoAttempt(t *testing.T) {
+	settings := plainSettings()
+	settings.ProgressInterval = 500
+	s := newScript(t, settings, 1)
 	now := s.teach(10, 30, 5, 0, 50)
 	cancels := 0
 	for i := range 40 {
@@ -42,68 +42,68 @@
 			continue
 		}
 		now += 500
-		s.at(now, AttemptProgress{ID: id, Kind: ProgressRatio, Value: 0.9}) // over ten times the usual
+		s.at(now, AttemptProgress{ID: id, Kind: ProgressRatio, Value: 0.9}) // projected to over ten times the usual latency
 		if s.cancelled(id) && i >= 20 {
 			cancels++
 		}
 		s.at(now, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: 500, RequestClosed: true})
 	}
 	if cancels > 0 {
-		t.Fatalf("%d of the last attempts begun anew though all are as slow", cancels)
+		t.Fatalf("%d of the last attempts cancelled though all are equally slow", cancels)
 	}
 }
 
-// TestReplansKeepToTheirBudget (kigali-exchange-later overload): where engines are slow
-// for many, few attempts are cancelled for their pace; a rare bad plan still is.
-func TestReplansKeepToTheirBudget(t *testing.T) {
-	for _, c := range []struct{ slowEach, least, most int }{{4, 4, 25}, {50, 4, 4}} {
-		set := plainSettings()
-		set.ProgressInterval = 500
-		s := newScript(t, set, 4)
+// TestReplansStayWithinBudget checks that few attempts are cancelled for slow progress where overloaded endpoints make
+// many of them slow, and that a rare bad plan is still cancelled.
+func TestReplansStayWithinBudget(t *testing.T) {
+	for _, c := range []struct{ slowEvery, minCancels, maxCancels int }{{4, 4, 25}, {50, 4, 4}} {
+		settings := plainSettings()
+		settings.ProgressInterval = 500
+		s := newScript(t, settings, 4)
 		cancels := 0
 		for i := range 200 {
 			id, now := RequestID(fmt.Sprint(i)), Millis(1000+i*1000)
 			s.at(now, RequestArrived{ID: id, Class: 1, Group: uint64(i), TimeLeft: 15000, EstimatedWork: 3000})
 			e := s.sentTo(id)
-			pace := 0.5
-			if i%c.slowEach == 0 {
-				pace = 0.06
+			progress := 0.5
+			if i%c.slowEvery == 0 {
+				progress = 0.06
 			}
-			s.at(now+500, AttemptProgress{ID: id, Kind: ProgressRatio, Value: pace})
+			s.at(now+500, AttemptProgress{ID: id, Kind: ProgressRatio, Value: progress})
 			if s.cancelled(id) {
 				cancels++
 			}
 			s.at(now+900, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 900, RequestClosed: true})
 		}
-		if cancels < c.least || cancels > c.most {
-			t.Fatalf("every %dth slow: %d of 200 cancelled for their pace", c.slowEach, cancels)
+		if cancels < c.minCancels || cancels > c.maxCancels {
+			t.Fatalf("every %dth attempt slow: %d of 200 cancelled for slow progress", c.slowEvery, cancels)
 		}
 	}
 }
 
-// planhuis-utrecht: half of what ran spilled, as estimates of memory are too low by class and no
-// answer tells the need (aa706dfd). The notes of spills do.
+// TestGrantsFollowSpills guards against grants that ignore spill notices: where estimates of memory are too low by
+// class and answers don't report actual memory, half of the queries spilled.
 func TestGrantsFollowSpills(t *testing.T) {
-	set := plainSettings()
-	set.MemoryGrantsEnabled, set.ProgressInterval, set.MaxGrantRatio = true, 1000, 0.4
-	s := newScript(t, set, 4)
+	settings := plainSettings()
+	settings.MemoryGrantsEnabled, settings.ProgressInterval, settings.MaxGrantRatio = true, 1000, 0.4
+	s := newScript(t, settings, 4)
 	var grant float64
 	for i := range 40 {
 		id, now := RequestID(fmt.Sprint("m", i)), float64(3000*i)
 		s.at(now, RequestArrived{ID: id, Class: 1, TimeLeft: 15000, EstimatedWork: 4000, EstimatedMemoryMB: 200})
-		to := s.sentTo(id)
-		grant = 250 // the engine's own choice
+		e := s.sentTo(id)
+		grant = 250 // MB, the default grant of an endpoint
 		for _, a := range s.actions {
-			if terms, ok := a.(SetAttemptResources); ok {
-				grant = terms.GrantMB
+			if resources, ok := a.(SetAttemptResources); ok {
+				grant = resources.GrantMB
 			}
 		}
 		if grant < 600 {
 			s.at(now+1000, AttemptProgress{ID: id, Kind: ProgressSpilled, Value: 600 - grant})
 		}
-		s.at(now+2000, AttemptEnded{ID: id, Endpoint: to, Outcome: OutcomeSucceeded, Latency: 2000, RequestClosed: true})
+		s.at(now+2000, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 2000, RequestClosed: true})
 	}
 	if grant < 550 || grant > 900 {
-		t.Fatalf("%.0f MB granted at last, 600 are needed", grant)
+		t.Fatalf("last grant is %.0f MB, 600 MB are needed", grant)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,12 +13,11 @@
 	maxLineColumns = 110
 )
 
-// TestFilesStayReadable bounds the length of each file of the decision module and of its lines. It replaced a bound on
-// the one file that held all decisions.
-func TestFilesStayReadable(t *testing.T) {
+// TestFileAndLineLength limits the length of each file of the decision module and of its lines.
+func TestFileAndLineLength(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d files: %v", len(files), err)
+		t.Fatalf("found only %d files: %v", len(files), err)
 	}
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") {
@@ -30,15 +29,15 @@
 		}
 		lines := 0
 		for sc := bufio.NewScanner(f); sc.Scan(); lines++ {
-			if w := len(strings.ReplaceAll(sc.Text(), "\t", "    ")); w > maxLineColumns {
-				t.Errorf("%s:%d: line of %d columns, %d at most", name, lines+1, w, maxLineColumns)
+			if columns := len(strings.ReplaceAll(sc.Text(), "\t", "    ")); columns > maxLineColumns {
+				t.Errorf("%s:%d: line has %d columns, at most %d are allowed", name, lines+1, columns, maxLineColumns)
 			}
 		}
 		if err := f.Close(); err != nil {
 			t.Fatal(err)
 		}
 		if lines > maxFileLines {
-			t.Errorf("%s: %d lines, %d at most", name, lines, maxFileLines)
+			t.Errorf("%s: %d lines, at most %d are allowed", name, lines, maxFileLines)
 		}
 	}
 }
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -10,24 +10,25 @@
 	now := s.teach(10, 100, 5, 0, 50)
 	s.teach(now, 400, 5, 0, 300)
 	if !s.balancer.capacity.saturated(s.balancer.endpoints.sorted[0]) {
-		t.Fatal("six times the best latency, for long, is no pressure")
+		t.Fatal("a latency of six times the best, for long, does not count as saturation")
 	}
 }
 
-// planhuis-utrecht, full size: report's aim has a base of 1.5 s and a stretch of 2.5, so it passed for
-// short, with the wide bound and for trials, at 20 times a look-up's work (7bef3b14).
+// TestClassSizeFollowsWork guards against deriving a class's size from its latency objective. An objective of 1.5 s
+// plus 2.5 times the work made a class short, with the higher queue bound and used for trials, at 20 times the work of
+// the shortest class.
 func TestClassSizeFollowsWork(t *testing.T) {
-	set := plainSettings()
-	set.Classes[1].LatencyObjective, set.Classes[1].Threads = 900, 2
-	s := newScript(t, set, 8)
+	settings := plainSettings()
+	settings.Classes[1].LatencyObjective, settings.Classes[1].Threads = 900, 2
+	s := newScript(t, settings, 8)
 	if s.balancer.estimates.classes[1].long {
-		t.Fatal("long by its settings: the case tests nothing")
+		t.Fatal("the class is long by its settings alone, so the test checks nothing")
 	}
 	for i := range 40 {
 		s.at(float64(100*i), RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: i % 2, TimeLeft: 3000, EstimatedWork: []float64{200, 4000}[i%2]})
 	}
 	if !s.balancer.estimates.classes[1].long || s.balancer.estimates.classes[0].long {
-		t.Fatalf("long: %v, %v", s.balancer.estimates.classes[0].long, s.balancer.estimates.classes[1].long)
+		t.Fatalf("classes long: %v, %v; want false, true", s.balancer.estimates.classes[0].long, s.balancer.estimates.classes[1].long)
 	}
 	for id, r := range s.balancer.requests {
 		if r.current.endpoint != nil {
@@ -36,32 +37,33 @@
 	}
 	for _, e := range s.balancer.endpoints.sorted {
 		if e.inFlight.threads != [2]float64{} {
-			t.Fatalf("nothing out, but %v threads booked", e.inFlight.threads)
+			t.Fatalf("no attempt in flight, but %v threads counted", e.inFlight.threads)
 		}
 	}
 }
 
-// No answer tells the work at wien-results, and estimates lie too high or too low by class: taken as they stand, a class
-// told at a quarter of its work made every engine look four times over its best.
+// TestEstimatesAreCorrectedByBestLatency guards against using estimates uncorrected where answers don't report actual
+// work. Estimates are too high or too low by class: a class estimated at a quarter of its work made every endpoint
+// appear at four times its best latency.
 func TestEstimatesAreCorrectedByBestLatency(t *testing.T) {
-	underTwoSettings(t, func(t *testing.T, site Settings, start func(Settings, int) *script) {
-		for _, told := range []float64{1000, 4000, 16000} {
-			set := site
-			set.ActualCostReported = false
-			s := start(set, 1)
+	underTwoSettings(t, func(t *testing.T, base Settings, start func(Settings, int) *script) {
+		for _, estimatedWork := range []float64{1000, 4000, 16000} {
+			settings := base
+			settings.ActualCostReported = false
+			s := start(settings, 1)
 			now := Millis(0)
-			for i := range 40 { // all take 1,000 ms on four threads
+			for i := range 40 { // all take 1,000 ms on four threads, 4,000 ms of work
 				id := RequestID(fmt.Sprint("r", i))
-				s.at(now, RequestArrived{ID: id, Class: 1, Group: 1, TimeLeft: 15000, EstimatedWork: told})
+				s.at(now, RequestArrived{ID: id, Class: 1, Group: 1, TimeLeft: 15000, EstimatedWork: estimatedWork})
 				s.at(now+1000, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: 1000, RequestClosed: true})
 				now += 1000
 			}
-			r := &request{RequestArrived: RequestArrived{Class: 1, EstimatedWork: told}}
-			if u := s.balancer.estimates.unloadedLatency(r); u < 900 || u > 1100 {
-				t.Errorf("told %.0f ms of work: %.0f ms expected on an idle engine, 1,000 taken", told, u)
+			r := &request{RequestArrived: RequestArrived{Class: 1, EstimatedWork: estimatedWork}}
+			if unloaded := s.balancer.estimates.unloadedLatency(r); unloaded < 900 || unloaded > 1100 {
+				t.Errorf("estimate of %.0f ms of work: %.0f ms expected at an idle endpoint, 1,000 taken", estimatedWork, unloaded)
 			}
-			if b := s.balancer.EndpointStatuses(now)[0].LatencyPressure; b > 0.3 {
-				t.Errorf("told %.0f ms of work: a strain of %.2f at an engine with one query at a time", told, b)
+			if pressure := s.balancer.EndpointStatuses(now)[0].LatencyPressure; pressure > 0.3 {
+				t.Errorf("estimate of %.0f ms of work: latency pressure %.2f at an endpoint with one query at a time", estimatedWork, pressure)
 			}
 		}
 	})
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,9 +6,9 @@
 	"aniseloft/decide"
 )
 
-// One gateway, one engine: a query arrives, is placed and is served.
+// One balancer and one endpoint: a request arrives, is sent to the endpoint and succeeds.
 func Example() {
-	g, err := decide.New(decide.Settings{
+	balancer, err := decide.New(decide.Settings{
 		Balancers: 1, TickInterval: 5, MaxAttempts: 3,
 		Classes: []decide.Class{{LatencyObjective: 500, Deadline: 2000, PriorityWeight: 1, Threads: 1}},
 		Kinds:   []decide.EndpointKind{{Cores: 8, MemoryMB: 16384}},
@@ -23,11 +23,11 @@
 		decide.AttemptEnded{ID: "a", Endpoint: 7, Outcome: decide.OutcomeSucceeded, Latency: 40, RequestClosed: true},
 	}
 	for i, ev := range events {
-		for _, action := range g.Handle(float64(i*40), ev) {
-			if send, ok := action.(decide.StartAttempt); ok {
-				fmt.Printf("send %s to engine %d\n", send.ID, send.Endpoint)
+		for _, action := range balancer.Handle(float64(i*40), ev) {
+			if start, ok := action.(decide.StartAttempt); ok {
+				fmt.Printf("send %s to endpoint %d\n", start.ID, start.Endpoint)
 			}
 		}
 	}
-	// Output: send a to engine 7
+	// Output: send a to endpoint 7
 }
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -12,24 +12,24 @@
 func TestMalformedGossipIsDropped(t *testing.T) {
 	for _, bad := range [][]byte{nil, {9, 1, 1, 1}, {byte(gossipInFlight), 1, 1, 1}, {byte(gossipInFlight), 1, 1, 0x80}, {byte(gossipReports), 1}, make([]byte, 300)} {
 		if _, _, ok := decodeGossip(bad); ok {
-			t.Errorf("%v taken", bad)
+			t.Errorf("malformed message %v accepted", bad)
 		}
 	}
 	_, lines, ok := decodeGossip(encodeGossip(gossipInFlight, []gossipLine{{1, []float64{12, 300}}, {1 << 15, []float64{0, 1e12}}}, 256))
 	if !ok || len(lines) != 2 || lines[0].values[0] != 12 || lines[1].values[1] != maxGossipValue {
 		t.Fatalf("%v %v", lines, ok)
 	}
-	set := plainSettings()
-	set.Balancers, set.GossipEnabled = 2, true
-	s := newScript(t, set, 2)
+	settings := plainSettings()
+	settings.Balancers, settings.GossipEnabled = 2, true
+	s := newScript(t, settings, 2)
 	s.at(1, GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(1), []float64{12, 300}}, {gossipTag(77), []float64{12, 300}}}, 256)})
 	s.at(2, GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(1), []float64{8, 200}}}, 256)})
-	if th, mem := s.balancer.endpoints.byID[1].peers.threads, s.balancer.endpoints.byID[1].peers.memoryMB; th != 8 || mem != 200 {
-		t.Fatalf("the last word of a peer is 8 threads and 200 MB, got %v, %v", th, mem)
+	if threads, memoryMB := s.balancer.endpoints.byID[1].peers.threads, s.balancer.endpoints.byID[1].peers.memoryMB; threads != 8 || memoryMB != 200 {
+		t.Fatalf("the peer's last message has 8 threads and 200 MB, got %v, %v", threads, memoryMB)
 	}
 }
 
-// requestReports plays one long request; every second one ends with a load report.
+// requestReports runs one long request; those with an even number end with a load report.
 func (s *script) requestReports(now Millis, number int) {
 	id := RequestID(fmt.Sprint(now))
 	s.at(now, RequestArrived{ID: id, Class: 1, Group: 3, TimeLeft: 15000})
@@ -49,7 +49,7 @@
 	return sent
 }
 
-// receivers is how many of so many balancers get a message.
+// receivers returns the number of balancers that get a message, if there are balancers in all.
 func receivers(sent SendGossip, balancers int) int {
 	if sent.To == AllPeers {
 		return balancers - 1
@@ -57,60 +57,60 @@
 	return 1
 }
 
-// TestGossipKeepsToItsCost: a message is paid once for each receiver, so what a
-// few gateways may tell all is ruin for hundreds.
-func TestGossipKeepsToItsCost(t *testing.T) {
+// TestGossipStaysWithinBudget guards against a cost of messages that grows with the number of balancers: a message
+// costs once for each receiver, so messages to all, affordable for a few balancers, exceed the budget of hundreds.
+func TestGossipStaysWithinBudget(t *testing.T) {
 	for _, c := range []struct {
-		gateways int
-		price    float64
-		to       int // how many hear of it; 0: nobody
+		balancers int
+		cost      float64
+		receivers int // of each message; 0: no message is sent
 	}{{3, 0.01, 2}, {250, 0.01, 1}, {250, 1000, 0}, {250, 0, 249}} {
-		set := plainSettings()
-		set.Balancers, set.GossipEnabled, set.GossipCost = c.gateways, true, c.price
-		s := newScript(t, set, 2)
+		settings := plainSettings()
+		settings.Balancers, settings.GossipEnabled, settings.GossipCost = c.balancers, true, c.cost
+		s := newScript(t, settings, 2)
 		bytes, queries := 0, 0
 		for now := 100.0; now < 20000; now += 50 {
-			if queries < int(now/250) { // four a second
+			if queries < int(now/250) { // four per second
 				queries++
 				s.requestReports(now, queries)
 			}
 			s.at(now+45, TimerFired{"tick"})
 			for _, sent := range s.gossip() {
-				if sent.To == AllPeers && c.to < 2 || sent.To == set.BalancerIndex {
-					t.Fatalf("%d gateways at price %v: told to %d", c.gateways, c.price, sent.To)
+				if sent.To == AllPeers && c.receivers < 2 || sent.To == settings.BalancerIndex {
+					t.Fatalf("%d balancers at cost %v: message sent to %d", c.balancers, c.cost, sent.To)
 				}
-				bytes += len(sent.Data) * receivers(sent, c.gateways)
+				bytes += len(sent.Data) * receivers(sent, c.balancers)
 			}
 		}
-		if bytes > 0 != (c.to > 0) {
-			t.Errorf("%d gateways at price %v: %d bytes told", c.gateways, c.price, bytes)
+		if bytes > 0 != (c.receivers > 0) {
+			t.Errorf("%d balancers at cost %v: %d bytes sent", c.balancers, c.cost, bytes)
 		}
-		if cost := c.price * float64(bytes) / 256 / float64(queries); cost > 1.1*gossipBudget {
-			t.Errorf("%d gateways at price %v: messages cost %.4f of the result", c.gateways, c.price, cost)
+		if total := c.cost * float64(bytes) / 256 / float64(queries); total > 1.1*gossipBudget {
+			t.Errorf("%d balancers at cost %v: messages cost %.4f of the result", c.balancers, c.cost, total)
 		}
 	}
 }
 
-// TestGossipNamesMostLoadedEndpoints: idle engines answer often, so the freshest
-// reports are theirs; of a jammed one hundreds of gateways would never hear.
-func TestGossipNamesMostLoadedEndpoints(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.GossipEnabled = 300, true
-	s := newScript(t, set, 60)
+// TestGossipReportsMostLoadedEndpointsFirst guards against sending only the newest reports: idle endpoints answer most
+// often, so hundreds of balancers would never learn of an overloaded one.
+func TestGossipReportsMostLoadedEndpointsFirst(t *testing.T) {
+	settings := plainSettings()
+	settings.Balancers, settings.GossipEnabled = 300, true
+	s := newScript(t, settings, 60)
 	for i, e := range s.balancer.endpoints.sorted {
 		e.report = loadReport{LoadReport{InFlight: 2, Memory: -1}, Millis(i)}
 	}
-	jammed := s.balancer.endpoints.sorted[0] // the oldest report
-	jammed.report.InFlight = 70
+	overloaded := s.balancer.endpoints.sorted[0] // the oldest report
+	overloaded.report.InFlight = 70
 	s.at(100, TimerFired{"tick"})
-	l := s.balancer.gossip.reportLines()
-	if len(l) != maxReportLines || l[0].tag != gossipTag(jammed.ID) {
-		t.Fatalf("%d lines, the first of engine tag %d, want %d", len(l), l[0].tag, gossipTag(jammed.ID))
+	lines := s.balancer.gossip.reportLines()
+	if len(lines) != maxReportLines || lines[0].tag != gossipTag(overloaded.ID) {
+		t.Fatalf("%d lines, the first with endpoint tag %d, want %d", len(lines), lines[0].tag, gossipTag(overloaded.ID))
 	}
 }
 
-// testdata/gossip.hex holds messages that encodePeer of commit d9ce9f6 wrote, a line each: balancers of both versions
-// read each other's.
+// TestRecordedGossipIsWrittenAndRead checks compatibility with balancers of earlier versions: testdata/gossip.hex holds
+// messages that commit d9ce9f6 encoded, one per line.
 func TestRecordedGossipIsWrittenAndRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/gossip.hex")
 	if err != nil {
@@ -121,7 +121,7 @@
 	written := [][]byte{
 		encodeGossip(gossipInFlight, inFlight, maxMessageBytes),
 		encodeGossip(gossipReports, reports, maxMessageBytes),
-		encodeGossip(gossipReports, reports, 10), // the second line does not fit
+		encodeGossip(gossipReports, reports, 10), // the second line of reports does not fit
 	}
 	read := []string{
 		fmt.Sprint(gossipInFlight, []gossipLine{{gossipTag(1), []float64{12, 300}}, {gossipTag(70000), []float64{0, maxGossipValue}}}),
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -5,13 +5,16 @@
 	"testing"
 )
 
+// script drives a Balancer with events at given times.
 type script struct {
-	test     *testing.T
-	balancer *Balancer
-	actions  []Action // of the last event
-	probes   bool     // idle engines answer probes at once
+	test          *testing.T
+	balancer      *Balancer
+	actions       []Action // of the last event
+	answersProbes bool     // each probe is answered at once, as by an idle endpoint
 }
 
+// plainSettings returns the settings of one balancer with a short and a long class and no optional feature except
+// cancellation.
 func plainSettings() Settings {
 	return Settings{Balancers: 1, TickInterval: 5, MaxAttempts: 4, CancellationEnabled: true, Kinds: []EndpointKind{{8, 16384}},
 		Classes: []Class{{LatencyObjective: 500, Deadline: 3000, ObjectivePerWork: 2, PriorityWeight: 1, LateWeightRatio: 0.1, Threads: 1},
@@ -20,60 +23,60 @@
 			DrainGrace: 1000, SubscribeInterval: 10000, KeyOrderDelay: 200}}
 }
 
-// newScript starts a gateway with n ready engines, numbered from 1.
-func newScript(t *testing.T, set Settings, n int) *script {
+// newScript starts a balancer with n ready endpoints, numbered from 1.
+func newScript(t *testing.T, settings Settings, n int) *script {
 	t.Helper()
-	g, err := New(set, 1)
+	balancer, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{test: t, balancer: g}
-	var l []EndpointInfo
+	s := &script{test: t, balancer: balancer}
+	var entries []EndpointInfo
 	for i := 1; i <= n; i++ {
-		l = append(l, EndpointInfo{ID: EndpointID(i), State: EndpointReady})
+		entries = append(entries, EndpointInfo{ID: EndpointID(i), State: EndpointReady})
 	}
-	s.at(0, EndpointUpdate{Kind: UpdateCached, Entries: l})
+	s.at(0, EndpointUpdate{Kind: UpdateCached, Entries: entries})
 	return s
 }
 
-// at hands the event over as to a gateway that has not stood still before it.
+// at handles an event, without a pause of the balancer before it.
 func (s *script) at(now Millis, ev Event) {
 	s.balancer.timerDue = now
 	s.actions = s.balancer.Handle(now, ev)
-	for i := 0; s.probes && i < len(s.actions); i++ {
+	for i := 0; s.answersProbes && i < len(s.actions); i++ {
 		if p, ok := s.actions[i].(Probe); ok {
 			s.actions = append(s.actions, s.balancer.Handle(now, ProbeEnded{Endpoint: p.Endpoint, Outcome: OutcomeSucceeded, Load: &LoadReport{Queue: -1, Latency: -1}})...)
 		}
 	}
 }
 
-// underTwoSettings runs a test under settings of two sites of our own making that differ in every switch which sites have. A mend
-// holds for any settings: a test overrides only the switch that it is about.
-func underTwoSettings(t *testing.T, test func(t *testing.T, set Settings, start func(set Settings, n int) *script)) {
+// underTwoSettings runs a test under two settings that differ in every optional feature, because a fix has to hold for
+// any settings. A test overrides only the feature that it is about.
+func underTwoSettings(t *testing.T, test func(t *testing.T, settings Settings, start func(settings Settings, n int) *script)) {
 	t.Helper()
-	asked := plainSettings()
-	asked.ProbesEnabled, asked.LoadReportsEnabled, asked.ProbeCost = true, true, 0.001
-	asked.MemoryGrantsEnabled, asked.MaxGrantRatio, asked.PrioritiesEnabled, asked.ActualCostReported = true, 0.4, true, true
-	asked.MemoryExhaustion, asked.MaxRetryAfter, asked.GossipEnabled, asked.ProgressInterval = MemoryExhaustionQueues, 500, false, 0
-	asked.Classes[1].Idempotency = NotIdempotent
-	told := plainSettings()
-	told.ProbesEnabled, told.LoadReportsEnabled, told.GossipCost = false, true, 0.012
-	told.MemoryGrantsEnabled, told.MaxGrantRatio, told.PrioritiesEnabled, told.ActualCostReported = false, 0.4, false, false
-	told.MemoryExhaustion, told.MaxRetryAfter, told.GossipEnabled, told.ProgressInterval = MemoryExhaustionOvercommits, 0, true, 1000
-	told.Classes[1].Idempotency, told.Classes[1].DedupWindow, told.Classes[1].DedupScope = IdempotentByKey, 12000, DedupFleet
-	told.Rules.RetryBudgetEnabled, told.Rules.RetryBudgetMin, told.Rules.RetryBudgetRatio, told.Rules.RetryBudgetWindow = true, 2, 0.1, 5000
-	for name, set := range map[string]Settings{"asked and granted": asked, "told and keyed": told} {
+	withProbes := plainSettings()
+	withProbes.ProbesEnabled, withProbes.LoadReportsEnabled, withProbes.ProbeCost = true, true, 0.001
+	withProbes.MemoryGrantsEnabled, withProbes.MaxGrantRatio, withProbes.PrioritiesEnabled, withProbes.ActualCostReported = true, 0.4, true, true
+	withProbes.MemoryExhaustion, withProbes.MaxRetryAfter, withProbes.GossipEnabled, withProbes.ProgressInterval = MemoryExhaustionQueues, 500, false, 0
+	withProbes.Classes[1].Idempotency = NotIdempotent
+	withGossip := plainSettings()
+	withGossip.ProbesEnabled, withGossip.LoadReportsEnabled, withGossip.GossipCost = false, true, 0.012
+	withGossip.MemoryGrantsEnabled, withGossip.MaxGrantRatio, withGossip.PrioritiesEnabled, withGossip.ActualCostReported = false, 0.4, false, false
+	withGossip.MemoryExhaustion, withGossip.MaxRetryAfter, withGossip.GossipEnabled, withGossip.ProgressInterval = MemoryExhaustionOvercommits, 0, true, 1000
+	withGossip.Classes[1].Idempotency, withGossip.Classes[1].DedupWindow, withGossip.Classes[1].DedupScope = IdempotentByKey, 12000, DedupFleet
+	withGossip.Rules.RetryBudgetEnabled, withGossip.Rules.RetryBudgetMin, withGossip.Rules.RetryBudgetRatio, withGossip.Rules.RetryBudgetWindow = true, 2, 0.1, 5000
+	for name, settings := range map[string]Settings{"probes and grants": withProbes, "gossip and deduplication": withGossip} {
 		t.Run(name, func(t *testing.T) {
-			test(t, set, func(set Settings, n int) *script {
-				s := newScript(t, set, n)
-				s.probes = true
+			test(t, settings, func(settings Settings, n int) *script {
+				s := newScript(t, settings, n)
+				s.answersProbes = true
 				return s
 			})
 		})
 	}
 }
 
-// sentTo is the engine that the last event sent the request to; 0: none.
+// sentTo returns the endpoint that the last event sent the request to; 0: none.
 func (s *script) sentTo(id RequestID) EndpointID {
 	for _, a := range s.actions {
 		if send, ok := a.(StartAttempt); ok && send.ID == id {
@@ -101,18 +104,19 @@
 	return false
 }
 
-// teach serves n short queries of one group, each in the given time.
-func (s *script) teach(from Millis, n int, group uint64, class int, takes Millis) Millis {
+// teach runs n requests of one group and class in sequence, each with the given latency, and returns the time after
+// them.
+func (s *script) teach(from Millis, n int, group uint64, class int, latency Millis) Millis {
 	s.test.Helper()
 	for i := range n {
 		id := RequestID(fmt.Sprintf("teach-%v-%d-%d", from, group, i))
 		s.at(from, RequestArrived{ID: id, Class: class, Group: group, TimeLeft: 3000})
 		e := s.sentTo(id)
 		if e == 0 {
-			s.test.Fatalf("%s not sent", id)
+			s.test.Fatalf("%s not sent to any endpoint", id)
 		}
-		from += takes
-		s.at(from, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: takes, RequestClosed: true})
+		from += latency
+		s.at(from, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: latency, RequestClosed: true})
 	}
 	return from
 }
--- a/decide/keyorder_test.go
+++ b/decide/keyorder_test.go
@@ -5,39 +5,39 @@
 	"testing"
 )
 
-// orderedSettings has one class of loads whose keys keep their order.
+// orderedSettings returns settings whose long class runs requests with the same key in order.
 func orderedSettings() Settings {
-	set := plainSettings()
-	set.Rules.KeyOrderDelay = 0
-	set.Classes[1].OrderedByKey, set.Classes[1].Idempotency, set.Classes[1].DedupWindow = true, IdempotentByKey, 20000
-	return set
+	settings := plainSettings()
+	settings.Rules.KeyOrderDelay = 0
+	settings.Classes[1].OrderedByKey, settings.Classes[1].Idempotency, settings.Classes[1].DedupWindow = true, IdempotentByKey, 20000
+	return settings
 }
 
-// lan-data-oslo, quiet: a key's line stood still for seconds behind none, as one that
-// waited for its turn counted as one that had found no room (9bd4df2b).
+// TestWaitingForKeyIsNotLackOfCapacity guards against treating a request that waits for its key as one that found no
+// capacity: the queue of a key then stood still for seconds while no request of the key was running.
 func TestWaitingForKeyIsNotLackOfCapacity(t *testing.T) {
 	s := newScript(t, orderedSettings(), 4)
-	line := map[RequestID]bool{}
+	waiting := map[RequestID]bool{}
 	for i := range 40 {
 		id := RequestID(fmt.Sprint("k", i))
 		s.at(1, RequestArrived{ID: id, Class: 1, Key: 7, HasKey: true, TimeLeft: 15000, EstimatedWork: 1000 - float64(20*i)})
-		line[id] = true
+		waiting[id] = true
 	}
-	head, e := RequestID("k0"), EndpointID(0)
-	for now := Millis(2); len(line) > 1; now++ {
+	running, e := RequestID("k0"), EndpointID(0)
+	for now := Millis(2); len(waiting) > 1; now++ {
 		if e == 0 {
-			e = s.balancer.requests[head].current.endpoint.ID
+			e = s.balancer.requests[running].current.endpoint.ID
 		}
-		delete(line, head)
-		s.at(now, AttemptEnded{ID: head, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 1, RequestClosed: true})
-		head, e = "", 0
-		for id := range line {
-			if to := s.sentTo(id); to != 0 {
-				head, e = id, to
+		delete(waiting, running)
+		s.at(now, AttemptEnded{ID: running, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 1, RequestClosed: true})
+		running, e = "", 0
+		for id := range waiting {
+			if target := s.sentTo(id); target != 0 {
+				running, e = id, target
 			}
 		}
-		if head == "" {
-			t.Fatalf("%d wait for one key and none runs", len(line))
+		if running == "" {
+			t.Fatalf("%d requests wait for one key and none runs", len(waiting))
 		}
 	}
 }
@@ -51,6 +51,6 @@
 	}
 	s.at(1000, TimerFired{"tick"})
 	if len(s.balancer.keyOrder.queues) > 0 {
-		t.Fatalf("%d lines of keys are kept with nothing in them", len(s.balancer.keyOrder.queues))
+		t.Fatalf("%d empty key queues are kept", len(s.balancer.keyOrder.queues))
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -8,13 +8,13 @@
 func TestBalancersAgreeOnHomes(t *testing.T) {
 	for group := range uint64(20) {
 		a := newScript(t, plainSettings(), 5)
-		set := plainSettings()
-		set.Balancers, set.BalancerIndex = 3, 2
-		b := newScript(t, set, 5)
+		settings := plainSettings()
+		settings.Balancers, settings.BalancerIndex = 3, 2
+		b := newScript(t, settings, 5)
 		a.at(1, RequestArrived{ID: "a", Group: group, TimeLeft: 3000})
 		b.at(9, RequestArrived{ID: "b", Group: group, TimeLeft: 3000})
-		if x, y := a.sentTo("a"), b.sentTo("b"); x == 0 || x != y {
-			t.Fatalf("group %d: homes %d and %d", group, x, y)
+		if homeA, homeB := a.sentTo("a"), b.sentTo("b"); homeA == 0 || homeA != homeB {
+			t.Fatalf("group %d: homes %d and %d", group, homeA, homeB)
 		}
 	}
 }
@@ -28,18 +28,18 @@
 		seen[s.sentTo(id)] = true
 	}
 	if len(seen) < 3 {
-		t.Fatalf("12 queries of one group on %d engines", len(seen))
+		t.Fatalf("12 queries of one group sent to only %d endpoints", len(seen))
 	}
 }
 
-// TestSparseTrafficSpreadsHotGroup: with hundreds of gateways none has enough out
-// to pass the band, and a hot group's home would get it all.
+// TestSparseTrafficSpreadsHotGroup guards against a home that gets all requests of a hot group: none of hundreds of
+// balancers has enough in flight there to exceed the band.
 func TestSparseTrafficSpreadsHotGroup(t *testing.T) {
-	set := plainSettings()
-	set.Balancers = 300
-	s := newScript(t, set, 10)
+	settings := plainSettings()
+	settings.Balancers = 300
+	s := newScript(t, settings, 10)
 	seen := map[EndpointID]int{}
-	for i := range 100 { // never two out at once; one group has half of the traffic
+	for i := range 100 { // never two in flight at once; one group has half of the traffic
 		id, group := RequestID(fmt.Sprint(i)), uint64(i)
 		if i%2 == 0 {
 			group = 777
@@ -51,13 +51,13 @@
 	}
 	for e, n := range seen {
 		if n > 20 {
-			t.Fatalf("engine %d has %d of 100 queries, ten are even: %v", e, n, seen)
+			t.Fatalf("endpoint %d gets %d of 100 queries, an equal share is 10: %v", e, n, seen)
 		}
 	}
 }
 
-// TestHomesFollowCores (Ld51ecf): an engine of twice the cores is home to twice the
-// groups, since a gateway with thin traffic has no band to correct it by.
+// TestHomesFollowCores checks that an endpoint with twice the cores is the home of twice as many groups, since the band
+// doesn't balance the load of sparse traffic.
 func TestHomesFollowCores(t *testing.T) {
 	s := zonedScript(t, 300, 4)
 	homes := [2]int{}
@@ -65,6 +65,6 @@
 		homes[s.balancer.endpoints.rendezvousOrder(group)[0].Kind]++
 	}
 	if ratio := float64(homes[1]) / float64(homes[0]); ratio < 1.7 || ratio > 2.3 {
-		t.Fatalf("16-core engines are home to %.2f times what 8-core ones are", ratio)
+		t.Fatalf("16-core endpoints are the home of %.2f times as many groups as 8-core ones", ratio)
 	}
 }
--- a/decide/probe_test.go
+++ b/decide/probe_test.go
@@ -5,69 +5,70 @@
 	"testing"
 )
 
-// lan-data-oslo, full size: hundreds of gateways saw an engine once in many seconds, and engines
-// held from 1 to 65 queries (9bd4df2b). What is asked tells, and the least told gets the query.
+// TestSparseTrafficProbesEndpoints guards against placement without current load: each of hundreds of balancers had an
+// answer from an endpoint only once in many seconds, and endpoints had from 1 to 65 queries in flight. Of the probed
+// endpoints, the one that reports the least load gets the request.
 func TestSparseTrafficProbesEndpoints(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.ProbesEnabled, set.LoadReportsEnabled = 300, true, true
-	s := newScript(t, set, 20)
+	settings := plainSettings()
+	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled = 300, true, true
+	s := newScript(t, settings, 20)
 	s.at(10, RequestArrived{ID: "a", Group: 5, TimeLeft: 3000})
-	var asked []EndpointID
+	var probed []EndpointID
 	for _, a := range s.actions {
 		if p, ok := a.(Probe); ok {
-			asked = append(asked, p.Endpoint)
+			probed = append(probed, p.Endpoint)
 		}
 	}
-	if len(asked) < 2 || s.sentTo("a") != 0 {
-		t.Fatalf("asked %v, sent to %d", asked, s.sentTo("a"))
+	if len(probed) < 2 || s.sentTo("a") != 0 {
+		t.Fatalf("probed %v, sent to %d", probed, s.sentTo("a"))
 	}
-	for i, e := range asked {
+	for i, e := range probed {
 		if s.sentTo("a") != 0 {
-			t.Fatal("sent before all had told")
+			t.Fatal("sent before all probes were answered")
 		}
 		s.at(12+float64(i), ProbeEnded{Endpoint: e, Outcome: OutcomeSucceeded, Load: &LoadReport{InFlight: float64(40 - 10*i)}})
 	}
-	if to := s.sentTo("a"); to != asked[len(asked)-1] {
-		t.Fatalf("sent to %d of %v, the last tells least", to, asked)
+	if target := s.sentTo("a"); target != probed[len(probed)-1] {
+		t.Fatalf("sent to %d of %v, the last one reports the least load", target, probed)
 	}
 }
 
-// A probe that never ends holds a query up for one housekeeping period, no longer; one that ends
-// twice or names an engine that is not known changes nothing.
+// TestUnansweredProbesDoNotBlockRequests checks that a request waits for a probe for one housekeeping period at most,
+// and that the end of a probe reported twice, or for an unknown endpoint, changes nothing.
 func TestUnansweredProbesDoNotBlockRequests(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.ProbesEnabled, set.LoadReportsEnabled = 300, true, true
-	s := newScript(t, set, 5)
+	settings := plainSettings()
+	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled = 300, true, true
+	s := newScript(t, settings, 5)
 	s.at(10, RequestArrived{ID: "a", Group: 5, TimeLeft: 3000})
 	s.at(11, ProbeEnded{Endpoint: 77, Outcome: OutcomeTimeout})
 	if s.sentTo("a") != 0 {
-		t.Fatal("not asked at all")
+		t.Fatal("sent without waiting for probes")
 	}
 	s.at(10+10*5+1, TimerFired{"tick"})
-	to := s.sentTo("a")
-	if to == 0 {
-		t.Fatal("still held a period later")
+	target := s.sentTo("a")
+	if target == 0 {
+		t.Fatal("still pending after one housekeeping period")
 	}
 	for range 2 {
-		s.at(62, ProbeEnded{Endpoint: to, Outcome: OutcomeConnectFailed})
+		s.at(62, ProbeEnded{Endpoint: target, Outcome: OutcomeConnectFailed})
 	}
-	if e := s.balancer.endpoints.byID[to]; !e.health.processDown || e.health.failedTrials > 0 {
-		t.Fatalf("down %v, %d failed trials after one refusal told twice", e.health.processDown, e.health.failedTrials)
+	if e := s.balancer.endpoints.byID[target]; !e.health.processDown || e.health.failedTrials > 0 {
+		t.Fatalf("process down %v, %d failed trials after one failed probe reported twice", e.health.processDown, e.health.failedTrials)
 	}
 }
 
-// Probes stay within what their price allows.
-func TestProbesKeepToTheirCost(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.ProbesEnabled, set.LoadReportsEnabled, set.ProbeCost = 300, true, true, 0.05
-	s := newScript(t, set, 40)
-	n := 0
+// TestProbesStayWithinBudget checks that the cost of probes stays within probeBudget.
+func TestProbesStayWithinBudget(t *testing.T) {
+	settings := plainSettings()
+	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled, settings.ProbeCost = 300, true, true, 0.05
+	s := newScript(t, settings, 40)
+	probes := 0
 	for i := range 400 {
 		id, now := RequestID(fmt.Sprint("p", i)), float64(400*i)
 		s.at(now, RequestArrived{ID: id, Group: uint64(i), TimeLeft: 3000})
 		for _, a := range s.actions {
 			if p, ok := a.(Probe); ok {
-				n++
+				probes++
 				s.at(now+1, ProbeEnded{Endpoint: p.Endpoint, Outcome: OutcomeSucceeded, Load: &LoadReport{}})
 			}
 		}
@@ -75,18 +76,19 @@
 			s.at(now+2, AttemptEnded{ID: id, Endpoint: r.current.endpoint.ID, Outcome: OutcomeSucceeded, Latency: 5, RequestClosed: true})
 		}
 	}
-	if cost := float64(n) / 400 * set.ProbeCost; n == 0 || cost > probeBudget*1.05 {
-		t.Fatalf("%d probes for 400 queries cost %.4f of the result", n, cost)
+	if cost := float64(probes) / 400 * settings.ProbeCost; probes == 0 || cost > probeBudget*1.05 {
+		t.Fatalf("%d probes for 400 queries cost %.4f of the result", probes, cost)
 	}
 }
 
-// Where probes are dear, short queries used them up: of 80 gateways' reports most went to engines with 40 and
-// more in flight, unasked. Long queries have nearly all that the price allows.
+// TestExpensiveProbesAreForLongQueries guards against short queries that use up the probe budget where probes are
+// expensive: most long queries of 80 balancers then went, without a probe, to endpoints with 40 or more in flight. Long
+// queries get nearly the complete budget.
 func TestExpensiveProbesAreForLongQueries(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.ProbesEnabled, set.LoadReportsEnabled, set.ProbeCost = 80, true, true, 0.08
-	s := newScript(t, set, 30)
-	var asked [2]int
+	settings := plainSettings()
+	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled, settings.ProbeCost = 80, true, true, 0.08
+	s := newScript(t, settings, 30)
+	var probes [2]int
 	for i := range 500 {
 		id, now, class := RequestID(fmt.Sprint("p", i)), float64(150*i), 0
 		if i%5 == 4 {
@@ -95,7 +97,7 @@
 		s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i % 72), TimeLeft: 3000})
 		for _, a := range s.actions {
 			if p, ok := a.(Probe); ok {
-				asked[class]++
+				probes[class]++
 				s.at(now+1, ProbeEnded{Endpoint: p.Endpoint, Outcome: OutcomeSucceeded, Load: &LoadReport{}})
 			}
 		}
@@ -103,16 +105,16 @@
 			s.at(now+2, AttemptEnded{ID: id, Endpoint: r.current.endpoint.ID, Outcome: OutcomeSucceeded, Latency: 5, RequestClosed: true})
 		}
 	}
-	if asked[0] > asked[1]/10 || asked[1] < 50 {
-		t.Fatalf("%d probes for 400 short queries, %d for 100 long ones", asked[0], asked[1])
+	if probes[0] > probes[1]/10 || probes[1] < 50 {
+		t.Fatalf("%d probes for 400 short queries, %d for 100 long ones", probes[0], probes[1])
 	}
 }
 
-// A report that does not tell what is in flight was taken for one of an idle engine after the next send: -1 and one
-// more made 0, and every query of a thin flow went there.
+// TestAbsentReportFieldsStayUnknown guards against counting an attempt on top of an absent number in flight: -1 and one
+// more made 0, the endpoint seemed idle, and all requests of sparse traffic went there.
 func TestAbsentReportFieldsStayUnknown(t *testing.T) {
-	underTwoSettings(t, func(t *testing.T, site Settings, start func(Settings, int) *script) {
-		s := start(site, 8)
+	underTwoSettings(t, func(t *testing.T, base Settings, start func(Settings, int) *script) {
+		s := start(base, 8)
 		s.at(0, RequestArrived{ID: "a", Group: 1, TimeLeft: 3000, EstimatedWork: 100, EstimatedMemoryMB: 10})
 		e := s.sentTo("a")
 		s.at(100, AttemptEnded{ID: "a", Endpoint: e, Outcome: OutcomeSucceeded, Latency: 100, RequestClosed: true,
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -7,32 +7,36 @@
 	"testing"
 )
 
-// The property test feeds random legal histories under random settings and checks the seven rules with records of its
-// own; it reads nothing of the Balancer's state.
+// TestRulesHoldOnRandomHistories feeds random valid histories under random settings to a Balancer and checks seven
+// rules. It keeps its own records and reads no state of the Balancer.
 
+// trackedAttempt is the checker's record of an attempt.
 type trackedAttempt struct {
 	endpoint  EndpointID
 	startedAt Millis
 	endAt     Millis
 	outcome   Outcome
 	ended     bool
-	stopped   bool
+	cancelled bool
 }
 
+// trackedRequest is the checker's record of a request.
 type trackedRequest struct {
 	ev       RequestArrived
 	deadline Millis
-	over     bool
+	closed   bool // answered, or its client has disconnected
 	attempts []*trackedAttempt
-	seq      int
+	sequence int
 }
 
-func (r *trackedRequest) outstanding() bool {
+// inFlight reports whether the request's last attempt has not ended.
+func (r *trackedRequest) inFlight() bool {
 	n := len(r.attempts)
 	return n > 0 && !r.attempts[n-1].ended
 }
 
-// mayHaveRun is the first attempt not proved to have never run: under its key, or of the request itself.
+// mayHaveRun returns the first attempt that may have run, of an earlier request under the same key or of the request
+// itself; nil: none.
 func (b *ruleChecker) mayHaveRun(r *trackedRequest) *EarlierRun {
 	if r.ev.EarlierRun != nil {
 		return r.ev.EarlierRun
@@ -46,11 +50,12 @@
 	return nil
 }
 
+// ruleChecker plays a random history of events to a Balancer and checks its actions.
 type ruleChecker struct {
 	test           *testing.T
 	rng            *rand.Rand
 	settings       Settings
-	work           []float64 // true usual work of each class
+	work           []float64 // actual work of each class, ms on one core
 	balancer       *Balancer
 	now            Millis
 	sequence       int
@@ -61,10 +66,10 @@
 	arrivedAt      []Millis
 	retriedAt      []Millis
 	slowStartSends map[EndpointID][]sentWork
-	bestThroughput float64 // the best that any engine has shown
+	bestThroughput float64 // best observed ratio of speed to full speed of any endpoint
 	probes         []EndpointID
-	restingUntil   map[uint64]Millis
-	restOwner      map[uint64]*trackedRequest
+	blockedUntil   map[uint64]Millis
+	blockedBy      map[uint64]*trackedRequest
 	sends          int
 	answers        int
 }
@@ -109,15 +114,16 @@
 	return s
 }
 
+// start starts a new Balancer, which knows nothing but the endpoint list.
 func (b *ruleChecker) start() {
-	g, err := New(b.settings, b.rng.Uint64())
+	balancer, err := New(b.settings, b.rng.Uint64())
 	if err != nil {
 		b.test.Fatal(err)
 	}
-	b.balancer = g
+	b.balancer = balancer
 	b.requests, b.arrivals, b.timers = map[RequestID]*trackedRequest{}, nil, nil
 	b.arrivedAt, b.retriedAt = nil, nil
-	b.restingUntil, b.restOwner = map[uint64]Millis{}, map[uint64]*trackedRequest{}
+	b.blockedUntil, b.blockedBy = map[uint64]Millis{}, map[uint64]*trackedRequest{}
 	b.feed(EndpointUpdate{Kind: UpdateCached, Entries: b.list()})
 }
 
@@ -131,6 +137,7 @@
 	return l
 }
 
+// feed handles an event and checks the resulting actions.
 func (b *ruleChecker) feed(ev Event) {
 	for _, a := range b.balancer.Handle(b.now, ev) {
 		b.check(a)
@@ -142,16 +149,17 @@
 	b.test.Fatalf("at %.1f: "+format, append([]any{b.now}, args...)...)
 }
 
+// check checks an action and records it.
 func (b *ruleChecker) check(a Action) {
 	switch a := a.(type) {
 	case StartAttempt:
 		b.checkSend(a)
 	case Reject:
 		r := b.finalAnswer(a.ID)
-		if m := b.mayHaveRun(r); m != nil {
+		if first := b.mayHaveRun(r); first != nil {
 			c := b.settings.Classes[r.ev.Class]
-			if c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (c.DedupScope != DedupFleet || b.now >= m.StartedAt+c.DedupWindow) {
-				b.fail("rule 2: %s refused though it may have run", a.ID)
+			if c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (c.DedupScope != DedupFleet || b.now >= first.StartedAt+c.DedupWindow) {
+				b.fail("rule 2: %s rejected though it may have run and the client must not retry it", a.ID)
 			}
 		}
 	case Fail:
@@ -159,31 +167,32 @@
 	case CancelAttempt:
 		r := b.requests[a.ID]
 		if r == nil || a.Attempt >= len(r.attempts) || !b.settings.CancellationEnabled {
-			b.fail("cancel of an attempt never made: %s", a.ID)
+			b.fail("cancelled an attempt that was never started, or cancellation is disabled: %s", a.ID)
 		}
-		if at := r.attempts[a.Attempt]; !at.ended && !at.stopped {
-			at.stopped, at.endAt, at.outcome = true, b.now+1, OutcomeCancelled
+		if at := r.attempts[a.Attempt]; !at.ended && !at.cancelled {
+			at.cancelled, at.endAt, at.outcome = true, b.now+1, OutcomeCancelled
 		}
 	case StartTimer:
 		b.timers = append(b.timers, b.now+a.After)
 	case SendGossip:
 		if !b.settings.GossipEnabled || len(a.Data) > 256 {
-			b.fail("peer message of %d bytes, allowed %v", len(a.Data), b.settings.GossipEnabled)
+			b.fail("gossip message of %d bytes, gossip enabled: %v", len(a.Data), b.settings.GossipEnabled)
 		}
 	case Probe:
 		if !b.settings.ProbesEnabled {
-			b.fail("probe where barred")
+			b.fail("probe though probes are disabled")
 		}
 		b.probes = append(b.probes, a.Endpoint)
 	}
 }
 
+// finalAnswer records the final answer of a request, which must be the only one.
 func (b *ruleChecker) finalAnswer(id RequestID) *trackedRequest {
 	r := b.requests[id]
-	if r == nil || r.over {
+	if r == nil || r.closed {
 		b.fail("rule 1: a second final answer for %s", id)
 	}
-	r.over = true
+	r.closed = true
 	b.answers++
 	return r
 }
@@ -191,39 +200,39 @@
 func (b *ruleChecker) checkSend(a StartAttempt) {
 	b.sends++
 	r := b.requests[a.ID]
-	if r == nil || r.over {
-		b.fail("rule 1: %s sent after its end", a.ID)
+	if r == nil || r.closed {
+		b.fail("rule 1: %s sent after its final answer", a.ID)
 	}
 	c := b.settings.Classes[r.ev.Class]
 	e, ok := b.listed[a.Endpoint]
 	switch {
 	case !ok || e.State != EndpointReady:
-		b.fail("rule 3: %s sent to engine %d, told %v", a.ID, a.Endpoint, e.State)
+		b.fail("rule 3: %s sent to endpoint %d, which is listed in state %v", a.ID, a.Endpoint, e.State)
 	case a.Timeout <= 0:
-		b.fail("time-out %v", a.Timeout)
-	case r.outstanding():
-		b.fail("two attempts of %s out", a.ID)
+		b.fail("timeout %v is not above 0", a.Timeout)
+	case r.inFlight():
+		b.fail("two attempts of %s in flight", a.ID)
 	case len(r.attempts) >= b.settings.MaxAttempts:
-		b.fail("attempt %d of %s", len(r.attempts), a.ID)
+		b.fail("attempt %d of %s, above MaxAttempts", len(r.attempts), a.ID)
 	case c.Zones != nil && c.Zones[0] != e.Zone, c.Kinds != nil && c.Kinds[0] != e.Kind:
-		b.fail("rule 6: %s on zone %d kind %d", a.ID, e.Zone, e.Kind)
+		b.fail("rule 6: %s sent to zone %d, kind %d", a.ID, e.Zone, e.Kind)
 	}
 	b.checkDedupScope(r, c, e)
-	b.checkOrder(r, c)
+	b.checkKeyOrder(r, c)
 	b.checkRetryBudget(r)
 	b.checkSlowStart(r, e)
 	at := &trackedAttempt{endpoint: a.Endpoint, startedAt: b.now, endAt: r.deadline, outcome: OutcomeTimeout}
 	r.attempts = append(r.attempts, at)
-	if b.rng.IntN(12) > 0 { // else it is never answered
-		least := 0.0
+	if b.rng.IntN(12) > 0 { // 1 of 12 attempts gets no answer
+		minimum := 0.0
 		at.outcome = Outcome(b.rng.IntN(8))
 		if b.rng.IntN(3) > 0 {
 			at.outcome = OutcomeSucceeded
 		}
-		if at.outcome == OutcomeSucceeded { // no answer comes sooner than its work takes
-			least = b.work[r.ev.Class] / float64(c.Threads)
+		if at.outcome == OutcomeSucceeded { // the latency is at least that of the work alone
+			minimum = b.work[r.ev.Class] / float64(c.Threads)
 		}
-		at.endAt = b.now + least + b.rng.ExpFloat64()*200
+		at.endAt = b.now + minimum + b.rng.ExpFloat64()*200
 		if at.endAt >= r.deadline {
 			at.endAt, at.outcome = r.deadline, OutcomeTimeout
 		}
@@ -231,114 +240,116 @@
 }
 
 func (b *ruleChecker) checkDedupScope(r *trackedRequest, c Class, e EndpointInfo) {
-	m := b.mayHaveRun(r)
-	if m == nil || c.Idempotency == IdempotentAlways {
+	first := b.mayHaveRun(r)
+	if first == nil || c.Idempotency == IdempotentAlways {
 		return
 	}
-	in := c.DedupScope == DedupFleet || c.DedupScope == DedupZone && m.Zone == e.Zone || c.DedupScope == DedupCell && m.Cell == e.Cell
-	if c.Idempotency == NotIdempotent || !in || b.now-m.StartedAt > c.DedupWindow {
-		b.fail("rule 2: %s sent again", r.ev.ID)
+	inScope := c.DedupScope == DedupFleet || c.DedupScope == DedupZone && first.Zone == e.Zone || c.DedupScope == DedupCell && first.Cell == e.Cell
+	if c.Idempotency == NotIdempotent || !inScope || b.now-first.StartedAt > c.DedupWindow {
+		b.fail("rule 2: %s sent again outside its deduplication scope or window", r.ev.ID)
 	}
 }
 
-func (b *ruleChecker) checkOrder(r *trackedRequest, c Class) {
+func (b *ruleChecker) checkKeyOrder(r *trackedRequest, c Class) {
 	if !c.OrderedByKey || !r.ev.HasKey {
 		return
 	}
 	for _, o := range b.arrivals {
-		if o.seq < r.seq && o.ev.HasKey && o.ev.Key == r.ev.Key && b.settings.Classes[o.ev.Class].OrderedByKey &&
-			(!o.over || o.outstanding()) {
-			b.fail("rule 5: %s before %s", r.ev.ID, o.ev.ID)
+		if o.sequence < r.sequence && o.ev.HasKey && o.ev.Key == r.ev.Key && b.settings.Classes[o.ev.Class].OrderedByKey &&
+			(!o.closed || o.inFlight()) {
+			b.fail("rule 5: %s sent before %s of the same key", r.ev.ID, o.ev.ID)
 		}
 	}
-	if b.now < b.restingUntil[r.ev.Key] && b.restOwner[r.ev.Key] != r {
-		b.fail("rule 5: key %d not at rest", r.ev.Key)
+	if b.now < b.blockedUntil[r.ev.Key] && b.blockedBy[r.ev.Key] != r {
+		b.fail("rule 5: key %d is still blocked by another request", r.ev.Key)
 	}
 }
 
 func (b *ruleChecker) checkRetryBudget(r *trackedRequest) {
-	ru := b.settings.Rules
-	if len(r.attempts) == 0 || !ru.RetryBudgetEnabled {
+	rules := b.settings.Rules
+	if len(r.attempts) == 0 || !rules.RetryBudgetEnabled {
 		return
 	}
 	b.retriedAt = append(b.retriedAt, b.now)
 	count := func(l []Millis) (n float64) {
 		for _, t := range l {
-			if t > b.now-ru.RetryBudgetWindow {
+			if t > b.now-rules.RetryBudgetWindow {
 				n++
 			}
 		}
 		return n
 	}
-	if f, t := count(b.retriedAt), count(b.arrivedAt); f > ru.RetryBudgetMin+ru.RetryBudgetRatio*t {
-		b.fail("rule 7: %v further attempts on %v requests", f, t)
+	if retries, t := count(b.retriedAt), count(b.arrivedAt); retries > rules.RetryBudgetMin+rules.RetryBudgetRatio*t {
+		b.fail("rule 7: %v retries for %v requests exceed the retry budget", retries, t)
 	}
 }
 
 func (b *ruleChecker) checkSlowStart(r *trackedRequest, e EndpointInfo) {
-	ru := b.settings.Rules
-	if e.StartedAt <= 0 || b.now >= e.StartedAt+ru.SlowStartDuration {
+	rules := b.settings.Rules
+	if e.StartedAt <= 0 || b.now >= e.StartedAt+rules.SlowStartDuration {
 		return
 	}
 	b.slowStartSends[e.ID] = append(b.slowStartSends[e.ID], sentWork{b.now, b.work[r.ev.Class]})
 	sum := 0.0
 	for _, s := range b.slowStartSends[e.ID] {
-		if s.at > b.now-ru.OverloadWindow {
+		if s.at > b.now-rules.OverloadWindow {
 			sum += s.work
 		}
 	}
-	able := 0.85 * b.settings.Kinds[e.Kind].Cores * ru.OverloadWindow
-	// One gateway may use half, of what cold engines start with or have shown since; that the
-	// turns of all sum to no more than the whole is TestColdEnginesOfAThinFleetCarryLongQueries.
-	if part := ru.OverloadRatio * able / 2 * max(ru.SlowStartCapacityRatio, b.bestThroughput); sum > part {
-		b.fail("rule 4: %.0f ms of work to cold engine %d, %.0f allowed", sum, e.ID, part)
+	fullCapacity := 0.85 * b.settings.Kinds[e.Kind].Cores * rules.OverloadWindow
+	// One balancer may use half of the capacity that warming endpoints have at the start or have shown since. That all
+	// balancers together stay below the complete budget is checked by
+	// TestWarmingEndpointsOfSparseFleetCarryLongQueries.
+	if allowed := rules.OverloadRatio * fullCapacity / 2 * max(rules.SlowStartCapacityRatio, b.bestThroughput); sum > allowed {
+		b.fail("rule 4: %.0f ms of work sent to warming endpoint %d, %.0f ms allowed", sum, e.ID, allowed)
 	}
 }
 
-// step lets the next thing happen.
+// step advances the time to the next event: the end of an attempt, a timer or a random event.
 func (b *ruleChecker) step() {
 	next := b.now + b.rng.ExpFloat64()*20
-	fired := false
+	timerDue := false
 	sort.Float64s(b.timers)
 	if len(b.timers) > 0 && b.timers[0] <= next {
-		next, fired = b.timers[0], true
+		next, timerDue = b.timers[0], true
 	}
-	var due *trackedRequest
+	var ending *trackedRequest
 	for _, r := range b.arrivals {
-		if r.outstanding() && r.attempts[len(r.attempts)-1].endAt <= next {
-			due, fired, next = r, false, r.attempts[len(r.attempts)-1].endAt
+		if r.inFlight() && r.attempts[len(r.attempts)-1].endAt <= next {
+			ending, timerDue, next = r, false, r.attempts[len(r.attempts)-1].endAt
 		}
 	}
 	b.now = max(b.now, next)
 	for _, r := range b.arrivals {
-		if !r.over && b.now > r.deadline+b.settings.Rules.AnswerSlack {
-			b.fail("rule 1: %s has no answer, deadline %.1f", r.ev.ID, r.deadline)
+		if !r.closed && b.now > r.deadline+b.settings.Rules.AnswerSlack {
+			b.fail("rule 1: %s has no final answer after its deadline %.1f", r.ev.ID, r.deadline)
 		}
 	}
 	switch {
-	case due != nil:
-		b.end(due)
-	case fired:
+	case ending != nil:
+		b.endAttempt(ending)
+	case timerDue:
 		b.timers = b.timers[1:]
 		b.feed(TimerFired{"tick"})
 	default:
-		b.happen()
+		b.randomEvent()
 	}
 }
 
-func (b *ruleChecker) end(r *trackedRequest) {
+// endAttempt ends the request's last attempt with its planned outcome.
+func (b *ruleChecker) endAttempt(r *trackedRequest) {
 	n := len(r.attempts) - 1
 	a := r.attempts[n]
 	a.ended = true
 	c := b.settings.Classes[r.ev.Class]
 	if c.OrderedByKey && r.ev.HasKey && (a.outcome == OutcomeTimeout || a.outcome == OutcomeReset || a.outcome == OutcomeCancelled) {
-		b.restingUntil[r.ev.Key], b.restOwner[r.ev.Key] = b.now+b.settings.Rules.KeyOrderDelay, r
+		b.blockedUntil[r.ev.Key], b.blockedBy[r.ev.Key] = b.now+b.settings.Rules.KeyOrderDelay, r
 	}
-	if a.outcome == OutcomeSucceeded && !r.over {
-		r.over = true
+	if a.outcome == OutcomeSucceeded && !r.closed {
+		r.closed = true
 		b.answers++
 	}
-	ev := AttemptEnded{ID: r.ev.ID, Attempt: n, Endpoint: a.endpoint, Outcome: a.outcome, Latency: b.now - a.startedAt, RequestClosed: r.over}
+	ev := AttemptEnded{ID: r.ev.ID, Attempt: n, Endpoint: a.endpoint, Outcome: a.outcome, Latency: b.now - a.startedAt, RequestClosed: r.closed}
 	if a.outcome == OutcomeSucceeded && b.settings.ActualCostReported {
 		ev.ActualWork, ev.ActualMemoryMB = b.work[r.ev.Class], 100
 		b.bestThroughput = max(b.bestThroughput, min(ev.ActualWork/float64(c.Threads)/ev.Latency, 1))
@@ -349,7 +360,8 @@
 	b.feed(ev)
 }
 
-func (b *ruleChecker) happen() {
+// randomEvent feeds a random event, most often the arrival of a request.
+func (b *ruleChecker) randomEvent() {
 	switch k := b.rng.IntN(40); {
 	case k == 0:
 		b.changeList()
@@ -358,14 +370,14 @@
 	case k == 2:
 		b.feed(EndpointUpdate{Kind: UpdateFailed})
 	case k == 3 && len(b.arrivals) > 0:
-		if r := b.arrivals[b.rng.IntN(len(b.arrivals))]; !r.over {
-			r.over = true
+		if r := b.arrivals[b.rng.IntN(len(b.arrivals))]; !r.closed {
+			r.closed = true
 			b.feed(ClientDisconnected{r.ev.ID})
 		}
 	case k < 8 && len(b.arrivals) > 0:
 		r := b.arrivals[b.rng.IntN(len(b.arrivals))]
 		b.feed(AttemptProgress{ID: r.ev.ID, Attempt: len(r.attempts) - 1, Kind: ProgressKind(1 + b.rng.IntN(3)), Value: b.rng.Float64()})
-	case k < 14 && k > 8 && len(b.probes) > 0: // some never end
+	case k < 14 && k > 8 && len(b.probes) > 0: // some probes never end
 		ev := ProbeEnded{Endpoint: b.probes[0], Outcome: Outcome(b.rng.IntN(8)), Latency: 3}
 		if b.rng.IntN(2) == 0 {
 			ev.Load = &LoadReport{InFlight: b.rng.Float64() * 60, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
@@ -373,7 +385,7 @@
 		b.probes = b.probes[1:]
 		b.feed(ev)
 	case k == 8 && b.rng.IntN(20) == 0:
-		b.start() // killed and restarted with nothing but its list
+		b.start() // restarted without its state
 	default:
 		b.arrive()
 	}
@@ -381,25 +393,26 @@
 
 func (b *ruleChecker) arrive() {
 	b.sequence++
-	i := b.rng.IntN(len(b.settings.Classes))
-	ev := RequestArrived{ID: RequestID(fmt.Sprint("r", b.sequence)), Class: i, Group: uint64(b.rng.IntN(9)), TimeLeft: 4000 * b.rng.Float64(),
+	class := b.rng.IntN(len(b.settings.Classes))
+	ev := RequestArrived{ID: RequestID(fmt.Sprint("r", b.sequence)), Class: class, Group: uint64(b.rng.IntN(9)), TimeLeft: 4000 * b.rng.Float64(),
 		Key: uint64(b.rng.IntN(5)), HasKey: b.rng.IntN(2) == 0}
 	if len(b.settings.Tenants) > 0 {
 		ev.Tenant = b.rng.IntN(2)
 	}
 	if b.rng.IntN(2) == 0 {
-		ev.EstimatedWork, ev.EstimatedMemoryMB = b.work[i]*(0.5+b.rng.Float64()), 200
+		ev.EstimatedWork, ev.EstimatedMemoryMB = b.work[class]*(0.5+b.rng.Float64()), 200
 	}
-	if c := b.settings.Classes[i]; c.Idempotency == IdempotentByKey && b.rng.IntN(3) == 0 { // a repeat under its key
+	if c := b.settings.Classes[class]; c.Idempotency == IdempotentByKey && b.rng.IntN(3) == 0 { // a client's retry under its key
 		ev.EarlierRun = &EarlierRun{b.now - 1.2*c.DedupWindow*b.rng.Float64(), b.rng.IntN(2), b.rng.IntN(3)}
 	}
-	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, seq: b.sequence}
+	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, sequence: b.sequence}
 	b.requests[ev.ID] = r
 	b.arrivals = append(b.arrivals, r)
 	b.arrivedAt = append(b.arrivedAt, b.now)
 	b.feed(ev)
 }
 
+// changeList changes the state of one endpoint and sends the complete list or that entry.
 func (b *ruleChecker) changeList() {
 	id := EndpointID(1 + b.rng.IntN(8))
 	e, ok := b.listed[id]
@@ -440,7 +453,7 @@
 				b.step()
 			}
 			if b.sends == 0 || b.answers == 0 {
-				t.Fatalf("%d sends, %d answers: the history tests nothing", b.sends, b.answers)
+				t.Fatalf("%d sends, %d answers: the history checks nothing", b.sends, b.answers)
 			}
 		})
 	}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -12,26 +12,26 @@
 	s.at(1000, EndpointUpdate{Kind: UpdateCached, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 990}}})
 	s.at(1000, RequestArrived{ID: "a", Group: 3, TimeLeft: 3000})
 	if s.sentTo("a") != 0 {
-		t.Fatal("sent at once, though an earlier life may have spent the allowance")
+		t.Fatal("sent at once, though this balancer may have used its share of the budget before a restart")
 	}
 	s.at(2600, TimerFired{"tick"})
 	s.at(2600, RequestArrived{ID: "b", Group: 3, TimeLeft: 3000})
 	if s.sentTo("b") == 0 {
-		t.Fatal("never sent")
+		t.Fatal("not sent after the overload window")
 	}
 }
 
-// TestSlowStartPartsSumToTheBudget lets every gateway of a fleet fill its part of a
-// cold engine, and compares with what it may be sent by all together.
-func TestSlowStartPartsSumToTheBudget(t *testing.T) {
+// TestSlowStartSharesSumToTheBudget lets each balancer use its complete share of a warming endpoint's budget and
+// compares the sum with the budget of all balancers together.
+func TestSlowStartSharesSumToTheBudget(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 10} {
-		set := plainSettings()
-		set.Balancers = n
-		ru := set.Rules
-		sum, longs := 0.0, 0
-		for self := range n {
-			set.BalancerIndex = self
-			s := newScript(t, set, 0)
+		settings := plainSettings()
+		settings.Balancers = n
+		rules := settings.Rules
+		sum, long := 0.0, 0
+		for index := range n {
+			settings.BalancerIndex = index
+			s := newScript(t, settings, 0)
 			s.balancer.estimates.classes[0].work, s.balancer.estimates.classes[1].work = 60, 2000
 			s.at(1000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 990}}})
 			for i := range 300 {
@@ -39,49 +39,50 @@
 				s.at(1000, RequestArrived{ID: id, Class: 1 - min(i, 1), Group: 3, TimeLeft: 14000})
 				if s.sentTo(id) != 0 {
 					sum += []float64{2000, 60}[min(i, 1)]
-					longs += 1 - min(i, 1)
+					long += 1 - min(i, 1)
 				}
 			}
 		}
-		if most := ru.OverloadRatio * ru.SlowStartCapacityRatio * 0.85 * 8 * ru.OverloadWindow; sum > most || sum < most/5 {
-			t.Errorf("%d gateways send %.0f ms of work at once, %.0f allowed", n, sum, most)
+		if allowed := rules.OverloadRatio * rules.SlowStartCapacityRatio * 0.85 * 8 * rules.OverloadWindow; sum > allowed || sum < allowed/5 {
+			t.Errorf("%d balancers send %.0f ms of work at once, %.0f ms allowed", n, sum, allowed)
 		}
-		if n > 1 && longs != 1 {
-			t.Errorf("%d gateways send %d long queries to a cold engine", n, longs)
+		if n > 1 && long != 1 {
+			t.Errorf("%d balancers send %d long queries to a warming endpoint, want 1", n, long)
 		}
 	}
 }
 
-// vast-zone: a hall came back cold while the other one was jammed. Nothing was known of its engines, so half of the jammed
-// fleet's mean load counted at each, and 15 of 30 engines got next to nothing while queries were refused. An engine that has just
-// begun holds nothing of that load; what it may get is the cold rule's to bound.
-func TestWarmingEndpointsAreNotTakenForOverloaded(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.GossipEnabled = 300, true
-	set.Rules.OverloadRatio = 2000 // its budget holds a query of every gateway
-	s := newScript(t, set, 10)
-	fresh := s.balancer.endpoints.sorted[0].ID
-	s.at(900, EndpointUpdate{Entries: []EndpointInfo{{ID: fresh, State: EndpointReady, StartedAt: 900}}})
-	sent := s.sendsPastOverloaded(fresh)
+// TestWarmingEndpointsAreNotAssumedOverloaded guards against counting the fleet's mean load at endpoints that have just
+// started. When a zone came back while the other one was overloaded, half of that mean counted at each endpoint of the
+// zone: 15 of 30 endpoints got almost nothing while queries were rejected. A new endpoint doesn't carry that load yet,
+// and slow start limits the work that it gets.
+func TestWarmingEndpointsAreNotAssumedOverloaded(t *testing.T) {
+	settings := plainSettings()
+	settings.Balancers, settings.GossipEnabled = 300, true
+	settings.Rules.OverloadRatio = 2000 // a budget with room for a query of every balancer
+	s := newScript(t, settings, 10)
+	started := s.balancer.endpoints.sorted[0].ID
+	s.at(900, EndpointUpdate{Entries: []EndpointInfo{{ID: started, State: EndpointReady, StartedAt: 900}}})
+	sent := s.sendsPastOverloaded(started)
 	if sent < 20 {
-		t.Fatalf("%d of 200 queries to the one engine that is empty", sent)
+		t.Fatalf("%d of 200 queries to the only endpoint without load", sent)
 	}
 }
 
-// TestSlowStartBudgetRotatesBetweenBalancers (ie5bacb): an even part of 300 gateways holds no query, and
-// a third of a fleet idled after its restart. Drawn for, all parts together stay under
-// what an engine can bear in any span, and are not left unused.
+// TestSlowStartBudgetRotatesBetweenBalancers guards against equal shares of the budget: the share of one of 300
+// balancers has no room for a query, and a third of a fleet stayed idle after its restart. With turns, all balancers
+// together have to stay below the overload limit in any window and still use the budget.
 func TestSlowStartBudgetRotatesBetweenBalancers(t *testing.T) {
-	set := plainSettings()
-	set.Balancers = 300
-	work := set.Classes[0].LatencyObjective
-	limit := set.Rules.OverloadRatio * set.Rules.SlowStartCapacityRatio * usableCores * 8 * set.Rules.OverloadWindow
-	var at []Millis // of each send to the cold engine
-	for self := range set.Balancers {
-		set.BalancerIndex = self
-		s := newScript(t, set, 2)
+	settings := plainSettings()
+	settings.Balancers = 300
+	work := settings.Classes[0].LatencyObjective
+	limit := settings.Rules.OverloadRatio * settings.Rules.SlowStartCapacityRatio * usableCores * 8 * settings.Rules.OverloadWindow
+	var at []Millis // times of the attempts at the warming endpoint
+	for index := range settings.Balancers {
+		settings.BalancerIndex = index
+		s := newScript(t, settings, 2)
 		s.at(1000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 1, State: EndpointReady, StartedAt: 1000}}})
-		for now := Millis(1000 + self%200); now < 12000; now += 200 {
+		for now := Millis(1000 + index%200); now < 12000; now += 200 {
 			id := RequestID(fmt.Sprint(now))
 			s.at(now, RequestArrived{ID: id, Group: uint64(now), TimeLeft: 3000})
 			if e := s.sentTo(id); e != 0 {
@@ -94,31 +95,32 @@
 	}
 	sort.Float64s(at)
 	for i := range at {
-		n := sort.SearchFloat64s(at, at[i]+set.Rules.OverloadWindow) - i
+		n := sort.SearchFloat64s(at, at[i]+settings.Rules.OverloadWindow) - i
 		if float64(n)*work > limit {
-			t.Fatalf("%d sends in a span, %.0f are what it can bear", n, limit/work)
+			t.Fatalf("%d attempts in one window, overload above %.0f", n, limit/work)
 		}
 	}
 	if len(at) < 10 {
-		t.Fatalf("only %d sends to a cold engine in 11 s", len(at))
+		t.Fatalf("only %d attempts at a warming endpoint in 11 s", len(at))
 	}
 }
 
-// TestWarmingEndpointsOfSparseFleetCarryLongQueries: of 30 engines behind 80 gateways 18 were replaced within 5 s, and
-// the new ones got 0.8 cores' worth of work for their 15 s of warming: an even part held no report, so 12 engines
-// carried all reports of the fleet. What all gateways send in any span stays under what the engine can bear.
+// TestWarmingEndpointsOfSparseFleetCarryLongQueries guards against shares of the budget with no room for a long query.
+// When 18 of 30 endpoints behind 80 balancers were replaced within 5 s, the new ones got work for 0.8 cores during
+// their slow start of 15 s, and the other 12 endpoints carried all long queries of the fleet. The work of all balancers
+// also has to stay below the overload limit in any window.
 func TestWarmingEndpointsOfSparseFleetCarryLongQueries(t *testing.T) {
-	fixed, fixedLongs := playWarmingFleet(t, func(Millis) float64 { return 0.3 })
-	_, grownLongs := playWarmingFleet(t, func(age Millis) float64 { return min(0.3+0.7*age/8000, 1) })
-	if fixedLongs < 8 { // one in each turn, or more
-		t.Fatalf("%d long queries of all gateways in 10 s, %d queries in all", fixedLongs, fixed)
+	fixedTotal, fixedLong := simulateWarmingFleet(t, func(Millis) float64 { return 0.3 })
+	_, growingLong := simulateWarmingFleet(t, func(age Millis) float64 { return min(0.3+0.7*age/8000, 1) })
+	if fixedLong < 8 { // at least one in each turn
+		t.Fatalf("%d long queries from all balancers in 10 s, %d queries in total", fixedLong, fixedTotal)
 	}
-	if float64(grownLongs) < 1.4*float64(fixedLongs) { // the pace that all have seen tells that there is more room
-		t.Fatalf("%d long queries where engines get warm evenly, %d where they stay cold", grownLongs, fixedLongs)
+	if float64(growingLong) < 1.4*float64(fixedLong) { // the throughput that all balancers have observed raises the budget
+		t.Fatalf("%d long queries where the throughput of endpoints grows with age, %d where it doesn't", growingLong, fixedLong)
 	}
 }
 
-// startedEndpoints are so many ready endpoints that started at a time, numbered from first.
+// startedEndpoints returns ready endpoints that started at the given time, numbered from first.
 func startedEndpoints(first, count int, at Millis) (entries []EndpointInfo) {
 	for i := range count {
 		entries = append(entries, EndpointInfo{ID: EndpointID(first + i), State: EndpointReady, StartedAt: at})
@@ -126,90 +128,93 @@
 	return entries
 }
 
-// workBefore sums the work of the attempts that were sent before a time.
+// workBefore returns the work of the attempts that were sent before the given time.
 func workBefore(sent []sentWork, until Millis) (sum float64) {
-	for _, w := range sent {
-		if w.at < until {
-			sum += w.work
+	for _, s := range sent {
+		if s.at < until {
+			sum += s.work
 		}
 	}
 	return sum
 }
 
-// playWarmingFleet plays 20 s of 80 gateways before 30 engines, of which four start after ten and have the given part of their
-// pace by age. It counts what goes to one of them, and fails where that is more in any span than it can bear.
-func playWarmingFleet(t *testing.T, able func(age Millis) float64) (queries, longs int) {
-	set := plainSettings()
-	set.Balancers, set.ActualCostReported, set.Kinds = 80, true, []EndpointKind{{16, 32768}}
-	works, ru, start := []float64{80, 3000}, set.Rules, Millis(10000)
-	var all []sentWork
-	for self := range set.Balancers {
-		set.BalancerIndex = self
-		s := newScript(t, set, 30)
-		for i := range 150 { // a fifth of them long
-			id, now, class := RequestID(fmt.Sprint(i)), Millis(i)*133+Millis(self), 0
+// simulateWarmingFleet simulates 20 s of 80 balancers with 30 endpoints. Four of these restart after 10 s; their speed,
+// relative to full speed, then depends on their age. It counts the queries sent to one of the four and fails if their
+// work exceeds the overload limit in any window.
+func simulateWarmingFleet(t *testing.T, speed func(age Millis) float64) (queries, long int) {
+	settings := plainSettings()
+	settings.Balancers, settings.ActualCostReported, settings.Kinds = 80, true, []EndpointKind{{16, 32768}}
+	works, rules, start := []float64{80, 3000}, settings.Rules, Millis(10000)
+	var sent []sentWork
+	for index := range settings.Balancers {
+		settings.BalancerIndex = index
+		s := newScript(t, settings, 30)
+		for i := range 150 { // one fifth of them are long
+			id, now, class := RequestID(fmt.Sprint(i)), Millis(i)*133+Millis(index), 0
 			if i%5 == 4 {
 				class = 1
 			}
 			if i == 76 {
 				s.at(now, EndpointUpdate{Kind: UpdateIncremental, Entries: startedEndpoints(9, 4, start)})
 			}
-			s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i*7+self) % 72, TimeLeft: 3000 * float64(1+3*class), EstimatedWork: works[class]})
-			e, pace := s.sentTo(id), 1.0
+			s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i*7+index) % 72, TimeLeft: 3000 * float64(1+3*class), EstimatedWork: works[class]})
+			e, endpointSpeed := s.sentTo(id), 1.0
 			if e >= 9 && e < 13 && now > start {
-				pace = able(now - start)
+				endpointSpeed = speed(now - start)
 			}
 			if e == 9 && i > 76 {
-				all = append(all, sentWork{now, works[class]})
-				longs += class
+				sent = append(sent, sentWork{now, works[class]})
+				long += class
 			}
 			s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, RequestClosed: true, ActualWork: works[class],
-				Latency: works[class] / float64(set.Classes[class].Threads) / pace})
+				Latency: works[class] / float64(settings.Classes[class].Threads) / endpointSpeed})
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].at < all[j].at })
-	for i := range all {
-		sum, limit := workBefore(all[i:], all[i].at+ru.OverloadWindow), ru.OverloadRatio*able(all[i].at-start)*usableCores*16*ru.OverloadWindow
+	sort.Slice(sent, func(i, j int) bool { return sent[i].at < sent[j].at })
+	for i := range sent {
+		sum, limit := workBefore(sent[i:], sent[i].at+rules.OverloadWindow), rules.OverloadRatio*speed(sent[i].at-start)*usableCores*16*rules.OverloadWindow
 		if sum > limit {
-			t.Fatalf("%.0f ms of work in a span, %.0f are what it can bear", sum, limit)
+			t.Fatalf("%.0f ms of work in one window, overload above %.0f", sum, limit)
 		}
 	}
-	return len(all), longs
+	return len(sent), long
 }
 
-// The rule on cold engines weighs a query by its class's usual work; weighed by rough estimates of its own, most
-// reports found no room at engines that could bear them.
+// TestSlowStartCountsMeanWorkOfClass guards against counting each query's own estimate against the slow-start budget:
+// estimates are rough, and most long queries were then not admitted at endpoints that had capacity for them.
 func TestSlowStartCountsMeanWorkOfClass(t *testing.T) {
 	s := newScript(t, plainSettings(), 0)
 	s.balancer.estimates.classes[1].work = 2000
 	s.at(5000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 4990}}})
 	s.at(5000, RequestArrived{ID: "a", Class: 1, Group: 3, TimeLeft: 14000, EstimatedWork: 9000})
 	if s.sentTo("a") != 9 {
-		t.Fatal("a dear report is not sent to a cold engine that holds a usual one")
+		t.Fatal("a query with a high estimate is not sent to a warming endpoint whose budget allows the class's mean work")
 	}
 	s.at(5000, RequestArrived{ID: "b", Class: 1, Group: 3, TimeLeft: 14000, EstimatedWork: 10})
 	if s.sentTo("b") != 0 {
-		t.Fatal("a cheap report is sent where no second usual one has room")
+		t.Fatal("a query with a low estimate is sent where the budget doesn't allow the class's mean work a second time")
 	}
 }
 
-// Loads as dear as half the budget left one gateway at a time to a cold engine, which sees two or three reports
-// in its turn: reports are what most of the budget is for, and a turn has as many gateways as it holds of them.
+// TestRotationHasAsManyBalancersAsItsBudgetAllows guards against sizing turns by the most expensive class. With loads
+// of about half the budget, only one balancer at a time could send to a warming endpoint, and it has only two or three
+// long queries in its turn. A turn has as many balancers as the budget allows queries of the cheapest long class, since
+// these use most of it.
 func TestRotationHasAsManyBalancersAsItsBudgetAllows(t *testing.T) {
-	set := plainSettings()
-	set.Balancers, set.Kinds = 80, []EndpointKind{{16, 32768}}
-	set.Classes = append(set.Classes, Class{LatencyObjective: 4000, Deadline: 20000, PriorityWeight: 20, Threads: 2, LocksGroup: true, Idempotency: NotIdempotent})
-	ru := set.Rules
-	half := ru.OverloadRatio * ru.SlowStartCapacityRatio * usableCores * 16 * ru.OverloadWindow / 2
+	settings := plainSettings()
+	settings.Balancers, settings.Kinds = 80, []EndpointKind{{16, 32768}}
+	settings.Classes = append(settings.Classes, Class{LatencyObjective: 4000, Deadline: 20000, PriorityWeight: 20, Threads: 2, LocksGroup: true, Idempotency: NotIdempotent})
+	rules := settings.Rules
+	half := rules.OverloadRatio * rules.SlowStartCapacityRatio * usableCores * 16 * rules.OverloadWindow / 2
 	sent, works := 0.0, []float64{80, half / 3.2, half / 1.2}
-	for self := range set.Balancers {
-		set.BalancerIndex = self
-		s := newScript(t, set, 0)
-		for i, w := range works {
-			s.balancer.estimates.classes[i].work = w
+	for index := range settings.Balancers {
+		settings.BalancerIndex = index
+		s := newScript(t, settings, 0)
+		for i, work := range works {
+			s.balancer.estimates.classes[i].work = work
 		}
 		s.at(5000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 4990}}})
-		for i := range 2 { // each sees few
+		for i := range 2 { // each balancer has only two long queries
 			id := RequestID(fmt.Sprint(i))
 			s.at(5000, RequestArrived{ID: id, Class: 1 + i%2, Group: uint64(i), TimeLeft: 14000})
 			if s.sentTo(id) != 0 {
@@ -218,6 +223,6 @@
 		}
 	}
 	if sent > half || sent < 0.9*half {
-		t.Fatalf("%.0f of %.0f ms of work sent by all to a cold engine in a turn", sent, half)
+		t.Fatalf("all balancers send %.0f of %.0f ms of work to a warming endpoint in one turn", sent, half)
 	}
 }
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -11,22 +11,24 @@
 	"testing"
 )
 
-var slowStartSeeds = flag.Int("slow-start-seeds", 200, "plays of each size of fleet against warming endpoints")
+var slowStartSeeds = flag.Int("slow-start-seeds", 200, "number of simulations of slow start for each number of balancers")
 
-// chanceOver is what may reach a cold engine beyond a budget of n calls and still be put down to chance.
-func chanceOver(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+// randomExcess returns by how many attempts a budget of n attempts may be exceeded at random.
+func randomExcess(n float64) float64 { return 2*math.Sqrt(n) + 2 }
 
+// scheduledEvent is a function to call at a simulated time. Events of the same time run in order of sequence.
 type scheduledEvent struct {
-	at  Millis
-	seq int
-	do  func()
+	at       Millis
+	sequence int
+	do       func()
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
@@ -36,83 +38,88 @@
 	return e
 }
 
-// warmingEndpoint is one engine: a server of so many cores that shares them evenly and gets warm with its age.
+// warmingEndpoint is a simulated endpoint. It slows down evenly when overloaded, and its capacity grows with its age.
 type warmingEndpoint struct {
 	id        EndpointID
-	startedAt Millis // 0: long ago
-	downUntil Millis // no connection comes up before
+	startedAt Millis // 0: long before the simulation
+	downUntil Millis // connections are refused before this time
 	removed   bool
-	threads   float64 // that run now
-	received  []sentWork
+	threads   float64    // in use
+	received  []sentWork // attempts within the last overload window, in requests of mean work
 }
 
-// slowStartFleet is gateways in virtual time before engines of which some start cold.
+// slowStartFleet simulates balancers and endpoints, some of which start during the simulation.
 type slowStartFleet struct {
 	test          *testing.T
 	rng           *rand.Rand
 	settings      Settings
-	meanWork      []float64 // true mean work of each class, ms
-	trafficRatios []float64 // of the requests
+	meanWork      []float64 // actual mean work of each class, ms on one core
+	trafficRatios []float64 // ratio of requests by class
 	queue         eventQueue
 	sequence      int
 	now           Millis
 	balancers     []*simulatedBalancer
 	endpoints     map[EndpointID]*warmingEndpoint
-	misconfigure  func(*Settings) // what gateways hold for true otherwise; nil: nothing
-	worstExcess   float64         // by how much a budget was passed at most, in parts of what chance allows
-	receivedWork  float64         // calls of mean work at all cold engines
-	budgetWork    float64         // what these bear in all, of the same
+	misconfigure  func(*Settings) // changes the settings of the balancers only; nil: no change
+	worstExcess   float64         // largest excess over a budget, as a ratio of randomExcess
+	receivedWork  float64         // attempts at all warming endpoints, in requests of mean work
+	budgetWork    float64         // budget of all warming endpoints, in the same unit
 }
 
+// simulatedBalancer is one balancer of the fleet with its open requests.
 type simulatedBalancer struct {
 	fleet       *slowStartFleet
-	self        int
+	index       int
 	balancer    *Balancer
-	incarnation int // restarts: events of an earlier life are dropped
-	notifiedAt  map[EndpointID]Millis
-	listDelay   Millis // of its lists
+	incarnation int                   // number of starts; events of an earlier incarnation are dropped
+	notifiedAt  map[EndpointID]Millis // time at which the balancer learned of an endpoint's start
+	listDelay   Millis                // mean delay of its endpoint updates
 	open        map[RequestID]*simulatedRequest
-	weight      float64
+	weight      float64 // of its share of the traffic
 }
 
+// simulatedRequest is an open request of a balancer.
 type simulatedRequest struct {
 	class    int
 	attempts int
 	cancel   func()
 }
 
+// after schedules a function after a delay.
 func (f *slowStartFleet) after(d Millis, do func()) {
 	f.sequence++
 	heap.Push(&f.queue, scheduledEvent{f.now + max(d, 0), f.sequence, do})
 }
 
-// mean is the mean work of a request, ms of all threads.
-func (f *slowStartFleet) mean() (m float64) {
+// meanRequestWork is the mean work of a request over all classes, in ms on one core.
+func (f *slowStartFleet) meanRequestWork() (mean float64) {
 	for i, w := range f.meanWork {
-		m += w * f.trafficRatios[i]
+		mean += w * f.trafficRatios[i]
 	}
-	return m
+	return mean
 }
 
-func (f *slowStartFleet) cold(e *warmingEndpoint) bool {
+// warming reports whether the endpoint is in slow start.
+func (f *slowStartFleet) warming(e *warmingEndpoint) bool {
 	return !e.removed && e.startedAt > 0 && f.now >= e.startedAt && f.now < e.startedAt+f.settings.Rules.SlowStartDuration
 }
 
-// budget is how many calls of mean work a cold engine bears now in the span of the rule.
+// budget is the number of requests of mean work that an endpoint withstands within an overload window now.
 func (f *slowStartFleet) budget(e *warmingEndpoint) float64 {
 	r := f.settings.Rules
-	return r.OverloadRatio * f.part(e) * f.settings.Kinds[0].Cores * usableCores * r.OverloadWindow / f.mean()
+	return r.OverloadRatio * f.capacityRatio(e) * f.settings.Kinds[0].Cores * usableCores * r.OverloadWindow / f.meanRequestWork()
 }
 
-// part is the part of its capacity that an engine has at a time.
-func (f *slowStartFleet) part(e *warmingEndpoint) float64 {
+// capacityRatio is the ratio of its full capacity that an endpoint has now.
+func (f *slowStartFleet) capacityRatio(e *warmingEndpoint) float64 {
 	r := f.settings.Rules
-	if !f.cold(e) {
+	if !f.warming(e) {
 		return 1
 	}
 	return min(r.SlowStartCapacityRatio+(1-r.SlowStartCapacityRatio)*(f.now-e.startedAt)/r.SlowStartDuration, 1)
 }
 
+// list returns the endpoint list as it is now.
 func (f *slowStartFleet) list() (l []EndpointInfo) {
 	for _, e := range f.endpoints {
 		if !e.removed && f.now >= e.downUntil {
@@ -123,9 +130,10 @@
 	return l
 }
 
-// epoch is the Unix millisecond at which plays begin.
+// epoch is the Unix time in ms at which simulations begin.
 const epoch = 1.7e12
 
+// entry returns the endpoint's entry in the list.
 func (e *warmingEndpoint) entry() EndpointInfo {
 	l := EndpointInfo{ID: e.id, State: EndpointReady, Cell: int(e.id) % 3}
 	if e.startedAt > 0 {
@@ -134,119 +142,121 @@
 	return l
 }
 
-// tell brings a gateway an entry, by its own lag and the day's.
-func (f *slowStartFleet) tell(entry EndpointInfo) {
-	for _, w := range f.balancers {
-		life := w.incarnation
-		f.after(w.listDelay*(0.5+f.rng.Float64()), func() {
-			if w.incarnation != life {
+// notify sends an entry to all balancers, each after a random delay around its listDelay.
+func (f *slowStartFleet) notify(entry EndpointInfo) {
+	for _, b := range f.balancers {
+		incarnation := b.incarnation
+		f.after(b.listDelay*(0.5+f.rng.Float64()), func() {
+			if b.incarnation != incarnation {
 				return
 			}
 			if entry.State == EndpointReady && entry.StartedAt > 0 {
-				w.notifiedAt[entry.ID] = f.now
+				b.notifiedAt[entry.ID] = f.now
 			}
-			w.handle(EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{entry}})
+			b.handle(EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{entry}})
 		})
 	}
 }
 
-// begin starts a gateway anew; its list is the present one.
-func (w *simulatedBalancer) begin() {
-	set := w.fleet.settings
-	set.BalancerIndex = w.self
-	if w.fleet.misconfigure != nil {
-		w.fleet.misconfigure(&set)
+// start starts or restarts the balancer with the current endpoint list.
+func (b *simulatedBalancer) start() {
+	settings := b.fleet.settings
+	settings.BalancerIndex = b.index
+	if b.fleet.misconfigure != nil {
+		b.fleet.misconfigure(&settings)
 	}
-	g, err := New(set, w.fleet.rng.Uint64())
+	balancer, err := New(settings, b.fleet.rng.Uint64())
 	if err != nil {
-		w.fleet.test.Fatal(err)
+		b.fleet.test.Fatal(err)
 	}
-	for _, r := range w.open {
+	for _, r := range b.open {
 		r.cancel()
 	}
-	w.balancer, w.incarnation, w.open, w.notifiedAt = g, w.incarnation+1, map[RequestID]*simulatedRequest{}, map[EndpointID]Millis{}
-	l := w.fleet.list()
+	b.balancer, b.incarnation, b.open, b.notifiedAt = balancer, b.incarnation+1, map[RequestID]*simulatedRequest{}, map[EndpointID]Millis{}
+	l := b.fleet.list()
 	for _, e := range l {
 		if e.StartedAt > 0 {
-			w.notifiedAt[e.ID] = w.fleet.now
+			b.notifiedAt[e.ID] = b.fleet.now
 		}
 	}
-	w.handle(EndpointUpdate{Kind: UpdateCached, Entries: l})
+	b.handle(EndpointUpdate{Kind: UpdateCached, Entries: l})
 }
 
-func (w *simulatedBalancer) handle(ev Event) {
-	f, life := w.fleet, w.incarnation
+// handle passes an event to the balancer and carries out its actions.
+func (b *simulatedBalancer) handle(ev Event) {
+	f, incarnation := b.fleet, b.incarnation
 	later := func(d Millis, do func()) {
 		f.after(d, func() {
-			if w.incarnation == life {
+			if b.incarnation == incarnation {
 				do()
 			}
 		})
 	}
-	for _, a := range w.balancer.Handle(epoch+f.now, ev) {
+	for _, a := range b.balancer.Handle(epoch+f.now, ev) {
 		switch a := a.(type) {
 		case StartTimer:
-			later(a.After, func() { w.handle(TimerFired{a.Token}) })
+			later(a.After, func() { b.handle(TimerFired{a.Token}) })
 		case Probe:
-			e, o := f.endpoints[a.Endpoint], OutcomeSucceeded
+			e, outcome := f.endpoints[a.Endpoint], OutcomeSucceeded
 			var load *LoadReport
 			if e == nil || e.removed || f.now < e.downUntil {
-				o = OutcomeConnectFailed
+				outcome = OutcomeConnectFailed
 			} else if f.settings.LoadReportsEnabled {
 				load = &LoadReport{InFlight: e.threads / 2, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
 			}
-			later(2, func() { w.handle(ProbeEnded{Endpoint: a.Endpoint, Outcome: o, Load: load, Latency: 2}) })
+			later(2, func() { b.handle(ProbeEnded{Endpoint: a.Endpoint, Outcome: outcome, Load: load, Latency: 2}) })
 		case StartAttempt:
-			w.send(a, later)
+			b.send(a, later)
 		case CancelAttempt:
-			if r := w.open[a.ID]; r != nil && a.Attempt == r.attempts-1 {
+			if r := b.open[a.ID]; r != nil && a.Attempt == r.attempts-1 {
 				r.cancel()
-				later(1, func() { w.handle(AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: OutcomeCancelled, Latency: 1}) })
+				later(1, func() { b.handle(AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: OutcomeCancelled, Latency: 1}) })
 			}
 		}
 	}
 }
 
-// send carries an attempt out and books it at a cold engine of whose start the gateway was told.
-func (w *simulatedBalancer) send(a StartAttempt, later func(Millis, func())) {
-	f, r, e := w.fleet, w.open[a.ID], w.fleet.endpoints[a.Endpoint]
+// send carries out an attempt. It records the attempt at a warming endpoint of whose start the balancer has been
+// notified.
+func (b *simulatedBalancer) send(a StartAttempt, later func(Millis, func())) {
+	f, r, e := b.fleet, b.open[a.ID], b.fleet.endpoints[a.Endpoint]
 	if r == nil {
 		return
 	}
-	n, sent := r.attempts, f.now
+	attempt, sentAt := r.attempts, f.now
 	r.attempts++
-	end := func(o Outcome, work float64) {
-		w.handle(AttemptEnded{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Outcome: o, Latency: f.now - sent, RequestClosed: o == OutcomeSucceeded, ActualWork: work})
+	end := func(outcome Outcome, work float64) {
+		b.handle(AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: outcome, Latency: f.now - sentAt, RequestClosed: outcome == OutcomeSucceeded, ActualWork: work})
 	}
 	r.cancel = func() {}
 	if e == nil || e.removed || f.now < e.downUntil {
 		later(1, func() { end(OutcomeConnectFailed, 0) })
 		return
 	}
-	if at, told := w.notifiedAt[e.id]; told && at >= e.startedAt && f.cold(e) {
-		f.book(e, r.class)
+	if at, notified := b.notifiedAt[e.id]; notified && at >= e.startedAt && f.warming(e) {
+		f.recordAttempt(e, r.class)
 	}
 	c := f.settings.Classes[r.class]
 	work := f.meanWork[r.class] * math.Exp(f.rng.NormFloat64()*0.8-0.32)
 	threads := float64(c.Threads)
 	e.threads += threads
-	was := e.startedAt
-	crowd := max(e.threads/(f.settings.Kinds[0].Cores*usableCores*f.part(e)), 1)
-	over, done := false, false
+	startedAt := e.startedAt
+	slowdown := max(e.threads/(f.settings.Kinds[0].Cores*usableCores*f.capacityRatio(e)), 1)
+	cancelled, done := false, false
 	free := func() {
 		if !done {
 			done = true
 			e.threads -= threads
 		}
 	}
-	r.cancel = func() { over = true; free() }
-	f.after(work/threads*crowd, func() {
+	r.cancel = func() { cancelled = true; free() }
+	f.after(work/threads*slowdown, func() {
 		free()
-		if over {
+		if cancelled {
 			return
 		}
 		later(0, func() {
-			if e.removed || e.startedAt != was {
+			if e.removed || e.startedAt != startedAt {
 				end(OutcomeReset, 0)
 			} else {
 				end(OutcomeSucceeded, work)
@@ -255,45 +265,47 @@
 	})
 }
 
-// book counts a call at a cold engine, in requests of mean work over the span of the rule, against what it bears.
-func (f *slowStartFleet) book(e *warmingEndpoint, class int) {
-	one := f.meanWork[class] / f.mean()
-	e.received = append(slices.DeleteFunc(e.received, func(s sentWork) bool { return s.at <= f.now-f.settings.Rules.OverloadWindow }), sentWork{f.now, one})
+// recordAttempt compares the attempts at a warming endpoint within an overload window, in requests of mean work, with
+// its budget.
+func (f *slowStartFleet) recordAttempt(e *warmingEndpoint, class int) {
+	requests := f.meanWork[class] / f.meanRequestWork()
+	e.received = append(slices.DeleteFunc(e.received, func(s sentWork) bool { return s.at <= f.now-f.settings.Rules.OverloadWindow }), sentWork{f.now, requests})
 	sum := 0.0
 	for _, s := range e.received {
 		sum += s.work
 	}
 	n := f.budget(e)
-	f.worstExcess = max(f.worstExcess, (sum-n)/chanceOver(n))
-	f.receivedWork += one
+	f.worstExcess = max(f.worstExcess, (sum-n)/randomExcess(n))
+	f.receivedWork += requests
 }
 
-func (w *simulatedBalancer) arrive(id int) {
-	f := w.fleet
-	x, class := f.rng.Float64(), 0
-	for class < len(f.trafficRatios)-1 && x > f.trafficRatios[class] {
-		x, class = x-f.trafficRatios[class], class+1
+// arrive lets a request of a random class arrive.
+func (b *simulatedBalancer) arrive(id int) {
+	f := b.fleet
+	draw, class := f.rng.Float64(), 0
+	for class < len(f.trafficRatios)-1 && draw > f.trafficRatios[class] {
+		draw, class = draw-f.trafficRatios[class], class+1
 	}
-	name := RequestID(fmt.Sprint(w.incarnation, "-", id))
-	w.open[name] = &simulatedRequest{class: class, cancel: func() {}}
-	cost := f.meanWork[class] * math.Exp(f.rng.NormFloat64()*0.4)
-	w.handle(RequestArrived{ID: name, Class: class, Group: f.rng.Uint64N(40), TimeLeft: f.settings.Classes[class].Deadline, EstimatedWork: cost})
+	requestID := RequestID(fmt.Sprint(b.incarnation, "-", id))
+	b.open[requestID] = &simulatedRequest{class: class, cancel: func() {}}
+	estimatedWork := f.meanWork[class] * math.Exp(f.rng.NormFloat64()*0.4)
+	b.handle(RequestArrived{ID: requestID, Class: class, Group: f.rng.Uint64N(40), TimeLeft: f.settings.Classes[class].Deadline, EstimatedWork: estimatedWork})
 }
 
-// playSlowStartFleet draws a site, a load and starts of engines, and plays 26 s. It gives by how much a budget was passed, in
-// parts of what is put down to chance (above 1: a break), and the use of all budgets. What gateways hold for true may
-// differ from the site by believed.
-func playSlowStartFleet(t *testing.T, gateways int, seed uint64, believed func(*Settings)) (most, used float64) {
-	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
+// simulateSlowStartFleet draws random settings, traffic and starts of endpoints, and simulates 26 s. It returns the
+// largest excess over a budget as a ratio of randomExcess (above 1: a violation) and the ratio of all budgets that was
+// used. misconfigure changes the settings of the balancers, but not those of the simulated endpoints.
+func simulateSlowStartFleet(t *testing.T, balancers int, seed uint64, misconfigure func(*Settings)) (worstExcess, usedRatio float64) {
+	rng := rand.New(rand.NewPCG(seed, uint64(balancers)))
 	between := func(a, b float64) float64 { return a + (b-a)*rng.Float64() }
-	f := &slowStartFleet{test: t, rng: rng, endpoints: map[EndpointID]*warmingEndpoint{}, misconfigure: believed, worstExcess: math.Inf(-1)}
+	f := &slowStartFleet{test: t, rng: rng, endpoints: map[EndpointID]*warmingEndpoint{}, misconfigure: misconfigure, worstExcess: math.Inf(-1)}
 	f.meanWork = []float64{between(50, 230), between(2500, 5900), between(2800, 7800)}
 	f.trafficRatios = []float64{between(10, 18), between(2, 2.9), between(0.5, 1.3)}
-	all := f.trafficRatios[0] + f.trafficRatios[1] + f.trafficRatios[2]
+	sum := f.trafficRatios[0] + f.trafficRatios[1] + f.trafficRatios[2]
 	for i := range f.trafficRatios {
-		f.trafficRatios[i] /= all
+		f.trafficRatios[i] /= sum
 	}
-	f.settings = Settings{Balancers: gateways, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: true, MaxRetryAfter: 500, ActualCostReported: rng.IntN(2) == 0,
+	f.settings = Settings{Balancers: balancers, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: true, MaxRetryAfter: 500, ActualCostReported: rng.IntN(2) == 0,
 		Kinds: []EndpointKind{{Cores: float64(8 + 4*rng.IntN(3))}}, ProbesEnabled: rng.IntN(2) == 0, LoadReportsEnabled: rng.IntN(2) == 0, ProbeCost: 0.01,
 		Classes: []Class{{LatencyObjective: 500, Deadline: 2500, Threads: 1, PriorityWeight: 1, LateWeightRatio: 0.1, ObjectivePerWork: 1.5},
 			{LatencyObjective: 1500, Deadline: 15000, Threads: 4, PriorityWeight: 20, LateWeightRatio: 0.4, ObjectivePerWork: 2.5},
@@ -303,35 +315,35 @@
 	for i := range servers {
 		f.endpoints[EndpointID(i+1)] = &warmingEndpoint{id: EndpointID(i + 1)}
 	}
-	for i := range gateways {
-		w := &simulatedBalancer{fleet: f, self: i, listDelay: between(50, 4000), weight: rng.ExpFloat64() + 0.05}
-		f.balancers = append(f.balancers, w)
-		w.begin()
+	for i := range balancers {
+		b := &simulatedBalancer{fleet: f, index: i, listDelay: between(50, 4000), weight: rng.ExpFloat64() + 0.05}
+		f.balancers = append(f.balancers, b)
+		b.start()
 	}
-	total := 0.0
-	for _, w := range f.balancers {
-		total += w.weight
+	totalWeight := 0.0
+	for _, b := range f.balancers {
+		totalWeight += b.weight
 	}
-	rate := between(0.6, 1.3) * float64(servers) * f.settings.Kinds[0].Cores * usableCores / f.mean() // a ms, by all
+	rate := between(0.6, 1.3) * float64(servers) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
 	ids := 0
-	for _, w := range f.balancers {
+	for _, b := range f.balancers {
 		var next func()
 		next = func() {
 			ids++
-			w.arrive(ids)
-			f.after(rng.ExpFloat64()/(rate*w.weight/total), next)
+			b.arrive(ids)
+			f.after(rng.ExpFloat64()/(rate*b.weight/totalWeight), next)
 		}
-		f.after(rng.ExpFloat64()/(rate*w.weight/total), next)
+		f.after(rng.ExpFloat64()/(rate*b.weight/totalWeight), next)
 	}
-	for i := range 1 + rng.IntN(servers*7/10) { // some are replaced, some restart
+	for i := range 1 + rng.IntN(servers*7/10) { // half of them are replaced, the others restart
 		e, at := f.endpoints[EndpointID(i+1)], between(3000, 7000)
 		if rng.IntN(2) == 0 {
 			f.after(at, func() {
 				e.removed = true
-				f.tell(EndpointInfo{ID: e.id, State: EndpointRemoved})
-				fresh := &warmingEndpoint{id: e.id + 1000, startedAt: f.now}
-				f.endpoints[fresh.id] = fresh
-				f.tell(fresh.entry())
+				f.notify(EndpointInfo{ID: e.id, State: EndpointRemoved})
+				replacement := &warmingEndpoint{id: e.id + 1000, startedAt: f.now}
+				f.endpoints[replacement.id] = replacement
+				f.notify(replacement.entry())
 			})
 			continue
 		}
@@ -339,25 +351,25 @@
 			e.startedAt = f.now + between(300, 4000)
 			e.downUntil = e.startedAt
 			f.after(e.downUntil-f.now, func() {
-				f.tell(e.entry())
+				f.notify(e.entry())
 			})
 		})
 	}
-	for range rng.IntN(gateways/2 + 1) { // during the ramps
-		w := f.balancers[rng.IntN(gateways)]
-		f.after(between(5000, 15000), w.begin)
+	for range rng.IntN(balancers/2 + 1) { // balancers that restart during slow start
+		b := f.balancers[rng.IntN(balancers)]
+		f.after(between(5000, 15000), b.start)
 	}
 	const step = 100
-	var look func()
-	look = func() {
+	var sumBudgets func()
+	sumBudgets = func() {
 		for _, e := range f.endpoints {
-			if f.cold(e) {
+			if f.warming(e) {
 				f.budgetWork += f.budget(e) * step / f.settings.Rules.OverloadWindow
 			}
 		}
-		f.after(step, look)
+		f.after(step, sumBudgets)
 	}
-	look()
+	sumBudgets()
 	for f.now < 26000 && len(f.queue) > 0 {
 		ev := heap.Pop(&f.queue).(scheduledEvent)
 		f.now = ev.at
@@ -366,45 +378,46 @@
 	return f.worstExcess, f.receivedWork / max(f.budgetWork, 1)
 }
 
-// The ramp holds for the fleet: what all gateways that know of a start send to the cold engine stays within its budget
-// and what is put down to chance, however many they are, however unequal their traffic, and whenever each was told or
-// started anew. And the engine is not starved.
+// TestSlowStartHoldsForTheFleet checks that the attempts of all balancers that know of an endpoint's start stay within
+// its budget, apart from a random excess, for several numbers of balancers, with unequal traffic, different
+// notification times and restarts of balancers, and that warming endpoints still get work.
 func TestSlowStartHoldsForTheFleet(t *testing.T) {
-	for _, gateways := range []int{3, 20, 30} {
-		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
+	for _, balancers := range []int{3, 20, 30} {
+		t.Run(fmt.Sprint(balancers), func(t *testing.T) {
 			t.Parallel()
-			worst, sum, broken := math.Inf(-1), 0.0, 0
+			worst, sum, violations := math.Inf(-1), 0.0, 0
 			for seed := range *slowStartSeeds {
-				most, used := playSlowStartFleet(t, gateways, uint64(seed+1), nil)
-				if most > 1 {
-					broken++
-					t.Errorf("seed %d: a budget was passed by %.2f of what is put down to chance", seed+1, most)
+				excess, used := simulateSlowStartFleet(t, balancers, uint64(seed+1), nil)
+				if excess > 1 {
+					violations++
+					t.Errorf("seed %d: a budget was exceeded by %.2f times randomExcess", seed+1, excess)
 				}
-				worst, sum = max(worst, most), sum+used
+				worst, sum = max(worst, excess), sum+used
 			}
 			mean := sum / float64(*slowStartSeeds)
-			t.Logf("%d gateways, %d plays: %d broken, worst %.2f of what is put down to chance, use of the budget %.2f", gateways, *slowStartSeeds, broken, worst, mean)
+			t.Logf("%d balancers, %d simulations: %d with violations, worst excess %.2f times randomExcess, ratio of the budget used %.2f", balancers, *slowStartSeeds, violations, worst, mean)
 			if mean < 0.05 {
-				t.Errorf("cold engines are starved: they get %.3f of what they bear", mean)
+				t.Errorf("warming endpoints get only %.3f of their budget", mean)
 			}
 		})
 	}
 }
 
-// The checker sees a ramp that is missing, and one that each gateway keeps as if it were alone.
+// TestFleetCheckerDetectsMissingSlowStart checks that the simulation detects balancers without slow start, and
+// balancers that each use the complete budget.
 func TestFleetCheckerDetectsMissingSlowStart(t *testing.T) {
-	for name, believed := range map[string]func(*Settings){
-		"no ramp":      func(s *Settings) { s.Rules.SlowStartDuration = 0 },
-		"each its own": func(s *Settings) { s.Balancers, s.BalancerIndex = 1, 0 },
+	for name, misconfigure := range map[string]func(*Settings){
+		"no slow start":                       func(s *Settings) { s.Rules.SlowStartDuration = 0 },
+		"each balancer uses the whole budget": func(s *Settings) { s.Balancers, s.BalancerIndex = 1, 0 },
 	} {
-		broken := 0
+		violations := 0
 		for seed := range uint64(30) {
-			if most, _ := playSlowStartFleet(t, 20, seed+1, believed); most > 1 {
-				broken++
+			if excess, _ := simulateSlowStartFleet(t, 20, seed+1, misconfigure); excess > 1 {
+				violations++
 			}
 		}
-		if t.Logf("%s: %d of 30 plays broken", name, broken); broken < 3 {
-			t.Errorf("%s: %d of 30 plays broken", name, broken)
+		if t.Logf("%s: violations in %d of 30 simulations", name, violations); violations < 3 {
+			t.Errorf("%s: violations in only %d of 30 simulations", name, violations)
 		}
 	}
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -6,7 +6,7 @@
 	"aniseloft/decide"
 )
 
-// decodeEvent reads a message to one balancer.
+// decodeEvent returns the event in a message to one balancer.
 func (h *Host) decodeEvent(m *message) (decide.Event, error) {
 	if err := m.require(field{"gateway", m.Balancer == nil}); err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 	return decide.GossipReceived{From: *m.Sender, Data: data}, nil
 }
 
-// outcomes maps the wire's numbers of outcomes; it has none for decide.OutcomeAnswerLost.
+// outcomes maps the wire's numbers to outcomes. The wire has no number for decide.OutcomeAnswerLost.
 var outcomes = map[int]decide.Outcome{
 	10: decide.OutcomeSucceeded,
 	20: decide.OutcomeError,
@@ -170,13 +170,13 @@
 	costMemoryStepMB = 4
 )
 
-// actualCost splits the wire's single number for an attempt's actual cost: work in ms on one core above, memory in
-// steps of 4 MB in the low 12 bits.
+// actualCost splits the wire's single number for an attempt's actual cost: memory in steps of 4 MB in the low 12 bits,
+// work in ms on one core in the bits above.
 func actualCost(cost uint64) (workMS, memoryMB float64) {
 	return float64(cost / costMemorySteps), float64(cost%costMemorySteps) * costMemoryStepMB
 }
 
-// decodeLoad reads a load report; nil: there is none. An absent value is -1.
+// decodeLoad returns a load report, or nil if there is none. An absent value is -1.
 func decodeLoad(usage map[string]float64) *decide.LoadReport {
 	if len(usage) == 0 {
 		return nil
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -20,7 +20,7 @@
 	actionSendGossip    = "Say"
 	actionLog           = "JournalLine"
 	actionSubscribe     = "Observe"
-	actionFault         = "Bug" // the balancer failed, or made an action that the wire does not know
+	actionFault         = "Bug" // the balancer panicked or returned an action that the wire has no form for
 )
 
 type (
@@ -64,7 +64,7 @@
 	sendGossipAction struct {
 		Kind     string `json:"what"`
 		Balancer int    `json:"gateway"`
-		Receiver *int   `json:"neighbourId"` // nil: all
+		Receiver *int   `json:"neighbourId"` // nil: all balancers
 		Data     string `json:"contents"`    // base64
 	}
 	textAction struct {
@@ -114,7 +114,7 @@
 	return encoded
 }
 
-// ejectionWords are the wire's words for the reasons of an ejection.
+// ejectionWords are the texts for the reasons of an ejection on the wire.
 var ejectionWords = map[decide.EjectionReason]string{
 	decide.EjectedConnectFailed:     "connections fail",
 	decide.EjectedDomainUnreachable: "those alike refuse",
--- a/internal/wire/fields_test.go
+++ b/internal/wire/fields_test.go
@@ -17,10 +17,10 @@
 	"aniseloft/internal/golden"
 )
 
-const page = "../../docs/settings.md"
+const settingsPage = "../../docs/settings.md"
 
-// readersOfSettings returns the packages that read each field of decide's settings, by the field's qualified name, from the
-// code itself.
+// readersOfSettings returns the packages whose code reads each field of decide's settings, by the field's qualified
+// name.
 func readersOfSettings(t *testing.T) map[string][]string {
 	loaded, err := packages.Load(&packages.Config{
 		Mode: packages.NeedName | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports,
@@ -32,7 +32,7 @@
 		require.Empty(t, p.Errors)
 		reader := strings.TrimPrefix(p.PkgPath, "aniseloft/")
 		for _, file := range p.Syntax {
-			// Checking a field is no use of it.
+			// Validation of a field does not count as use.
 			if name := p.Fset.Position(file.Pos()).Filename; strings.HasSuffix(name, "decide/validate.go") {
 				continue
 			}
@@ -46,7 +46,7 @@
 	return readers
 }
 
-// settingsFieldsRead returns the qualified names of the settings' fields that a file reads. Writing one is no use of it.
+// settingsFieldsRead returns the qualified names of the settings' fields that a file reads. Assignments do not count.
 func settingsFieldsRead(info *types.Info, file *ast.File) (names []string) {
 	written := map[ast.Expr]bool{}
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -72,15 +72,15 @@
 		return "", false
 	}
 	for _, owner := range []string{"Settings", "Class", "Rules", "EndpointKind", "Tenant"} {
-		if has(field, owner) {
+		if belongsTo(field, owner) {
 			return owner + "." + field.Name(), true
 		}
 	}
 	return "", false
 }
 
-// has tells whether the field belongs to that type of decide.
-func has(v *types.Var, owner string) bool {
+// belongsTo reports whether the field is declared in the named type of package decide.
+func belongsTo(v *types.Var, owner string) bool {
 	st, ok := v.Pkg().Scope().Lookup(owner).Type().Underlying().(*types.Struct)
 	if !ok {
 		return false
@@ -93,76 +93,77 @@
 	return false
 }
 
-// What a part of the program reads of the settings has a row in the table, and the page is the table.
-func TestSettingsPageIsDrawnFromTheCode(t *testing.T) {
-	of := readersOfSettings(t)
-	require.Greater(t, len(of), 40, "the search finds what is read")
+// TestSettingsPageMatchesCode checks that each field of the settings that the program reads is in SettingsFields, and
+// that docs/settings.md is up to date.
+func TestSettingsPageMatchesCode(t *testing.T) {
+	readers := readersOfSettings(t)
+	require.Greater(t, len(readers), 40, "the search finds most fields")
 	rows := map[string]bool{}
 	for _, f := range SettingsFields {
 		rows[f.Target] = true
 		require.NotEmpty(t, f.Effect, f.Path)
 		require.Equal(t, f.Target != "", f.Default != "", f.Path)
 	}
-	// MaxInFlight is the program's own bound, from its limits; RetryBudgetEnabled is the presence of its field.
-	own := []string{"Settings.MaxInFlight", "Rules.RetryBudgetEnabled", "Settings.Classes", "Settings.Kinds", "Settings.Tenants", "Settings.Rules"}
-	for name := range of {
-		require.True(t, rows[name] || slices.Contains(own, name), "%s is read and has no row in wire.SettingsFields", name)
+	// MaxInFlight is set from the program's own limits; RetryBudgetEnabled from the presence of rules.repeatRatio.
+	exempt := []string{"Settings.MaxInFlight", "Rules.RetryBudgetEnabled", "Settings.Classes", "Settings.Kinds", "Settings.Tenants", "Settings.Rules"}
+	for name := range readers {
+		require.True(t, rows[name] || slices.Contains(exempt, name), "%s is read but not in wire.SettingsFields", name)
 	}
 	var b strings.Builder
-	b.WriteString("# Settings\n\nThe `settings` of a coordinator's configuration: each field, which part reads it, what it changes and what its absence\n" +
-		"means. This page is drawn from `internal/wire/fields.go` and from the code that reads each field; a test holds it to both\n" +
-		"(`go test ./internal/wire -run SettingsPage -update` writes it anew). `aniseloftctl check config FILE` tells what is\n" +
-		"wrong with a configuration; a field that is not here is passed over, with a line in the log.\n\n" +
-		"| field | read by | what it changes | absent |\n| --- | --- | --- | --- |\n")
+	b.WriteString("# Settings\n\nThe `settings` of a coordinator's configuration: each field, the packages that read it, its effect and the meaning of its\n" +
+		"absence. This page is generated from `internal/wire/fields.go` and from the code that reads each field; a test checks that\n" +
+		"it is up to date (`go test ./internal/wire -run SettingsPage -update` rewrites it). `aniseloftctl check config FILE`\n" +
+		"reports the problems of a configuration. A field that is not listed here is ignored, with a line in the log.\n\n" +
+		"| field | read by | effect | if absent |\n| --- | --- | --- | --- |\n")
 	for _, f := range SettingsFields {
-		by := slices.Clone(of[f.Target])
-		slices.Sort(by)
-		what := strings.Join(by, ", ")
-		if f.Target == "" || what == "" {
-			what = "-"
+		readingPackages := slices.Clone(readers[f.Target])
+		slices.Sort(readingPackages)
+		readBy := strings.Join(readingPackages, ", ")
+		if f.Target == "" || readBy == "" {
+			readBy = "-"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Path, what, f.Effect, f.Default)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", f.Path, readBy, f.Effect, f.Default)
 	}
 	if *golden.Update {
-		require.NoError(t, os.WriteFile(page, []byte(b.String()), 0o644))
+		require.NoError(t, os.WriteFile(settingsPage, []byte(b.String()), 0o644))
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(settingsPage)
 	require.NoError(t, err)
 	require.Equal(t, b.String(), string(got), "the page is out of date: run with -update")
 }
 
-// Each field that the decoder takes has a row, and each row that is said to be read is decoded.
-func TestEveryDecodedFieldHasARow(t *testing.T) {
+// TestEveryDecodedFieldIsListed checks that exactly the fields with a target in SettingsFields are decoded.
+func TestEveryDecodedFieldIsListed(t *testing.T) {
 	var paths []string
-	var walk func(of reflect.Type, at string)
-	walk = func(of reflect.Type, at string) {
-		switch of.Kind() {
+	var walk func(typ reflect.Type, path string)
+	walk = func(typ reflect.Type, path string) {
+		switch typ.Kind() {
 		case reflect.Pointer:
-			walk(of.Elem(), at)
+			walk(typ.Elem(), path)
 		case reflect.Slice:
-			walk(of.Elem(), at+"[]")
+			walk(typ.Elem(), path+"[]")
 		case reflect.Struct:
-			for i := range of.NumField() {
-				f := of.Field(i)
-				walk(f.Type, strings.TrimPrefix(at+"."+f.Tag.Get("json"), "."))
+			for i := range typ.NumField() {
+				f := typ.Field(i)
+				walk(f.Type, strings.TrimPrefix(path+"."+f.Tag.Get("json"), "."))
 			}
 		default:
-			paths = append(paths, at)
+			paths = append(paths, path)
 		}
 	}
 	walk(reflect.TypeFor[params](), "")
-	var read []string
+	var listed []string
 	for _, f := range SettingsFields {
 		if f.Target != "" {
-			read = append(read, f.Path)
+			listed = append(listed, f.Path)
 		}
 	}
 	slices.Sort(paths)
-	slices.Sort(read)
-	require.Equal(t, paths, read)
+	slices.Sort(listed)
+	require.Equal(t, paths, listed)
 }
 
-func TestInspectTellsAllAtOnce(t *testing.T) {
+func TestInspectReportsAllFindings(t *testing.T) {
 	raw := `{"balancers":2,"me":5,"tickMs":5,"novel":{"x":1},"machineTypes":["std-16"],"zones":["a"],
 	 "bounds":{"sendCap":3,"maxRetryAfterMs":-5,"retryAfter":true,"fast":true},
 	 "domain":{"sizeCores":[16,0],"kindMemoryMb":[-1],"classThreads":[1,2],"progressMs":-1,"grantsCount":true},
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -12,9 +12,11 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/messages.jsonl are the simulator's messages to an instance, testdata/batches.jsonl lines that it sends.
-// The golden files were written by d9ce9f6: go test ./internal/wire -update
-func TestRecordedMessagesAreReadWhole(t *testing.T) {
+// testdata/messages.jsonl holds the simulator's messages to a balancer, testdata/batches.jsonl complete lines of input.
+// The golden files were written at commit d9ce9f6 by: go test ./internal/wire -update
+
+// TestRecordedMessagesAreDecodedCompletely checks that each field of each kind of message is decoded.
+func TestRecordedMessagesAreDecodedCompletely(t *testing.T) {
 	h := NewHost()
 	_, err := h.Batch([]byte(`{"timeMs":1,"round":1,"in":[{"what":"List","bank":5,"hosts":[` +
 		`{"engine":7,"rackZone":1,"model":2,"cohort":3,"condition":2,"launchedMs":4.5}]}]}`))
@@ -45,7 +47,7 @@
 	}, got)
 }
 
-func TestActionsAreWrittenAsRecorded(t *testing.T) {
+func TestActionsAreEncodedAsRecorded(t *testing.T) {
 	actions := []decide.Action{
 		decide.StartAttempt{ID: "c:a", Endpoint: 7, Timeout: 900.5},
 		decide.StartAttempt{ID: "c:a", Endpoint: 7},
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,7 +1,7 @@
-// Package wire carries the decision module's events and actions over the simulator's JSON wire, and reads the
-// settings that the simulator and the coordinator's configuration share. It decides nothing.
+// Package wire translates the decision module's events and actions from and to the simulator's JSON protocol, and
+// decodes the settings that the simulator and the coordinator's configuration share. It makes no decisions.
 //
-// The themed names of the wire and of the settings stand only here, in struct tags and in the constants beside
+// The names that the wire and the settings use are only here, in struct tags and in the constants beside
 // them; docs/glossary.md lists them with the terms that the code uses.
 package wire
 
@@ -13,11 +13,11 @@
 	"aniseloft/decide"
 )
 
-// ErrMalformed is wrapped by the errors of Host.Batch: the line can't be handled. Their texts name the message and
+// ErrMalformed is wrapped by the errors of Host.Batch for lines that can't be handled. Their texts name the message and
 // the field.
 var ErrMalformed = errors.New("malformed line")
 
-// malformed is an error of one text that wraps ErrMalformed.
+// malformed is an error that wraps ErrMalformed without adding its text.
 type malformed struct{ error }
 
 func (m malformed) Unwrap() []error { return []error{m.error, ErrMalformed} }
@@ -28,7 +28,7 @@
 // use.
 type Host struct {
 	balancers map[int]*decide.Balancer
-	lists     map[int][]decide.EndpointInfo // by the number under which they were sent
+	lists     map[int][]decide.EndpointInfo // by the numbers in their messages
 }
 
 // NewHost returns a host without balancers.
@@ -49,7 +49,7 @@
 	Actions []any `json:"decisions"`
 }
 
-// Batch answers one line of input with one line of output. Its errors wrap ErrMalformed.
+// Batch handles one line of input and returns one line of output. Its errors for input wrap ErrMalformed.
 func (h *Host) Batch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -106,7 +106,8 @@
 	return handleEvent(balancer, *m.Balancer, nowMS, event), nil
 }
 
-// handleEvent turns a panic of one balancer into the wire's fault action, so that the others go on.
+// handleEvent passes an event to a balancer and returns the encoded actions. It turns a panic of the balancer into the
+// wire's fault action, so that the other balancers continue.
 func handleEvent(balancer *decide.Balancer, index int, nowMS float64, event decide.Event) (encoded []any) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -119,7 +120,7 @@
 	return encoded
 }
 
-// storeList keeps an endpoint list for the updates that refer to it.
+// storeList stores an endpoint list for the updates that refer to it.
 func (h *Host) storeList(m *message) error {
 	if err := m.require(field{"bank", m.List == nil}); err != nil {
 		return err
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// start starts a balancer.
+// start starts a balancer with the settings and the seed of the message.
 func (h *Host) start(m *message) error {
 	if err := m.require(field{"gateway", m.Balancer == nil}, field{"prng", m.Seed == nil}); err != nil {
 		return err
--- a/internal/wire/inspect.go
+++ b/internal/wire/inspect.go
@@ -10,41 +10,41 @@
 	"aniseloft/internal/jsonfault"
 )
 
-// Finding is one thing that settings say and the program can't, or won't, follow.
+// Finding describes one field of the settings that is invalid, unknown or can't take effect as given.
 type Finding struct {
 	Field       string `json:"field"`
 	Value       string `json:"value"`
-	Message     string `json:"says"` // what is wrong with it
-	Consequence string `json:"then"` // what is done about it
+	Message     string `json:"says"` // description of the problem
+	Consequence string `json:"then"` // what the program does about it
 	Fatal       bool   `json:"fatal"`
 }
 
-// String is the one line of it.
+// String returns the finding as one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s = %s: %s; %s", f.Field, f.Value, f.Message, f.Consequence)
 }
 
-// FatalFinding is a finding that ends the start.
-func FatalFinding(field, value, says string) Finding {
-	return Finding{field, value, says, "the program does not start", true}
+// FatalFinding returns a finding that prevents the start of the program.
+func FatalFinding(field, value, message string) Finding {
+	return Finding{field, value, message, "the program does not start", true}
 }
 
-// DecodingFinding is the fatal finding for a text that could not be decoded into a value of target's type: the field, or
-// where the text is no JSON the whole, what is needed there and where that is. The decoder's own error names types of the
-// program; it stands only where the standard decoder finds nothing wrong.
-func DecodingFinding(whole string, raw []byte, target any, decodingError error) Finding {
+// DecodingFinding returns the fatal finding for a text that can't be decoded into a value of target's type. It names
+// the field, or the document if the text is not JSON, with the expected type and the position. The decoder's own error
+// names types of the program, so it is used only if the standard decoder finds no fault.
+func DecodingFinding(document string, raw []byte, target any, decodingError error) Finding {
 	fault, found := jsonfault.Find(raw, target)
 	switch {
 	case !found:
-		return FatalFinding(whole, "unreadable", decodingError.Error())
+		return FatalFinding(document, "unreadable", decodingError.Error())
 	case fault.Field == "":
-		return FatalFinding(whole, "unreadable", fault.Message())
+		return FatalFinding(document, "unreadable", fault.Message())
 	}
 	return FatalFinding(fault.Field, fault.Found, fault.Message())
 }
 
-// undecodedSettings is the fatal finding for settings that are JSON and can't be used: a value of the wrong kind, or else what
-// the decoder says of it.
+// undecodedSettings returns the fatal finding for settings that are JSON but can't be decoded: a value of the wrong
+// type or, if the standard decoder finds none, the decoder's own error.
 func undecodedSettings(raw []byte, decodingError error) Finding {
 	if fault, found := jsonfault.Find(raw, new(params)); found {
 		return FatalFinding("settings."+fault.Field, fault.Found, fault.Message()+" of the settings")
@@ -52,10 +52,10 @@
 	return FatalFinding("settings", "as given", decodingError.Error())
 }
 
-const maxValueBytes = 60 // bytes of a value that a line shows
+const maxValueBytes = 60 // longest part of a value that a finding shows, in bytes
 
-// Inspect reads settings and tells all that is wrong with them, the fatal things first: with one of
-// those they can't be used. What it leaves out is read as docs/settings.md says.
+// Inspect reads settings and returns all findings, the fatal ones first. With a fatal finding the settings can't be
+// used. docs/settings.md describes the effect of each other field and of its absence.
 func Inspect(raw []byte) (decide.Settings, []Finding) {
 	var tree map[string]any
 	if err := json.Unmarshal(raw, &tree); err != nil {
@@ -78,7 +78,7 @@
 	known := map[string]bool{}
 	for _, f := range SettingsFields {
 		known[f.Path] = true
-		for i := range f.Path { // what holds it is known too
+		for i := range f.Path { // the objects that contain it are known too
 			if f.Path[i] == '.' {
 				known[f.Path[:i]] = true
 			}
@@ -98,8 +98,8 @@
 	return s, found
 }
 
-// findUnknownFields finds the fields that Fields lacks, in the order of their names.
-func findUnknownFields(v any, at string, known map[string]bool, found *[]Finding) {
+// findUnknownFields appends a finding for each field that is not in SettingsFields, in the order of their names.
+func findUnknownFields(v any, parent string, known map[string]bool, found *[]Finding) {
 	switch v := v.(type) {
 	case map[string]any:
 		names := make([]string, 0, len(v))
@@ -108,9 +108,9 @@
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			path := strings.TrimPrefix(at+"."+name, ".")
-			general := generalizePath(path)
-			if !known[general] && !known[general+"[]"] {
+			path := strings.TrimPrefix(parent+"."+name, ".")
+			generalPath := generalizePath(path)
+			if !known[generalPath] && !known[generalPath+"[]"] {
 				text, _ := json.Marshal(v[name])
 				*found = append(*found, Finding{path, truncate(string(text)), "this program does not know the field", "it is passed over", false})
 				continue
@@ -118,13 +118,13 @@
 			findUnknownFields(v[name], path, known, found)
 		}
 	case []any:
-		for i, one := range v {
-			findUnknownFields(one, fmt.Sprintf("%s[%d]", at, i), known, found)
+		for i, element := range v {
+			findUnknownFields(element, fmt.Sprintf("%s[%d]", parent, i), known, found)
 		}
 	}
 }
 
-// generalizePath writes [] for each [N].
+// generalizePath replaces each [N] in a path by [].
 func generalizePath(path string) string {
 	var b strings.Builder
 	for {
@@ -137,13 +137,13 @@
 	}
 }
 
-// pathOfSetting is where a field of decide's types, such as Classes[2].Aim, is written.
+// pathOfSetting returns the JSON path of a field of decide's types, such as Classes[2].LatencyObjective.
 func pathOfSetting(field string) string {
 	owner, name, within := strings.Cut(field, ".")
 	base, index, _ := strings.Cut(strings.TrimSuffix(owner, "]"), "[")
-	into := "Settings." + field
+	setting := "Settings." + field
 	if within {
-		into = map[string]string{"Classes": "Class", "Kinds": "EndpointKind", "Tenants": "Tenant", "Rules": "Rules"}[base] + "." + name
+		setting = map[string]string{"Classes": "Class", "Kinds": "EndpointKind", "Tenants": "Tenant", "Rules": "Rules"}[base] + "." + name
 	}
 	if base == "Classes" && !within {
 		return "lanes"
@@ -152,14 +152,14 @@
 		return "domain.sizeCores"
 	}
 	for _, f := range SettingsFields {
-		if f.Target == into {
+		if f.Target == setting {
 			return strings.TrimSuffix(strings.Replace(f.Path, "[]", "["+index+"]", 1), "[]")
 		}
 	}
 	return field
 }
 
-// describeValueAt is what stands at a path, in short.
+// describeValueAt returns the value at a path as JSON, shortened, or "absent".
 func describeValueAt(tree any, path string) string {
 	for _, part := range strings.FieldsFunc(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
 		switch v := tree.(type) {
@@ -182,6 +182,7 @@
 	return truncate(string(text))
 }
 
+// truncate shortens a text to maxValueBytes.
 func truncate(s string) string {
 	if len(s) > maxValueBytes {
 		return s[:maxValueBytes] + "..."
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -10,9 +10,9 @@
 
 // The kinds of incoming messages, as the wire names them.
 const (
-	messageList            = "List"            // an endpoint list under a number
+	messageList            = "List"            // an endpoint list with a number
 	messageStart           = "Boot"            // starts a balancer
-	messageStop            = "Halt"            // stops one
+	messageStop            = "Halt"            // stops a balancer
 	messageEndpointUpdate  = "BackendsChanged" // decide.EndpointUpdate
 	messageRequestArrived  = "Knock"           // decide.RequestArrived
 	messageAnswerBegan     = "HeadReceived"    // decide.AnswerBegan
@@ -66,7 +66,7 @@
 	StartedAtMS float64 `json:"launchedMs"`
 }
 
-// decode reads an entry; kind is that of its message, for the error.
+// decode returns the entry in decide's form. kind is the kind of the message, for errors.
 func (e listedEndpoint) decode(kind string) (decide.EndpointInfo, error) {
 	if e.ID == nil {
 		return decide.EndpointInfo{}, malformedf("%s: field hosts.engine is missing", kind)
@@ -80,9 +80,9 @@
 	}, nil
 }
 
-// field is a field that a message must have.
+// field is a required field of a message.
 type field struct {
-	name   string // on the wire
+	name   string // its name on the wire
 	absent bool
 }
 
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// describeJSONError shortens a JSON error to the field that is wrong.
+// describeJSONError reduces a JSON error for a value of the wrong type to the field and that type.
 func describeJSONError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,10 +8,10 @@
 	"aniseloft/decide"
 )
 
-// settingsJSON matches names as they are written.
+// settingsJSON matches field names case-sensitively.
 var settingsJSON = jsoniter.Config{CaseSensitive: true}.Froze()
 
-// params are the settings under the names of the operators' pages; unknown names are ignored.
+// params are the settings with their JSON names. Unknown fields are ignored.
 type params struct {
 	Balancers     int `json:"balancers"`
 	BalancerIndex int `json:"me"`
@@ -87,7 +87,7 @@
 	KindNames      []string `json:"machineTypes"`
 }
 
-// lookup maps a word of the settings to the code's value.
+// lookup returns the value for a word of an enumerated field.
 func lookup[T any](field, word string, known map[string]T) (T, error) {
 	value, ok := known[word]
 	if !ok {
@@ -96,7 +96,7 @@
 	return value, nil
 }
 
-// elementOrZero is the element of an optional list at an index.
+// elementOrZero returns the element at an index of an optional list, or the zero value if the list is shorter.
 func elementOrZero[T any](list []T, index int) (element T) {
 	if index < len(list) {
 		element = list[index]
@@ -104,7 +104,7 @@
 	return element
 }
 
-// The words of enumerated fields.
+// The values of enumerated fields, by their words in the settings.
 var (
 	memoryExhaustionWords = map[string]decide.MemoryExhaustion{
 		"line_up":    decide.MemoryExhaustionQueues,
@@ -128,8 +128,8 @@
 	noLoadReports           = "silent"
 )
 
-// Settings reads the settings of one balancer. Its errors name the field that can't be read; whether the values
-// make sense is checked by decide.ValidateSettings.
+// Settings decodes the settings of one balancer. Its errors name the field that can't be decoded.
+// decide.ValidateSettings checks the values.
 func Settings(raw []byte) (decide.Settings, error) {
 	var p params
 	if err := settingsJSON.Unmarshal(raw, &p); err != nil {
@@ -217,28 +217,28 @@
 }
 
 func (p *params) readClasses(s *decide.Settings) error {
-	for i, l := range p.Lanes {
+	for i, lane := range p.Lanes {
 		class := decide.Class{
-			Name:             l.Name,
-			LatencyObjective: l.LatencyObjectiveMS,
-			ObjectivePerWork: l.ObjectivePerWork,
-			Deadline:         l.DeadlineMS,
-			PriorityWeight:   l.PriorityWeight,
-			LateWeightRatio:  l.LateWeightRatio,
+			Name:             lane.Name,
+			LatencyObjective: lane.LatencyObjectiveMS,
+			ObjectivePerWork: lane.ObjectivePerWork,
+			Deadline:         lane.DeadlineMS,
+			PriorityWeight:   lane.PriorityWeight,
+			LateWeightRatio:  lane.LateWeightRatio,
 			Threads:          elementOrZero(p.Domain.Threads, i),
-			DedupWindow:      l.DedupWindowMS,
-			OrderedByKey:     l.OrderedByKey,
-			Zones:            l.Zones,
-			Kinds:            l.Kinds,
+			DedupWindow:      lane.DedupWindowMS,
+			OrderedByKey:     lane.OrderedByKey,
+			Zones:            lane.Zones,
+			Kinds:            lane.Kinds,
 			LocksGroup:       elementOrZero(p.Domain.LocksGroup, i),
 			WaitsForLocks:    elementOrZero(p.Domain.WaitsForLocks, i),
 		}
 		var err error
-		if class.Idempotency, err = lookup("lanes.repeat", l.Idempotency, idempotencyWords); err != nil {
+		if class.Idempotency, err = lookup("lanes.repeat", lane.Idempotency, idempotencyWords); err != nil {
 			return err
 		}
-		if l.DedupScope != "" {
-			if class.DedupScope, err = lookup("lanes.dedupScope", l.DedupScope, dedupScopeWords); err != nil {
+		if lane.DedupScope != "" {
+			if class.DedupScope, err = lookup("lanes.dedupScope", lane.DedupScope, dedupScopeWords); err != nil {
 				return err
 			}
 		}
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -9,8 +9,9 @@
 	"aniseloft/decide"
 )
 
-// testdata/settings.json sets each field that is read to a value of its own, under the names of commit d9ce9f6.
-func TestEveryFieldOfTheSettingsIsRead(t *testing.T) {
+// TestEveryFieldOfTheSettingsIsDecoded reads testdata/settings.json, which sets each decoded field to a distinct value,
+// under the JSON names of commit d9ce9f6.
+func TestEveryFieldOfTheSettingsIsDecoded(t *testing.T) {
 	raw, err := os.ReadFile("testdata/settings.json")
 	require.NoError(t, err)
 	got, err := Settings(raw)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,20 +7,23 @@
 	"testing"
 )
 
-const boot = `{"what":"List","bank":0,"hosts":[{"engine":7,"rackZone":0,"model":0,"cohort":0,"condition":1,"share":1}]},` +
+// startMessages define an endpoint list, start balancer 3 and send it the list.
+const startMessages = `{"what":"List","bank":0,"hosts":[{"engine":7,"rackZone":0,"model":0,"cohort":0,"condition":1,"share":1}]},` +
 	`{"what":"Boot","gateway":3,"prng":5,"params":{"balancers":1,"me":0,"novel":{"x":1},"tickMs":5,` +
 	`"bounds":{"sendCap":4},"domain":{"sizeCores":[8],"classThreads":[1]},` +
 	`"lanes":[{"promiseMs":600,"deadlineMs":3000,"repeat":"repeatable","gain":1}],"registryMode":"push"}},` +
 	`{"what":"BackendsChanged","gateway":3,"mode":2,"epoch":1,"bank":0}`
 
-const knock = `{"what":"Knock","gateway":3,"ref":"c:a","remainingMs":2000,"cls":0,"schemaNo":11}`
+// arrivalMessage is the arrival of a request at balancer 3.
+const arrivalMessage = `{"what":"Knock","gateway":3,"ref":"c:a","remainingMs":2000,"cls":0,"schemaNo":11}`
 
-func batchOf(msgs string) []byte {
-	return []byte(`{"timeMs":10,"round":4,"in":[` + msgs + `]}`)
+// batchOf returns a line of input with the messages.
+func batchOf(messages string) []byte {
+	return []byte(`{"timeMs":10,"round":4,"in":[` + messages + `]}`)
 }
 
 func TestBatchRoundTrip(t *testing.T) {
-	out, err := NewHost().Batch(batchOf(boot + "," + knock))
+	out, err := NewHost().Batch(batchOf(startMessages + "," + arrivalMessage))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +42,7 @@
 }
 
 func TestMalformedInputNamesMessageAndField(t *testing.T) {
-	for msg, want := range map[string]string{
+	for input, want := range map[string]string{
 		`{"what":"Knock","gateway":3,"remainingMs":1,"cls":0}`:                                            "Knock: field ref is missing",
 		`{"what":"Knock","gateway":3,"ref":"c:b","remainingMs":"x","cls":0}`:                              "Knock: field remainingMs: a string does not fit",
 		`{"what":"AttemptEnd","gateway":3,"ref":"c:b","try":0,"engine":7,"result":11}`:                    "AttemptEnd: field result: 11 is unknown",
@@ -50,27 +53,27 @@
 		`{"what":"Boot","gateway":4,"prng":1,"params":{"lanes":[{"repeat":"maybe"}],"registryMode":"x"}}`: `Boot: params: field lanes.repeat: "maybe" is unknown`,
 	} {
 		h := NewHost()
-		if _, err := h.Batch(batchOf(boot)); err != nil {
+		if _, err := h.Batch(batchOf(startMessages)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := h.Batch(batchOf(msg)); err == nil || err.Error() != want {
-			t.Errorf("%s: got %v, want %s", msg, err, want)
+		if _, err := h.Batch(batchOf(input)); err == nil || err.Error() != want {
+			t.Errorf("%s: got %v, want %s", input, err, want)
 		}
 	}
 }
 
-func TestEventsForWhatIsOverAreIgnored(t *testing.T) {
+func TestEventsForUnknownRequestsAreIgnored(t *testing.T) {
 	h := NewHost()
-	end := `{"what":"AttemptEnd","gateway":3,"ref":"c:zz","try":0,"engine":7,"result":10,"spentMs":2,"complete":true}`
-	gone := `{"what":"Abandoned","gateway":3,"ref":"c:zz"}`
-	if out, err := h.Batch(batchOf(boot + "," + end + "," + gone)); err != nil || strings.Contains(string(out), "zz") {
+	ended := `{"what":"AttemptEnd","gateway":3,"ref":"c:zz","try":0,"engine":7,"result":10,"spentMs":2,"complete":true}`
+	disconnected := `{"what":"Abandoned","gateway":3,"ref":"c:zz"}`
+	if out, err := h.Batch(batchOf(startMessages + "," + ended + "," + disconnected)); err != nil || strings.Contains(string(out), "zz") {
 		t.Fatalf("%s %v", out, err)
 	}
 }
 
-// TestWireHoldsNoDecision keeps thresholds out of the adapter: it may import
-// no clock and no random source.
-func TestWireHoldsNoDecision(t *testing.T) {
+// TestPackageMakesNoDecisions checks that the package, which must only translate, imports neither a clock nor a random
+// source.
+func TestPackageMakesNoDecisions(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) < 5 {
 		t.Fatal(files, err)
@@ -83,34 +86,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, bad := range []string{`"time"`, `"math/rand`} {
-			if strings.Contains(string(text), bad) {
-				t.Errorf("%s imports %s", f, bad)
+		for _, forbidden := range []string{`"time"`, `"math/rand`} {
+			if strings.Contains(string(text), forbidden) {
+				t.Errorf("%s imports %s", f, forbidden)
 			}
 		}
 	}
 }
 
-func TestPanicBecomesTheFaultAction(t *testing.T) {
-	acts := handleEvent(nil, 3, 0, nil) // an instance that is not there panics
-	if len(acts) != 1 {
-		t.Fatalf("%v", acts)
+func TestPanicBecomesFaultAction(t *testing.T) {
+	actions := handleEvent(nil, 3, 0, nil) // a nil balancer panics
+	if len(actions) != 1 {
+		t.Fatalf("%v", actions)
 	}
-	if a, ok := acts[0].(textAction); !ok || a.Kind != "Bug" || a.Balancer != 3 || a.Text == "" {
-		t.Fatalf("%v", acts)
+	if a, ok := actions[0].(textAction); !ok || a.Kind != "Bug" || a.Balancer != 3 || a.Text == "" {
+		t.Fatalf("%v", actions)
 	}
 }
 
-// TestSettingsOfProbesAndReports: what a probe costs, and whether reports come, was not passed on.
+// TestSettingsOfProbesAndReports guards against dropping the cost of probes and the presence of load reports when
+// settings are decoded.
 func TestSettingsOfProbesAndReports(t *testing.T) {
 	for via, want := range map[string]bool{"piggyback": true, "pull": true, "silent": false} {
 		raw := `{"bounds":{"probes":true},"prices":{"probe":0.01,"peer":0.02},"report":{"via":"` + via + `"}}`
-		set, err := Settings([]byte(raw))
+		settings, err := Settings([]byte(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !set.ProbesEnabled || set.ProbeCost != 0.01 || set.GossipCost != 0.02 || set.LoadReportsEnabled != want {
-			t.Errorf("via %s: %+v", via, set)
+		if !settings.ProbesEnabled || settings.ProbeCost != 0.01 || settings.GossipCost != 0.02 || settings.LoadReportsEnabled != want {
+			t.Errorf("via %s: %+v", via, settings)
 		}
 	}
 }
