--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -24,8 +24,8 @@
 	s := newScript(t, settings, 2)
 	s.at(1, GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(1), []float64{12, 300}}, {gossipTag(77), []float64{12, 300}}}, 256)})
 	s.at(2, GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(1), []float64{8, 200}}}, 256)})
-	if threads, memoryMB := s.balancer.endpoints.byID[1].peers.threads, s.balancer.endpoints.byID[1].peers.memoryMB; threads != 8 || memoryMB != 200 {
-		t.Fatalf("the peer's last message has 8 threads and 200 MB, got %v, %v", threads, memoryMB)
+	if peerThreads, peerMemory := s.balancer.endpoints.byID[1].peers.threads, s.balancer.endpoints.byID[1].peers.memoryMB; peerThreads != 8 || peerMemory != 200 {
+		t.Fatalf("the peer's last message has 8 threads and 200 MB, got %v, %v", peerThreads, peerMemory)
 	}
 }
 
@@ -61,9 +61,9 @@
 // costs once for each receiver, so messages to all, affordable for a few balancers, exceed the budget of hundreds.
 func TestGossipStaysWithinBudget(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		cost      float64
-		receivers int // of each message; 0: no message is sent
+		balancers     int
+		cost          float64
+		receiverCount int // of each message; 0: no message is sent
 	}{{3, 0.01, 2}, {250, 0.01, 1}, {250, 1000, 0}, {250, 0, 249}} {
 		settings := plainSettings()
 		settings.Balancers, settings.GossipEnabled, settings.GossipCost = c.balancers, true, c.cost
@@ -76,13 +76,13 @@
 			}
 			s.at(now+45, TimerFired{"tick"})
 			for _, sent := range s.gossip() {
-				if sent.To == AllPeers && c.receivers < 2 || sent.To == settings.BalancerIndex {
+				if sent.To == AllPeers && c.receiverCount < 2 || sent.To == settings.BalancerIndex {
 					t.Fatalf("%d balancers at cost %v: message sent to %d", c.balancers, c.cost, sent.To)
 				}
 				bytes += len(sent.Data) * receivers(sent, c.balancers)
 			}
 		}
-		if bytes > 0 != (c.receivers > 0) {
+		if bytes > 0 != (c.receiverCount > 0) {
 			t.Errorf("%d balancers at cost %v: %d bytes sent", c.balancers, c.cost, bytes)
 		}
 		if total := c.cost * float64(bytes) / 256 / float64(queries); total > 1.1*gossipBudget {
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -26,11 +26,11 @@
 // newScript starts a balancer with n ready endpoints, numbered from 1.
 func newScript(t *testing.T, settings Settings, n int) *script {
 	t.Helper()
-	balancer, err := New(settings, 1)
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{test: t, balancer: balancer}
+	s := &script{test: t, balancer: b}
 	var entries []EndpointInfo
 	for i := 1; i <= n; i++ {
 		entries = append(entries, EndpointInfo{ID: EndpointID(i), State: EndpointReady})
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -66,14 +66,14 @@
 	for _, e := range s.balancer.endpoints.sorted {
 		s.balancer.outliers.eject(e, EjectedErrors)
 	}
-	ejected := 0
+	ejectedCount := 0
 	for _, e := range s.balancer.endpoints.sorted {
 		if e.health.ejected {
-			ejected++
+			ejectedCount++
 		}
 	}
-	if ejected == 0 || ejected > 3 {
-		t.Fatalf("%d of 4 ejected on soft evidence", ejected)
+	if ejectedCount == 0 || ejectedCount > 3 {
+		t.Fatalf("%d of 4 ejected on soft evidence", ejectedCount)
 	}
 }
 
@@ -218,7 +218,7 @@
 func TestConnectFailureReportedByPeerEjects(t *testing.T) {
 	s := zonedScript(t, 300, 10)
 	now := Millis(5000)
-	ejected := func() (n int) {
+	ejectedCount := func() (n int) {
 		for _, e := range s.balancer.endpoints.sorted {
 			if e.health.ejected {
 				n++
@@ -232,17 +232,17 @@
 	report(2, 2, 4, 0)
 	report(2, 9, 0, 0)
 	report(999, 1, 0, 0)
-	if ejected() != 0 {
+	if ejectedCount() != 0 {
 		t.Fatal("an old report, or one of an unknown endpoint, ejects")
 	}
 	now += 1000
 	report(2, 1, 0, 0)
-	if ejected() != 1 {
-		t.Fatalf("%d endpoints ejected after one reported connection failure", ejected())
+	if ejectedCount() != 1 {
+		t.Fatalf("%d endpoints ejected after one reported connection failure", ejectedCount())
 	}
 	now += 1000
 	report(2, 1, 4, 0)
-	if ejected() != 0 {
+	if ejectedCount() != 0 {
 		t.Fatal("still ejected though a peer has reported activity since")
 	}
 }
@@ -305,10 +305,10 @@
 	e := s.sentTo("long")
 	for begin := now; now < begin+600; now += 50 {
 		s.at(now, TimerFired{"tick"})
-		switch ejected := s.balancer.endpoints.byID[e].health.ejected; {
-		case ejected && now < begin+300:
+		switch isEjected := s.balancer.endpoints.byID[e].health.ejected; {
+		case isEjected && now < begin+300:
 			t.Fatalf("ejected after %.0f ms, expected latency 50 ms", now-begin)
-		case ejected:
+		case isEjected:
 			return
 		}
 	}
@@ -338,13 +338,13 @@
 		s.at(5000, RequestArrived{ID: id, Group: uint64(i), TimeLeft: 3000})
 		s.at(5001, AttemptEnded{ID: id, Endpoint: s.sentTo(id), Outcome: OutcomeError, RequestClosed: true})
 	}
-	ejected := 0
+	ejectedCount := 0
 	for _, e := range s.balancer.endpoints.sorted {
 		if e.health.ejected {
-			ejected++
+			ejectedCount++
 		}
 	}
-	if ejected > len(s.balancer.endpoints.sorted)/2 {
-		t.Fatalf("%d of %d endpoints ejected though all fail", ejected, len(s.balancer.endpoints.sorted))
+	if ejectedCount > len(s.balancer.endpoints.sorted)/2 {
+		t.Fatalf("%d of %d endpoints ejected though all fail", ejectedCount, len(s.balancer.endpoints.sorted))
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -22,11 +22,11 @@
 
 // trackedRequest is the checker's record of a request.
 type trackedRequest struct {
-	ev       RequestArrived
-	deadline Millis
-	closed   bool // answered, or its client has disconnected
-	attempts []*trackedAttempt
-	sequence int
+	ev            RequestArrived
+	deadline      Millis
+	closed        bool // answered, or its client has disconnected
+	attempts      []*trackedAttempt
+	arrivalNumber int
 }
 
 // inFlight reports whether the request's last attempt has not ended.
@@ -116,11 +116,11 @@
 
 // start starts a new Balancer, which knows nothing but the endpoint list.
 func (b *ruleChecker) start() {
-	balancer, err := New(b.settings, b.rng.Uint64())
+	restarted, err := New(b.settings, b.rng.Uint64())
 	if err != nil {
 		b.test.Fatal(err)
 	}
-	b.balancer = balancer
+	b.balancer = restarted
 	b.requests, b.arrivals, b.timers = map[RequestID]*trackedRequest{}, nil, nil
 	b.arrivedAt, b.retriedAt = nil, nil
 	b.blockedUntil, b.blockedBy = map[uint64]Millis{}, map[uint64]*trackedRequest{}
@@ -255,7 +255,7 @@
 		return
 	}
 	for _, o := range b.arrivals {
-		if o.sequence < r.sequence && o.ev.HasKey && o.ev.Key == r.ev.Key && b.settings.Classes[o.ev.Class].OrderedByKey &&
+		if o.arrivalNumber < r.arrivalNumber && o.ev.HasKey && o.ev.Key == r.ev.Key && b.settings.Classes[o.ev.Class].OrderedByKey &&
 			(!o.closed || o.inFlight()) {
 			b.fail("rule 5: %s sent before %s of the same key", r.ev.ID, o.ev.ID)
 		}
@@ -405,7 +405,7 @@
 	if c := b.settings.Classes[class]; c.Idempotency == IdempotentByKey && b.rng.IntN(3) == 0 { // a client's retry under its key
 		ev.EarlierRun = &EarlierRun{b.now - 1.2*c.DedupWindow*b.rng.Float64(), b.rng.IntN(2), b.rng.IntN(3)}
 	}
-	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, sequence: b.sequence}
+	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, arrivalNumber: b.sequence}
 	b.requests[ev.ID] = r
 	b.arrivals = append(b.arrivals, r)
 	b.arrivedAt = append(b.arrivedAt, b.now)
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -210,8 +210,8 @@
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
 		s := newScript(t, settings, 0)
-		for i, work := range works {
-			s.balancer.estimates.classes[i].work = work
+		for i, classWork := range works {
+			s.balancer.estimates.classes[i].work = classWork
 		}
 		s.at(5000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 4990}}})
 		for i := range 2 { // each balancer has only two long queries
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -145,9 +145,9 @@
 // notify sends an entry to all balancers, each after a random delay around its listDelay.
 func (f *slowStartFleet) notify(entry EndpointInfo) {
 	for _, b := range f.balancers {
-		incarnation := b.incarnation
+		atIncarnation := b.incarnation
 		f.after(b.listDelay*(0.5+f.rng.Float64()), func() {
-			if b.incarnation != incarnation {
+			if b.incarnation != atIncarnation {
 				return
 			}
 			if entry.State == EndpointReady && entry.StartedAt > 0 {
@@ -160,19 +160,19 @@
 
 // start starts or restarts the balancer with the current endpoint list.
 func (b *simulatedBalancer) start() {
-	settings := b.fleet.settings
-	settings.BalancerIndex = b.index
+	own := b.fleet.settings
+	own.BalancerIndex = b.index
 	if b.fleet.misconfigure != nil {
-		b.fleet.misconfigure(&settings)
+		b.fleet.misconfigure(&own)
 	}
-	balancer, err := New(settings, b.fleet.rng.Uint64())
+	restarted, err := New(own, b.fleet.rng.Uint64())
 	if err != nil {
 		b.fleet.test.Fatal(err)
 	}
 	for _, r := range b.open {
 		r.cancel()
 	}
-	b.balancer, b.incarnation, b.open, b.notifiedAt = balancer, b.incarnation+1, map[RequestID]*simulatedRequest{}, map[EndpointID]Millis{}
+	b.balancer, b.incarnation, b.open, b.notifiedAt = restarted, b.incarnation+1, map[RequestID]*simulatedRequest{}, map[EndpointID]Millis{}
 	l := b.fleet.list()
 	for _, e := range l {
 		if e.StartedAt > 0 {
@@ -184,10 +184,10 @@
 
 // handle passes an event to the balancer and carries out its actions.
 func (b *simulatedBalancer) handle(ev Event) {
-	f, incarnation := b.fleet, b.incarnation
+	f, atIncarnation := b.fleet, b.incarnation
 	later := func(d Millis, do func()) {
 		f.after(d, func() {
-			if b.incarnation == incarnation {
+			if b.incarnation == atIncarnation {
 				do()
 			}
 		})
@@ -240,7 +240,7 @@
 	work := f.meanWork[r.class] * math.Exp(f.rng.NormFloat64()*0.8-0.32)
 	threads := float64(c.Threads)
 	e.threads += threads
-	startedAt := e.startedAt
+	endpointStart := e.startedAt
 	slowdown := max(e.threads/(f.settings.Kinds[0].Cores*usableCores*f.capacityRatio(e)), 1)
 	cancelled, done := false, false
 	free := func() {
@@ -256,7 +256,7 @@
 			return
 		}
 		later(0, func() {
-			if e.removed || e.startedAt != startedAt {
+			if e.removed || e.startedAt != endpointStart {
 				end(OutcomeReset, 0)
 			} else {
 				end(OutcomeSucceeded, work)
@@ -294,18 +294,18 @@
 
 // simulateSlowStartFleet draws random settings, traffic and starts of endpoints, and simulates 26 s. It returns the
 // largest excess over a budget as a ratio of randomExcess (above 1: a violation) and the ratio of all budgets that was
-// used. misconfigure changes the settings of the balancers, but not those of the simulated endpoints.
-func simulateSlowStartFleet(t *testing.T, balancers int, seed uint64, misconfigure func(*Settings)) (worstExcess, usedRatio float64) {
-	rng := rand.New(rand.NewPCG(seed, uint64(balancers)))
-	between := func(a, b float64) float64 { return a + (b-a)*rng.Float64() }
-	f := &slowStartFleet{test: t, rng: rng, endpoints: map[EndpointID]*warmingEndpoint{}, misconfigure: misconfigure, worstExcess: math.Inf(-1)}
+// used. misconfiguration changes the settings of the balancers, but not those of the simulated endpoints.
+func simulateSlowStartFleet(t *testing.T, balancerCount int, seed uint64, misconfiguration func(*Settings)) (excess, usedRatio float64) {
+	rng := rand.New(rand.NewPCG(seed, uint64(balancerCount)))
+	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
+	f := &slowStartFleet{test: t, rng: rng, endpoints: map[EndpointID]*warmingEndpoint{}, misconfigure: misconfiguration, worstExcess: math.Inf(-1)}
 	f.meanWork = []float64{between(50, 230), between(2500, 5900), between(2800, 7800)}
 	f.trafficRatios = []float64{between(10, 18), between(2, 2.9), between(0.5, 1.3)}
 	sum := f.trafficRatios[0] + f.trafficRatios[1] + f.trafficRatios[2]
 	for i := range f.trafficRatios {
 		f.trafficRatios[i] /= sum
 	}
-	f.settings = Settings{Balancers: balancers, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: true, MaxRetryAfter: 500, ActualCostReported: rng.IntN(2) == 0,
+	f.settings = Settings{Balancers: balancerCount, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: true, MaxRetryAfter: 500, ActualCostReported: rng.IntN(2) == 0,
 		Kinds: []EndpointKind{{Cores: float64(8 + 4*rng.IntN(3))}}, ProbesEnabled: rng.IntN(2) == 0, LoadReportsEnabled: rng.IntN(2) == 0, ProbeCost: 0.01,
 		Classes: []Class{{LatencyObjective: 500, Deadline: 2500, Threads: 1, PriorityWeight: 1, LateWeightRatio: 0.1, ObjectivePerWork: 1.5},
 			{LatencyObjective: 1500, Deadline: 15000, Threads: 4, PriorityWeight: 20, LateWeightRatio: 0.4, ObjectivePerWork: 2.5},
@@ -315,7 +315,7 @@
 	for i := range servers {
 		f.endpoints[EndpointID(i+1)] = &warmingEndpoint{id: EndpointID(i + 1)}
 	}
-	for i := range balancers {
+	for i := range balancerCount {
 		b := &simulatedBalancer{fleet: f, index: i, listDelay: between(50, 4000), weight: rng.ExpFloat64() + 0.05}
 		f.balancers = append(f.balancers, b)
 		b.start()
@@ -355,8 +355,8 @@
 			})
 		})
 	}
-	for range rng.IntN(balancers/2 + 1) { // balancers that restart during slow start
-		b := f.balancers[rng.IntN(balancers)]
+	for range rng.IntN(balancerCount/2 + 1) { // balancers that restart during slow start
+		b := f.balancers[rng.IntN(balancerCount)]
 		f.after(between(5000, 15000), b.start)
 	}
 	const step = 100
