--- a/cmd/aniseloft/secondsettings_test.go
+++ b/cmd/aniseloft/secondsettings_test.go
@@ -154,7 +154,7 @@
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, strings.Replace(secondSettings, `"me":0`, `"me":0,"fancy":[1,2]`, 1))
-	p.waitForLog(`msg=settings field=fancy value=[1,2] says="this program does not know the field" then="it is passed over"`)
+	p.waitForLog(`msg=settings field=fancy value=[1,2] says="unknown field" then="it is ignored"`)
 	p = &coordinator{t: t, dir: testdir.Dir(t), listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{},
 		settings: strings.Replace(secondSettings, `"me":0`, `"me":4`, 1)}
 	p.configure(j)
@@ -162,7 +162,7 @@
 	c.Env = []string{"LB_CONFIG=" + filepath.Join(p.dir, "config.json")}
 	out, err := c.CombinedOutput()
 	require.Error(t, err)
-	require.Contains(t, string(out), "aniseloft: configuration: me = 4: not among the gateways; the program does not start")
+	require.Contains(t, string(out), "aniseloft: configuration: me = 4: must be from 0 to Balancers-1; the program does not start")
 }
 
 // A load joins the running request with the same key. Guards against two runs for two clients with one key, and against a
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -39,9 +39,9 @@
 const (
 	mustBeAboveZero   = "must be above 0"
 	mustNotBeNegative = "must be 0 or more"
-	oneNeeded         = "at least one is needed"
-	notARatio         = "must be from 0 to 1"
-	usedAsIs          = "the value is used as it is"
+	mustBeAtLeastOne  = "must be at least 1"
+	mustBeRatio       = "must be from 0 to 1"
+	usedUnchanged     = "the value is used unchanged"
 )
 
 // problemList collects problems in the order of the checks.
@@ -70,7 +70,8 @@
 	l.checkBudgets(s)
 	for i, k := range s.Kinds {
 		l.fatal(!(k.Cores > 0), mustBeAboveZero, "Kinds[%d].Cores", i)
-		l.warn(k.MemoryMB < 0, mustNotBeNegative, "memory bounds nothing there", "Kinds[%d].MemoryMB", i)
+		l.warn(k.MemoryMB < 0, mustNotBeNegative, "the kind's memory is treated as unlimited",
+			"Kinds[%d].MemoryMB", i)
 	}
 	for i := range s.Classes {
 		l.checkClass(s, i)
@@ -82,12 +83,12 @@
 }
 
 func (l *problemList) checkFleet(s *Settings) {
-	l.fatal(s.Balancers < 1, oneNeeded, "Balancers")
+	l.fatal(s.Balancers < 1, mustBeAtLeastOne, "Balancers")
 	l.fatal(s.Balancers >= 1 && (s.BalancerIndex < 0 || s.BalancerIndex >= s.Balancers),
-		"not among the gateways", "BalancerIndex")
-	l.fatal(len(s.Classes) == 0, "none given", "Classes")
-	l.fatal(len(s.Kinds) == 0, "none given", "Kinds")
-	l.fatal(s.MaxAttempts < 1, oneNeeded, "MaxAttempts")
+		"must be from 0 to Balancers-1", "BalancerIndex")
+	l.fatal(len(s.Classes) == 0, "at least one is required", "Classes")
+	l.fatal(len(s.Kinds) == 0, "at least one is required", "Kinds")
+	l.fatal(s.MaxAttempts < 1, mustBeAtLeastOne, "MaxAttempts")
 	l.fatal(!(s.TickInterval > 0), mustBeAboveZero, "TickInterval")
 }
 
@@ -103,41 +104,45 @@
 
 func (l *problemList) checkClass(s *Settings, i int) {
 	c := s.Classes[i]
-	l.fatal(c.Threads < 1, oneNeeded, "Classes[%d].Threads", i)
+	l.fatal(c.Threads < 1, mustBeAtLeastOne, "Classes[%d].Threads", i)
 	l.fatal(!(c.LatencyObjective > 0), mustBeAboveZero, "Classes[%d].LatencyObjective", i)
 	l.fatal(!(c.Deadline > 0), mustBeAboveZero, "Classes[%d].Deadline", i)
 	l.fatal(c.ObjectivePerWork < 0, mustNotBeNegative, "Classes[%d].ObjectivePerWork", i)
 	l.fatal(c.PriorityWeight < 0, mustNotBeNegative, "Classes[%d].PriorityWeight", i)
-	l.warn(c.PriorityWeight == 0, "the class is worth nothing", "it goes behind all others",
-		"Classes[%d].PriorityWeight", i)
-	l.warn(c.LateWeightRatio < 0 || c.LateWeightRatio > 1, notARatio, usedAsIs,
+	l.warn(c.PriorityWeight == 0, "the weight is 0",
+		"pending requests of the class are started after all others", "Classes[%d].PriorityWeight", i)
+	l.warn(c.LateWeightRatio < 0 || c.LateWeightRatio > 1, mustBeRatio, usedUnchanged,
 		"Classes[%d].LateWeightRatio", i)
-	l.warn(c.LatencyObjective > c.Deadline && c.Deadline > 0, "beyond the deadline",
-		"an answer counts until the client leaves", "Classes[%d].LatencyObjective", i)
-	l.warn(c.Idempotency == IdempotentByKey && !(c.DedupWindow > 0), "no time in which a key protects",
-		"what may have run is not sent again", "Classes[%d].DedupWindow", i)
-	l.warn(c.Zones != nil && countValid(c.Zones, len(s.ZoneNames)) == 0, "names no zone that there is",
-		"every request of the class is refused", "Classes[%d].Zones", i)
-	l.warn(c.Kinds != nil && countValid(c.Kinds, len(s.Kinds)) == 0, "names no kind that there is",
-		"every request of the class is refused", "Classes[%d].Kinds", i)
+	l.warn(c.LatencyObjective > c.Deadline && c.Deadline > 0, "above the deadline",
+		"an answer earns the complete weight up to the deadline", "Classes[%d].LatencyObjective", i)
+	l.warn(c.Idempotency == IdempotentByKey && !(c.DedupWindow > 0),
+		"must be above 0 for deduplication by key", "requests that may have run are not retried",
+		"Classes[%d].DedupWindow", i)
+	l.warn(c.Zones != nil && countValid(c.Zones, len(s.ZoneNames)) == 0, "contains no configured zone",
+		"no endpoint may run the class: its requests wait and are rejected", "Classes[%d].Zones", i)
+	l.warn(c.Kinds != nil && countValid(c.Kinds, len(s.Kinds)) == 0, "contains no configured kind",
+		"no endpoint may run the class: its requests wait and are rejected", "Classes[%d].Kinds", i)
 }
 
 func (l *problemList) checkFeatures(s *Settings) {
-	l.warn(s.MemoryGrantsEnabled && !(s.MaxGrantRatio > 0), "grants are heeded and none may be made",
-		"none is named", "MaxGrantRatio")
-	l.warn(s.MaxGrantRatio < 0 || s.MaxGrantRatio > 1, notARatio, usedAsIs, "MaxGrantRatio")
-	l.warn(s.ProgressInterval < 0, mustNotBeNegative, "read as no notes", "ProgressInterval")
-	l.warn(s.MaxRetryAfter < 0, mustNotBeNegative, "no time is told", "MaxRetryAfter")
-	l.warn(s.ProbeCost < 0, mustNotBeNegative, "read as free", "ProbeCost")
-	l.warn(s.GossipCost < 0, mustNotBeNegative, "read as free", "GossipCost")
+	l.warn(s.MemoryGrantsEnabled && !(s.MaxGrantRatio > 0), "must be above 0 if memory grants are enabled",
+		"no grant is requested", "MaxGrantRatio")
+	l.warn(s.MaxGrantRatio < 0 || s.MaxGrantRatio > 1, mustBeRatio, usedUnchanged, "MaxGrantRatio")
+	l.warn(s.ProgressInterval < 0, mustNotBeNegative, "treated as 0: no progress notices",
+		"ProgressInterval")
+	l.warn(s.MaxRetryAfter < 0, mustNotBeNegative, "treated as 0: rejections give no retry time",
+		"MaxRetryAfter")
+	l.warn(s.ProbeCost < 0, mustNotBeNegative, "treated as 0: no cost", "ProbeCost")
+	l.warn(s.GossipCost < 0, mustNotBeNegative, "treated as 0: no cost", "GossipCost")
 }
 
 func (l *problemList) checkSlowStart(s *Settings) {
 	rules := s.Rules
 	budget := rules.SlowStartCapacityRatio * rules.OverloadRatio * rules.OverloadWindow
-	l.warn(rules.SlowStartDuration > 0 && !(budget > 0), "a cold engine bears nothing by these figures",
-		"it gets nothing until it is warm", "Rules.SlowStartCapacityRatio")
-	l.warn(rules.SlowStartCapacityRatio > 1, "must be at most 1", usedAsIs,
+	l.warn(rules.SlowStartDuration > 0 && !(budget > 0),
+		"the slow-start budget, its product with OverloadRatio and OverloadWindow, must be above 0",
+		"an endpoint gets no requests until it has warmed up", "Rules.SlowStartCapacityRatio")
+	l.warn(rules.SlowStartCapacityRatio > 1, "must be at most 1", usedUnchanged,
 		"Rules.SlowStartCapacityRatio")
 }
 
--- a/internal/wire/fields_test.go
+++ b/internal/wire/fields_test.go
@@ -176,23 +176,23 @@
 		lines = append(lines, f.String())
 	}
 	require.Equal(t, []string{
-		`me = 5: not among the gateways; the program does not start`,
+		`me = 5: must be from 0 to Balancers-1; the program does not start`,
 		`rules.resendSpanMs = absent: must be above 0; the program does not start`,
 		`rules.repeatRatio = -1: must be 0 or more; the program does not start`,
 		`domain.sizeCores[1] = 0: must be above 0; the program does not start`,
 		`lanes[1].promiseMs = 0: must be above 0; the program does not start`,
-		`domain.kindMemoryMb[0] = -1: must be 0 or more; memory bounds nothing there`,
-		`lanes[0].gain = 0: the class is worth nothing; it goes behind all others`,
-		`lanes[0].promiseMs = 500: beyond the deadline; an answer counts until the client leaves`,
-		`lanes[0].repeatWindowMs = absent: no time in which a key protects; what may have run is not sent again`,
-		`lanes[0].confinedTo = [4]: names no zone that there is; every request of the class is refused`,
-		`domain.mostGrant = absent: grants are heeded and none may be made; none is named`,
-		`domain.progressMs = -1: must be 0 or more; read as no notes`,
-		`bounds.maxRetryAfterMs = -5: must be 0 or more; no time is told`,
-		`rules.coldFrom = absent: a cold engine bears nothing by these figures; it gets nothing until it is warm`,
-		`bounds.fast = true: this program does not know the field; it is passed over`,
-		`lanes[1].colour = "red": this program does not know the field; it is passed over`,
-		`novel = {"x":1}: this program does not know the field; it is passed over`,
+		`domain.kindMemoryMb[0] = -1: must be 0 or more; the kind's memory is treated as unlimited`,
+		`lanes[0].gain = 0: the weight is 0; pending requests of the class are started after all others`,
+		`lanes[0].promiseMs = 500: above the deadline; an answer earns the complete weight up to the deadline`,
+		`lanes[0].repeatWindowMs = absent: must be above 0 for deduplication by key; requests that may have run are not retried`,
+		`lanes[0].confinedTo = [4]: contains no configured zone; no endpoint may run the class: its requests wait and are rejected`,
+		`domain.mostGrant = absent: must be above 0 if memory grants are enabled; no grant is requested`,
+		`domain.progressMs = -1: must be 0 or more; treated as 0: no progress notices`,
+		`bounds.maxRetryAfterMs = -5: must be 0 or more; treated as 0: rejections give no retry time`,
+		`rules.coldFrom = absent: the slow-start budget, its product with OverloadRatio and OverloadWindow, must be above 0; an endpoint gets no requests until it has warmed up`,
+		`bounds.fast = true: unknown field; it is ignored`,
+		`lanes[1].colour = "red": unknown field; it is ignored`,
+		`novel = {"x":1}: unknown field; it is ignored`,
 	}, lines)
 	_, found = Inspect([]byte(`[`))
 	require.True(t, found[0].Fatal)
--- a/internal/wire/inspect.go
+++ b/internal/wire/inspect.go
@@ -112,7 +112,7 @@
 			generalPath := generalizePath(path)
 			if !known[generalPath] && !known[generalPath+"[]"] {
 				text, _ := json.Marshal(v[name])
-				*found = append(*found, Finding{path, truncate(string(text)), "this program does not know the field", "it is passed over", false})
+				*found = append(*found, Finding{path, truncate(string(text)), "unknown field", "it is ignored", false})
 				continue
 			}
 			findUnknownFields(v[name], path, known, found)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -49,7 +49,7 @@
 		`{"what":"Sing","gateway":3}`:                                                                     `message "Sing": unknown`,
 		`{"what":"BackendsChanged","gateway":3,"mode":1,"bank":9}`:                                        "BackendsChanged: field bank: list 9 was not sent",
 		`{"what":"TickDue","gateway":8,"cookie":"x"}`:                                                     "TickDue: field gateway: instance 8 was not started",
-		`{"what":"Boot","gateway":4,"prng":1,"params":{"balancers":0}}`:                                   "Boot: params: Balancers: at least one is needed",
+		`{"what":"Boot","gateway":4,"prng":1,"params":{"balancers":0}}`:                                   "Boot: params: Balancers: must be at least 1",
 		`{"what":"Boot","gateway":4,"prng":1,"params":{"lanes":[{"repeat":"maybe"}],"registryMode":"x"}}`: `Boot: params: field lanes.repeat: "maybe" is unknown`,
 	} {
 		h := NewHost()
