--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -94,8 +94,8 @@
 			sent++
 		}
 	}
-	if all := sent * settings.Balancers; all < 8 || all > 16 { // all three balancers get the same burst
-		t.Fatalf("all balancers together send %d of 100 queries each to eight cores at once", all)
+	if total := sent * settings.Balancers; total < 8 || total > 16 { // all three balancers get the same burst
+		t.Fatalf("all balancers together send %d of 100 queries each to eight cores at once", total)
 	}
 }
 
@@ -313,9 +313,9 @@
 	})
 }
 
-// TestNeedAboveLargestGrantIsStillSent guards against holding a query whose estimated memory is more than an endpoint
-// has. With estimates too high by class, such a query waited past its objective and was rejected while endpoints were
-// idle; no endpoint grants more than a part of its memory.
+// TestNeedAboveLargestGrantIsStillSent guards against leaving a query pending whose estimated memory is more than an
+// endpoint has. With estimates too high by class, such a query waited past its objective and was rejected while
+// endpoints were idle; no endpoint grants more than a part of its memory.
 func TestNeedAboveLargestGrantIsStillSent(t *testing.T) {
 	underTwoSettings(t, func(t *testing.T, settings Settings, start func(Settings, int) *script) {
 		for _, estimatedMB := range []float64{6000, 20000, 90000} {
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -44,7 +44,7 @@
 	startedAt Millis // 0: long before the simulation
 	downUntil Millis // connections are refused before this time
 	removed   bool
-	threads   float64    // in use
+	threads   float64    // threads in use
 	received  []sentWork // attempts within the last overload window, in requests of mean work
 }
 
@@ -75,7 +75,7 @@
 	notifiedAt  map[EndpointID]Millis // time at which the balancer learned of an endpoint's start
 	listDelay   Millis                // mean delay of its endpoint updates
 	open        map[RequestID]*simulatedRequest
-	weight      float64 // of its share of the traffic
+	weight      float64 // weight of its share of the traffic
 }
 
 // simulatedRequest is an open request of a balancer.
@@ -160,12 +160,12 @@
 
 // start starts or restarts the balancer with the current endpoint list.
 func (b *simulatedBalancer) start() {
-	own := b.fleet.settings
-	own.BalancerIndex = b.index
+	adjusted := b.fleet.settings
+	adjusted.BalancerIndex = b.index
 	if b.fleet.misconfigure != nil {
-		b.fleet.misconfigure(&own)
+		b.fleet.misconfigure(&adjusted)
 	}
-	restarted, err := New(own, b.fleet.rng.Uint64())
+	restarted, err := New(adjusted, b.fleet.rng.Uint64())
 	if err != nil {
 		b.fleet.test.Fatal(err)
 	}
@@ -311,8 +311,8 @@
 			{LatencyObjective: 1500, Deadline: 15000, Threads: 4, PriorityWeight: 20, LateWeightRatio: 0.4, ObjectivePerWork: 2.5},
 			{LatencyObjective: 4000, Deadline: 20000, Threads: 2, PriorityWeight: 25, LateWeightRatio: 0.6, ObjectivePerWork: 3, Idempotency: NotIdempotent, LocksGroup: true}},
 		Rules: Rules{SlowStartCapacityRatio: between(0.3, 0.5), SlowStartDuration: between(8000, 15000), OverloadRatio: between(2, 3), OverloadWindow: between(1000, 3000)}}
-	servers := 6 + rng.IntN(5)
-	for i := range servers {
+	endpointCount := 6 + rng.IntN(5)
+	for i := range endpointCount {
 		f.endpoints[EndpointID(i+1)] = &warmingEndpoint{id: EndpointID(i + 1)}
 	}
 	for i := range balancerCount {
@@ -324,7 +324,7 @@
 	for _, b := range f.balancers {
 		totalWeight += b.weight
 	}
-	rate := between(0.6, 1.3) * float64(servers) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
+	rate := between(0.6, 1.3) * float64(endpointCount) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
 	ids := 0
 	for _, b := range f.balancers {
 		var next func()
@@ -335,7 +335,7 @@
 		}
 		f.after(rng.ExpFloat64()/(rate*b.weight/totalWeight), next)
 	}
-	for i := range 1 + rng.IntN(servers*7/10) { // half of them are replaced, the others restart
+	for i := range 1 + rng.IntN(endpointCount*7/10) { // half of them are replaced, the others restart
 		e, at := f.endpoints[EndpointID(i+1)], between(3000, 7000)
 		if rng.IntN(2) == 0 {
 			f.after(at, func() {
