--- a/internal/emulator/engine/admission.go
+++ b/internal/emulator/engine/admission.go
@@ -6,86 +6,91 @@
 	"slices"
 )
 
-// Start brings a query. Where the engine falls over, all that it held is gone, this
-// query too, and Pressure tells who sent what.
+// Start offers a query to the engine. An Overloaded result means that the engine failed
+// and that all its queries are lost, this one included; NotifiedLoadRatio then tells which
+// part of the load came from given coordinators.
 func (e *Engine) Start(now float64, j *Job) StartResult {
 	e.passTime(now)
 	if e.overloadedBy(now, j) {
 		return Overloaded
 	}
-	if len(e.jobs) >= e.kind.Sessions {
+	if len(e.jobs) >= e.config.Sessions {
 		return Rejected
 	}
 	e.seq++
 	j.seq, j.state = e.seq, waiting
 	e.jobs[j.ID] = j
-	j.granted = e.grant(j)
+	j.grantedMB = e.grant(j)
 	e.enqueue(j)
 	e.startWaiting()
 	return Accepted
 }
 
+// enqueue inserts a job into the queue, ordered by priority and then by arrival.
 func (e *Engine) enqueue(j *Job) {
-	i, _ := slices.BinarySearchFunc(e.line, j, func(a, b *Job) int {
+	i, _ := slices.BinarySearchFunc(e.queue, j, func(a, b *Job) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.seq, b.seq))
 	})
-	e.line = slices.Insert(e.line, i, j)
+	e.queue = slices.Insert(e.queue, i, j)
 }
 
-// What an engine grants by its own choice: a quarter over the estimate, or half over
-// what the class usually needs.
+// Factors for a memory grant that the engine chooses itself.
 const (
-	overEstimate = 1.25
-	overUsual    = 1.5
+	estimateGrantFactor = 1.25 // times the estimate
+	baselineGrantFactor = 1.5  // times the usual need of the class, if there is no estimate
 )
 
+// grant returns the memory that a job gets, in MB: what it asks for or else the engine's own
+// choice, at most MaxGrantRatio of the engine's memory.
 func (e *Engine) grant(j *Job) int64 {
 	g := j.GrantMB
 	if g <= 0 && j.EstimateMB > 0 {
-		g = int64(math.Ceil(float64(j.EstimateMB) * overEstimate))
+		g = int64(math.Ceil(float64(j.EstimateMB) * estimateGrantFactor))
 	} else if g <= 0 {
-		g = int64(math.Ceil(float64(j.BaselineMB) * overUsual))
+		g = int64(math.Ceil(float64(j.BaselineMB) * baselineGrantFactor))
 	}
-	return max(min(g, int64(float64(e.kind.MemoryMB)*e.kind.MaxGrantRatio)), 1)
+	return max(min(g, int64(float64(e.config.MemoryMB)*e.config.MaxGrantRatio)), 1)
 }
 
-// startWaiting lets in what fits and renews paces.
+// startWaiting admits queued jobs in order while their grants fit into memory, and updates
+// the pace of all processor shares.
 func (e *Engine) startWaiting() {
-	for len(e.line) > 0 && (e.kind.Overcommit || e.granted+e.line[0].granted <= e.kind.MemoryMB) {
-		j := e.line[0]
-		e.line = slices.Delete(e.line, 0, 1)
-		e.granted += j.granted
-		e.used += min(j.granted, j.NeedMB)
+	for len(e.queue) > 0 && (e.config.Overcommit || e.grantedMB+e.queue[0].grantedMB <= e.config.MemoryMB) {
+		j := e.queue[0]
+		e.queue = slices.Delete(e.queue, 0, 1)
+		e.grantedMB += j.grantedMB
+		e.usedMB += min(j.grantedMB, j.NeedMB)
 		e.admit(j)
 	}
 	e.updateThroughput()
 }
 
-// admit gives a job its memory and its work.
+// admit determines the work of a job that got its memory, and runs it or blocks it behind a
+// load on its data set.
 func (e *Engine) admit(j *Job) {
 	read := j.IORatio
 	if e.readDataSet(j.Group) {
-		read *= 1 - e.kind.WarmGain
+		read *= 1 - e.config.WarmGain
 	}
 	work := j.Work * (1 - j.IORatio + read)
 	j.ioWork = 0
 	if work > 0 {
 		j.ioWork = j.Work * read / work
 	}
-	if short := j.NeedMB - j.granted; short > 0 {
-		work *= 1 + e.kind.SpillPenalty*float64(short)/float64(j.NeedMB)
+	if missing := j.NeedMB - j.grantedMB; missing > 0 {
+		work *= 1 + e.config.SpillPenalty*float64(missing)/float64(j.NeedMB)
 	}
-	j.total, j.left = work, work
-	e.books.In += work
+	j.total, j.workLeft = work, work
+	e.totals.In += work
 	if j.LoadsDataSet || j.WaitsForLoads {
-		g := e.groups[j.Group]
+		g := e.dataSets[j.Group]
 		if g == nil {
 			g = &dataSetState{}
-			e.groups[j.Group] = g
+			e.dataSets[j.Group] = g
 		}
 		if len(g.loads) > 0 {
 			j.state = blocked
-			g.behind = append(g.behind, j)
+			g.blockedJobs = append(g.blockedJobs, j)
 			return
 		}
 		if j.LoadsDataSet {
@@ -95,99 +100,103 @@
 	e.run(j)
 }
 
-// readDataSet reads a data set, and tells whether it was warm.
+// readDataSet makes a data set the most recently used one and reports whether it was warm.
+// The least recently used one is evicted when there are more than WarmSets.
 func (e *Engine) readDataSet(g uint64) bool {
-	i := slices.Index(e.warm, g)
+	i := slices.Index(e.warmSets, g)
 	if i >= 0 {
-		e.warm = slices.Delete(e.warm, i, i+1)
+		e.warmSets = slices.Delete(e.warmSets, i, i+1)
 	}
-	e.warm = append(e.warm, g)
-	if len(e.warm) > e.kind.WarmSets {
-		e.warm = slices.Delete(e.warm, 0, 1)
+	e.warmSets = append(e.warmSets, g)
+	if len(e.warmSets) > e.config.WarmSets {
+		e.warmSets = slices.Delete(e.warmSets, 0, 1)
 	}
 	return i >= 0
 }
 
+// run adds a job to the processor share of its priority.
 func (e *Engine) run(j *Job) {
 	j.state = running
-	l := &e.shares[min(max(j.Priority, 0), 3)]
+	s := &e.shares[min(max(j.Priority, 0), 3)]
 	if j.ioWork > 0 {
-		l = &e.shares[4+min(max(j.Priority, 0), 3)]
+		s = &e.shares[4+min(max(j.Priority, 0), 3)]
 	}
-	if len(l.heap) == 0 {
-		l.clock, l.threads, l.cpu, l.disk = 0, 0, 0, 0 // no rounding lives on
+	if len(s.heap) == 0 {
+		s.clock, s.threads, s.cpu, s.disk = 0, 0, 0, 0 // drops accumulated rounding errors
 	}
-	j.share, j.finish = l, l.clock+j.left/float64(j.Threads)
-	l.threads += j.Threads
-	l.cpu += float64(j.Threads) * (1 - j.ioWork)
-	l.disk += float64(j.Threads) * j.ioWork
-	l.push(j)
+	j.share, j.finish = s, s.clock+j.workLeft/float64(j.Threads)
+	s.threads += j.Threads
+	s.cpu += float64(j.Threads) * (1 - j.ioWork)
+	s.disk += float64(j.Threads) * j.ioWork
+	s.push(j)
 }
 
+// remaining returns the work left to a running job, in ms.
 func (e *Engine) remaining(j *Job) float64 {
 	return max(j.finish-j.share.clock, 0) * float64(j.Threads)
 }
 
-// stop takes a job off its processor share with what is left of it.
+// stop removes a running job from its processor share and keeps its remaining work.
 func (e *Engine) stop(j *Job) {
-	j.left = e.remaining(j)
-	l := j.share
-	l.remove(j)
-	l.threads -= j.Threads
-	l.cpu -= float64(j.Threads) * (1 - j.ioWork)
-	l.disk -= float64(j.Threads) * j.ioWork
+	j.workLeft = e.remaining(j)
+	s := j.share
+	s.remove(j)
+	s.threads -= j.Threads
+	s.cpu -= float64(j.Threads) * (1 - j.ioWork)
+	s.disk -= float64(j.Threads) * j.ioWork
 	j.share = nil
 }
 
-// leave takes a job out, wherever it is, and lets on what stood behind it.
-func (e *Engine) leave(j *Job) {
+// removeJob removes a job in any state. If it was the last load on its data set, the jobs
+// blocked behind it run, up to the next load.
+func (e *Engine) removeJob(j *Job) {
 	delete(e.jobs, j.ID)
 	switch j.state {
 	case waiting:
-		e.line = slices.DeleteFunc(e.line, func(o *Job) bool { return o == j })
-		j.state = over
+		e.queue = slices.DeleteFunc(e.queue, func(o *Job) bool { return o == j })
+		j.state = ended
 		return
 	case running:
 		e.stop(j)
 	}
-	j.state = over
-	e.books.Dropped += j.left
-	e.granted -= j.granted
-	e.used -= min(j.granted, j.NeedMB)
-	g := e.groups[j.Group]
+	j.state = ended
+	e.totals.Dropped += j.workLeft
+	e.grantedMB -= j.grantedMB
+	e.usedMB -= min(j.grantedMB, j.NeedMB)
+	g := e.dataSets[j.Group]
 	if g == nil || !j.LoadsDataSet && !j.WaitsForLoads {
 		return
 	}
-	g.behind = slices.DeleteFunc(g.behind, func(o *Job) bool { return o == j })
+	g.blockedJobs = slices.DeleteFunc(g.blockedJobs, func(o *Job) bool { return o == j })
 	if g.loads = slices.DeleteFunc(g.loads, func(o *Job) bool { return o == j }); len(g.loads) > 0 {
 		return
 	}
-	for len(g.behind) > 0 && len(g.loads) == 0 {
-		first := g.behind[0]
-		g.behind = g.behind[1:]
-		if first.LoadsDataSet {
-			g.loads = append(g.loads, first)
+	for len(g.blockedJobs) > 0 && len(g.loads) == 0 {
+		next := g.blockedJobs[0]
+		g.blockedJobs = g.blockedJobs[1:]
+		if next.LoadsDataSet {
+			g.loads = append(g.loads, next)
 		}
-		e.run(first)
+		e.run(next)
 	}
-	if len(g.loads) == 0 && len(g.behind) == 0 {
-		delete(e.groups, j.Group)
+	if len(g.loads) == 0 && len(g.blockedJobs) == 0 {
+		delete(e.dataSets, j.Group)
 	}
 }
 
-// Cancel gives a query up; false: it is not here, or has ended.
+// Cancel cancels a query. It returns false if the engine does not hold it, or no longer.
 func (e *Engine) Cancel(now float64, id uint64) bool {
 	e.passTime(now)
 	j := e.jobs[id]
 	if j == nil {
 		return false
 	}
-	e.leave(j)
+	e.removeJob(j)
 	e.startWaiting()
 	return true
 }
 
-// Prioritize changes the priority of a query that is here.
+// Prioritize changes the priority of a query that the engine holds.
 func (e *Engine) Prioritize(now float64, id uint64, priority int) {
 	e.passTime(now)
 	j := e.jobs[id]
@@ -196,7 +205,7 @@
 	}
 	switch j.state {
 	case waiting:
-		e.line = slices.DeleteFunc(e.line, func(o *Job) bool { return o == j })
+		e.queue = slices.DeleteFunc(e.queue, func(o *Job) bool { return o == j })
 		j.Priority = priority
 		e.enqueue(j)
 	case running:
--- a/internal/emulator/engine/draw.go
+++ b/internal/emulator/engine/draw.go
@@ -7,39 +7,41 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// capacityUtilization is how busy the cores are at an engine's capacity.
+// capacityUtilization is the utilization of the cores at an engine's capacity.
 const capacityUtilization = 0.85
 
-// Draw takes one engine from a scenario's ranges; corePart is the part of the mix's
-// work that is on cores.
-func Draw(s *scenario.Scenario, rng *rand.Rand, corePart float64) Build {
+// Draw draws the configuration of one engine from a scenario's ranges; coreWorkRatio is the
+// part of the mix's work that is done on cores.
+func Draw(s *scenario.Scenario, rng *rand.Rand, coreWorkRatio float64) Build {
 	e := s.Engines
 	k := Build{Cores: e.Cores, Disks: e.Disks, Speed: e.Speed.Draw(rng), MemoryMB: int64(e.MemoryMB),
 		SaturationThreads: e.SaturationThreads.Draw(rng), ThrashRatio: e.ThrashRatio.Draw(rng), SeekPenalty: e.SeekPenalty.Draw(rng), SpillPenalty: e.SpillPenalty.Draw(rng), MaxGrantRatio: e.MaxGrantRatio,
 		Sessions: e.Sessions, WarmSets: int(math.Round(e.WarmSets.Draw(rng))), WarmGain: e.WarmGain.Draw(rng),
 		WarmupInitialRatio: e.WarmupInitialRatio.Draw(rng), WarmupMS: e.WarmupMS.Draw(rng), OverloadMultiple: s.Rules.OverloadMultiple, OverloadMS: s.Rules.OverloadMS,
-		OverloadRatio: capacityUtilization / corePart, ReportPeriodMS: e.ReportPeriodMS.Draw(rng), ReportDelayMS: e.ReportDelayMS.Draw(rng)}
+		OverloadRatio: capacityUtilization / coreWorkRatio, ReportPeriodMS: e.ReportPeriodMS.Draw(rng), ReportDelayMS: e.ReportDelayMS.Draw(rng)}
 	if e.MemoryShort == scenario.OvercommitMemory {
 		k.Overcommit, k.PagingPenalty = true, e.PagingPenalty.Draw(rng)
 	}
 	return k
 }
 
-// DrawPlanMultiple is how many times its work an attempt of a class takes: a bad plan is drawn anew for each.
+// DrawPlanMultiple draws the factor by which a bad plan multiplies the work of one attempt; it
+// is 1 for a good plan. Each attempt of a query draws its own.
 func DrawPlanMultiple(c scenario.Class, rng *rand.Rand) float64 {
 	if c.BadPlanRatio.Max <= 0 {
 		return 1
 	}
-	times := c.BadPlanMultiple.Draw(rng)
+	multiple := c.BadPlanMultiple.Draw(rng)
 	if rng.Float64() >= (c.BadPlanRatio.Min+c.BadPlanRatio.Max)/2 {
 		return 1
 	}
-	return max(times, 1)
+	return max(multiple, 1)
 }
 
-// NewJob is what a client's query truly is at an engine.
-func NewJob(s *scenario.Scenario, q scenario.Query, usual float64) *Job {
+// NewJob returns the job that a client's query is at an engine, with its true work and memory
+// need; overloadWeight is the work that it counts towards an overload.
+func NewJob(s *scenario.Scenario, q scenario.Query, overloadWeight float64) *Job {
 	c := s.Classes[q.Class]
 	return &Job{Class: q.Class, Group: q.DataSet, Work: q.Work, IORatio: q.IORatio, Threads: c.Threads, NeedMB: int64(math.Ceil(q.NeedMB)),
-		EstimateMB: int64(q.EstimatedMB), BaselineMB: int64(c.MemoryMB), OverloadWeight: usual, LoadsDataSet: c.LoadsDataSet, WaitsForLoads: c.WaitsForLoads}
+		EstimateMB: int64(q.EstimatedMB), BaselineMB: int64(c.MemoryMB), OverloadWeight: overloadWeight, LoadsDataSet: c.LoadsDataSet, WaitsForLoads: c.WaitsForLoads}
 }
--- a/internal/emulator/engine/engine.go
+++ b/internal/emulator/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine models one query engine: cores and disks shared by what runs,
-// memory granted to it, the line of what waits, the data sets kept warm, cold
-// starts and stalls. It knows no clock: whoever drives it says what time it is.
+// Package engine models one query engine: cores and disks shared by the running queries,
+// memory grants, the queue, the data sets kept warm, cold starts and stalls. It has no
+// clock: its caller passes the time.
 package engine
 
 import (
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Build is an engine as built, its figures drawn.
+// Build is the configuration of one engine, drawn from a scenario's ranges.
 type Build struct {
 	Cores, Disks, Speed            float64
 	MemoryMB                       int64
@@ -21,86 +21,88 @@
 	WarmGain                       float64
 	WarmupInitialRatio, WarmupMS   float64
 	OverloadMultiple, OverloadMS   float64
-	OverloadRatio                  float64 // work that a core may do in a ms at capacity: 0.85 over the part of work that is on cores
+	OverloadRatio                  float64 // work per core and ms at capacity: 0.85 over the part of work that is done on cores
 	ReportPeriodMS                 float64
 	ReportDelayMS                  float64
-	Overcommit                     bool    // all are let in; past its memory the engine slows down
-	PagingPenalty                  float64 // at twice its memory it does one part in so many
+	Overcommit                     bool    // queries are admitted without free memory; beyond its memory the engine slows down
+	PagingPenalty                  float64 // factor by which it is slower at twice its memory
 }
 
-// WorkTotals are sums of work in milliseconds. In = Done + Dropped + what is still there.
+// WorkTotals are sums of work in milliseconds. In = Done + Dropped + the work not done yet.
 type WorkTotals struct{ In, Done, Dropped float64 }
 
-// weights are the shares of priorities where cores or disks are short.
+// weights are the relative shares of the priorities when cores or disks are scarce.
 var weights = [4]float64{1, 4, 8, 16}
 
-// processorShare holds running jobs that all progress at one pace a thread: those of one priority
-// that use the disks, or that don't. Its clock is the work done by each thread.
+// processorShare holds running jobs whose threads all progress at one pace: the jobs of one
+// priority that use the disks, or those that do not. Its clock is the work done by each thread.
 type processorShare struct {
 	clock, pace float64
 	heap        []*Job
 	threads     int
-	cpu, disk   float64 // threads times the part on cores, on disks
+	cpu, disk   float64 // threads times the part of their work on cores and on disks
 	weight      float64
 	usesDisks   bool
 }
 
 // Engine is one engine. It is not safe for concurrent use.
 type Engine struct {
-	kind    Build
-	now     float64
-	seq     int
-	shares  [8]processorShare
-	line    []*Job // by priority, then in turn
-	jobs    map[uint64]*Job
-	groups  map[uint64]*dataSetState
-	granted int64
-	used    int64    // of it, what queries need
-	warm    []uint64 // the latest read last
-	started float64  // start of warming; below 0: long ago
-	slow    float64
-	taken   float64 // part of cores and disks that another program has
-	late    float64 // that reports come out later than usual, ms
-	stalled bool
-	coresIn float64 // in use now
-	disksIn float64
-	books   WorkTotals
-	arrived []arrival
-	shown   Report   // the latest that is out
-	samples []sample // in order; at most the first is out
-	takeAt  float64
-}
-
-type dataSetState struct{ loads, behind []*Job }
-
+	config           Build
+	now              float64
+	seq              int
+	shares           [8]processorShare
+	queue            []*Job // by priority, then by arrival
+	jobs             map[uint64]*Job
+	dataSets         map[uint64]*dataSetState
+	grantedMB        int64
+	usedMB           int64    // granted memory that queries need
+	warmSets         []uint64 // least recently used first
+	startedAt        float64  // start of the warm-up; below 0: warm from the start
+	slowdown         float64  // divides the speed
+	neighbourRatio   float64  // part of cores and disks that another program uses
+	extraReportDelay float64  // added to ReportDelayMS
+	stalled          bool
+	coresInUse       float64
+	disksInUse       float64
+	totals           WorkTotals
+	recentArrivals   []arrival // while the engine warms up
+	published        Report    // the latest published one
+	samples          []sample  // by time; at most the first has been published
+	nextSampleAt     float64
+}
+
+// dataSetState holds the running load on a data set and the jobs blocked behind it.
+type dataSetState struct{ loads, blockedJobs []*Job }
+
+// arrival is the overload weight of a query that was offered to a cold engine.
 type arrival struct {
 	time, weight float64
-	from         int
+	coordinator  int
 }
 
-// New returns an engine that starts at a time, or started long ago (below 0).
-func New(k Build, now, started float64) *Engine {
-	e := &Engine{kind: k, now: now, started: started, slow: 1, jobs: map[uint64]*Job{}, groups: map[uint64]*dataSetState{}, takeAt: now}
+// New returns an engine whose warm-up starts at startedAt. Below 0 the engine is warm.
+func New(k Build, now, startedAt float64) *Engine {
+	e := &Engine{config: k, now: now, startedAt: startedAt, slowdown: 1, jobs: map[uint64]*Job{}, dataSets: map[uint64]*dataSetState{}, nextSampleAt: now}
 	for i := range e.shares {
 		e.shares[i].weight, e.shares[i].usesDisks = weights[i%4], i >= 4
 	}
 	return e
 }
 
-// Books returns the sums of the work so far; left is the work that is not done yet, in ms.
-func (e *Engine) Books() (b WorkTotals, left float64) {
+// Books returns the work totals so far, and the admitted work that is not done yet, in ms.
+func (e *Engine) Books() (work WorkTotals, workLeft float64) {
 	for _, j := range e.heldJobs() {
 		switch j.state {
 		case running:
-			left += e.remaining(j)
+			workLeft += e.remaining(j)
 		case blocked:
-			left += j.left
+			workLeft += j.workLeft
 		}
 	}
-	return e.books, left
+	return e.totals, workLeft
 }
 
-// heldJobs are its queries in order of arrival: nothing may hang on a map's order.
+// heldJobs returns the engine's jobs in order of arrival, so that no result depends on map order.
 func (e *Engine) heldJobs() []*Job {
 	all := make([]*Job, 0, len(e.jobs))
 	for _, j := range e.jobs {
@@ -110,57 +112,58 @@
 	return all
 }
 
-// InFlight is how many queries it holds.
+// InFlight returns the number of queries that the engine holds.
 func (e *Engine) InFlight() int { return len(e.jobs) }
 
-// GrantedMB is the memory granted.
-func (e *Engine) GrantedMB() int64 { return e.granted }
+// GrantedMB returns the memory granted to queries.
+func (e *Engine) GrantedMB() int64 { return e.grantedMB }
 
-// Warmth is the part of its capacity that the engine has at a time.
+// Warmth returns the part of its full capacity that the engine has at a time.
 func (e *Engine) Warmth(at float64) float64 {
-	if e.started < 0 || at >= e.started+e.kind.WarmupMS {
+	if e.startedAt < 0 || at >= e.startedAt+e.config.WarmupMS {
 		return 1
 	}
-	return e.kind.WarmupInitialRatio + (1-e.kind.WarmupInitialRatio)*max(at-e.started, 0)/e.kind.WarmupMS
+	return e.config.WarmupInitialRatio + (1-e.config.WarmupInitialRatio)*max(at-e.startedAt, 0)/e.config.WarmupMS
 }
 
-// warmupStepMS is how often the capacity of a warming engine is brought up to date.
+// warmupStepMS is the interval at which the capacity of a warming engine is updated.
 const warmupStepMS = 100.0
 
-// Next is when Advance has something to do; +Inf: never by itself.
+// Next returns the time at which Advance must be called next. +Inf means that nothing happens
+// before the next call of another method.
 func (e *Engine) Next() float64 {
 	at := math.Inf(1)
 	for i := range e.shares {
-		l := &e.shares[i]
-		if len(l.heap) > 0 && l.pace > 0 {
-			at = min(at, e.now+max(l.heap[0].finish-l.clock, 0)/l.pace)
+		s := &e.shares[i]
+		if len(s.heap) > 0 && s.pace > 0 {
+			at = min(at, e.now+max(s.heap[0].finish-s.clock, 0)/s.pace)
 		}
 	}
-	for _, j := range e.line {
+	for _, j := range e.queue {
 		at = min(at, j.Expires)
 	}
-	if e.started >= 0 && e.now < e.started+e.kind.WarmupMS && len(e.jobs) > 0 {
+	if e.startedAt >= 0 && e.now < e.startedAt+e.config.WarmupMS && len(e.jobs) > 0 {
 		at = min(at, e.now+warmupStepMS)
 	}
 	return at
 }
 
-// Advance lets time pass and returns what ended by then, in order. It is to be called
-// at every time that Next names; between them nothing ends.
+// Advance moves the time on and returns the queries that ended by then, in order. It must be
+// called at each time that Next returns; no query ends between these times.
 func (e *Engine) Advance(now float64) []End {
 	e.passTime(now)
 	var ends []End
 	for {
-		j := e.done()
+		j := e.nextFinished()
 		if j == nil {
 			break
 		}
-		e.leave(j)
+		e.removeJob(j)
 		ends = append(ends, End{Job: j})
 	}
-	for i := 0; i < len(e.line); {
-		if j := e.line[i]; j.Expires <= now {
-			e.leave(j)
+	for i := 0; i < len(e.queue); {
+		if j := e.queue[i]; j.Expires <= now {
+			e.removeJob(j)
 			ends = append(ends, End{Job: j, Expired: true})
 		} else {
 			i++
@@ -170,28 +173,30 @@
 	return ends
 }
 
-// roundingTolerance is how much of a thread's work, in ms, counts as none.
+// roundingTolerance is the remaining work of a thread, in ms, that counts as none.
 const roundingTolerance = 1e-7
 
-func (e *Engine) done() *Job {
+// nextFinished returns the earliest arrival among the jobs that have done their work, or nil.
+func (e *Engine) nextFinished() *Job {
 	var best *Job
 	for i := range e.shares {
-		l := &e.shares[i]
-		if len(l.heap) > 0 && l.heap[0].finish <= l.clock+roundingTolerance && (best == nil || l.heap[0].seq < best.seq) {
-			best = l.heap[0]
+		s := &e.shares[i]
+		if len(s.heap) > 0 && s.heap[0].finish <= s.clock+roundingTolerance && (best == nil || s.heap[0].seq < best.seq) {
+			best = s.heap[0]
 		}
 	}
 	return best
 }
 
-// passTime moves the shares' clocks on; what is published of a state is that before the change.
+// passTime moves the shares' clocks to now. Each method calls it before it changes the state,
+// so that samples due by now show the state before the change.
 func (e *Engine) passTime(now float64) {
-	for e.kind.ReportPeriodMS > 0 && e.takeAt <= now {
-		e.publishReport(e.takeAt)
-		e.samples = append(e.samples, sample{e.takeAt, e.state()})
-		e.takeAt += e.kind.ReportPeriodMS
-		if skip := math.Floor((now - e.takeAt) / e.kind.ReportPeriodMS); skip > 1 { // nothing changed in between
-			e.takeAt += skip * e.kind.ReportPeriodMS
+	for e.config.ReportPeriodMS > 0 && e.nextSampleAt <= now {
+		e.publishReport(e.nextSampleAt)
+		e.samples = append(e.samples, sample{e.nextSampleAt, e.currentReport()})
+		e.nextSampleAt += e.config.ReportPeriodMS
+		if skip := math.Floor((now - e.nextSampleAt) / e.config.ReportPeriodMS); skip > 1 { // the skipped samples would show the same state
+			e.nextSampleAt += skip * e.config.ReportPeriodMS
 		}
 	}
 	dt := now - e.now
@@ -199,35 +204,35 @@
 		return
 	}
 	for i := range e.shares {
-		l := &e.shares[i]
-		l.clock += l.pace * dt
-		e.books.Done += l.pace * dt * float64(l.threads)
+		s := &e.shares[i]
+		s.clock += s.pace * dt
+		e.totals.Done += s.pace * dt * float64(s.threads)
 	}
 	e.now = now
 }
 
-// SetNeighbourRatio gives another program a part of the cores and disks.
-func (e *Engine) SetNeighbourRatio(now, part float64) {
+// SetNeighbourRatio sets the part of the cores and disks that another program uses.
+func (e *Engine) SetNeighbourRatio(now, ratio float64) {
 	e.passTime(now)
-	e.taken = part
+	e.neighbourRatio = ratio
 	e.startWaiting()
 }
 
-// SetSlowdown makes everything so many times slower.
-func (e *Engine) SetSlowdown(now, times float64) {
+// SetSlowdown sets the factor by which all queries are slower.
+func (e *Engine) SetSlowdown(now, factor float64) {
 	e.passTime(now)
-	e.slow = times
+	e.slowdown = factor
 	e.startWaiting()
 }
 
-// Stall stops everything, or lets it go on.
+// Stall stops the progress of all queries, or resumes it.
 func (e *Engine) Stall(now float64, stalled bool) {
 	e.passTime(now)
 	e.stalled = stalled
 	e.startWaiting()
 }
 
-// Terminate ends the process: all that it held is returned, in order of arrival.
+// Terminate ends the engine's process and returns the queries that it held, in order of arrival.
 func (e *Engine) Terminate(now float64) []*Job {
 	e.passTime(now)
 	all := e.heldJobs()
@@ -236,13 +241,13 @@
 			e.stop(j)
 		}
 		if j.state != waiting {
-			e.books.Dropped += j.left
+			e.totals.Dropped += j.workLeft
 		}
-		j.state = over
+		j.state = ended
 	}
 	clear(e.jobs)
-	clear(e.groups)
-	e.line, e.granted, e.used = nil, 0, 0
+	clear(e.dataSets)
+	e.queue, e.grantedMB, e.usedMB = nil, 0, 0
 	e.updateThroughput()
 	return all
 }
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -10,16 +10,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// plain is an engine of so many cores where nothing but sharing happens.
+// plain returns an engine that has cores and memory to share, and no other effects.
 func plain(cores float64, memoryMB int64) Build {
 	return Build{Cores: cores, Disks: 1e9, Speed: 1, MemoryMB: memoryMB, SaturationThreads: 1e9, ThrashRatio: 1, MaxGrantRatio: 1, Sessions: 1 << 30, WarmSets: 1}
 }
 
-// queue plays Poisson arrivals into an engine and returns the mean sojourn of those after
-// the first tenth, the time average of queries held over all, and the two sides of Little's law.
-func queue(t *testing.T, k Build, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
+// meanSojourn sends Poisson arrivals to an engine until n have ended, and returns the mean sojourn
+// time without the first tenth of them. It checks Little's law and that work is conserved.
+func meanSojourn(t *testing.T, k Build, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
 	e := New(k, 0, -1)
-	born := map[uint64]float64{}
+	arrivedAt := map[uint64]float64{}
 	var now, next, area, sum, all float64
 	var id uint64
 	ended := 0
@@ -30,21 +30,22 @@
 		now = at
 		for _, end := range e.Advance(now) {
 			ended++
-			all += now - born[end.Job.ID]
+			all += now - arrivedAt[end.Job.ID]
 			if end.Job.ID > uint64(n/10) {
-				sum += now - born[end.Job.ID]
+				sum += now - arrivedAt[end.Job.ID]
 			}
-			delete(born, end.Job.ID)
+			delete(arrivedAt, end.Job.ID)
 		}
 		if now == next {
 			id++
-			born[id] = now
+			arrivedAt[id] = now
 			require.Equal(t, Accepted, e.Start(now, &Job{ID: id, Work: work(), Threads: 1, GrantMB: grant, NeedMB: grant, Expires: math.Inf(1)}))
 			next = now + rng.ExpFloat64()/perMS
 		}
 	}
-	// Little's law on the path itself: what is held, over time, is what each spent here.
-	for _, at := range born {
+	// Little's law on this sample path: the number of queries held, integrated over time, is the sum
+	// of the times that each spent at the engine.
+	for _, at := range arrivedAt {
 		all += now - at
 	}
 	require.InEpsilon(t, area, all, 1e-6)
@@ -53,32 +54,35 @@
 	return sum / (float64(n) * 0.9)
 }
 
-// within99 holds replications against a formula: it must lie in their 99% interval (t, 19 degrees).
-func within99(t *testing.T, want float64, one func(rng *rand.Rand) float64) {
+// requireWithin99 checks that a formula's value lies in the 99% confidence interval of the mean of
+// 20 replications (Student's t, 19 degrees of freedom).
+func requireWithin99(t *testing.T, want float64, replicate func(rng *rand.Rand) float64) {
 	var x []float64
 	for i := range 20 {
-		x = append(x, one(rand.New(rand.NewPCG(uint64(i), 5))))
+		x = append(x, replicate(rand.New(rand.NewPCG(uint64(i), 5))))
 	}
 	mean, sd := stat.MeanStdDev(x, nil)
 	half := distuv.StudentsT{Sigma: 1, Nu: 19}.Quantile(0.995) * sd / math.Sqrt(20)
-	require.Less(t, half, 0.1*want, "the interval is tight enough to tell")
+	require.Less(t, half, 0.1*want, "the interval is narrow enough for a meaningful test")
 	require.InDelta(t, want, mean, half)
 }
 
-// M/G/1 processor sharing: the mean sojourn is E[S]/(1-rho), whatever the spread of the work.
-func TestProcessorSharingDependsOnTheMeanOnly(t *testing.T) {
+// In an M/G/1 queue with processor sharing the mean sojourn time is E[S]/(1-rho), whatever the
+// variance of the work.
+func TestProcessorSharingSojournDependsOnlyOnMeanWork(t *testing.T) {
 	const mean, rho = 10.0, 0.7
 	for _, cv := range []float64{0.2, 1, 2.5} {
-		within99(t, mean/(1-rho), func(rng *rand.Rand) float64 {
+		requireWithin99(t, mean/(1-rho), func(rng *rand.Rand) float64 {
 			v := math.Log(1 + cv*cv)
 			d := distuv.LogNormal{Mu: math.Log(mean) - v/2, Sigma: math.Sqrt(v), Src: rng}
-			return queue(t, plain(1, 1<<40), rho/mean, 20000, 1, d.Rand, rng)
+			return meanSojourn(t, plain(1, 1<<40), rho/mean, 20000, 1, d.Rand, rng)
 		})
 	}
 }
 
-// With memory for c queries and a core for each, the line is an M/M/c queue: Erlang's C.
-func TestTheLineForMemoryIsErlangs(t *testing.T) {
+// With memory for c queries and a core for each, the engine is an M/M/c queue, whose mean wait
+// follows from Erlang's C formula.
+func TestMemoryQueueMatchesErlangC(t *testing.T) {
 	const c, mean, rho = 4, 10.0, 0.8
 	a := c * rho
 	sum, term := 0.0, 1.0
@@ -88,13 +92,13 @@
 	}
 	wait := term / (1 - rho) / (sum + term/(1-rho))
 	want := mean + wait*mean/(c*(1-rho))
-	within99(t, want, func(rng *rand.Rand) float64 {
-		return queue(t, plain(c, 400), a/mean, 20000, 100, func() float64 { return mean * rng.ExpFloat64() }, rng)
+	requireWithin99(t, want, func(rng *rand.Rand) float64 {
+		return meanSojourn(t, plain(c, 400), a/mean, 20000, 100, func() float64 { return mean * rng.ExpFloat64() }, rng)
 	})
 }
 
-func TestPrioritiesShareOneFourEightSixteen(t *testing.T) {
-	for _, io := range []float64{0, 1} { // cores, then disks, are what is short
+func TestPriorityWeightsAre1To4To8To16(t *testing.T) {
+	for _, io := range []float64{0, 1} { // cores are scarce, then disks
 		k := plain(1, 1<<40)
 		k.Disks = 1
 		e := New(k, 0, -1)
@@ -110,7 +114,7 @@
 	}
 }
 
-func TestDataSetsAreKeptByLatestUse(t *testing.T) {
+func TestWarmDataSetsAreEvictedLeastRecentlyUsed(t *testing.T) {
 	k := plain(1, 1<<40)
 	k.WarmSets, k.WarmGain = 2, 0.5
 	e := New(k, 0, -1)
@@ -120,14 +124,14 @@
 		e.Start(e.now, j)
 		hits = append(hits, j.Total() < 10)
 		if hits[i] {
-			require.InDelta(t, 8, j.Total(), 1e-9, "half of the reading is saved")
+			require.InDelta(t, 8, j.Total(), 1e-9, "a warm data set halves the reading")
 		}
 		e.Advance(e.Next())
 	}
 	require.Equal(t, []bool{false, false, true, false, false, false, true, false, false, true}, hits)
 }
 
-func TestWarmingRamp(t *testing.T) {
+func TestWarmupCapacityRamp(t *testing.T) {
 	k := plain(10, 1<<40)
 	k.WarmupInitialRatio, k.WarmupMS = 0.4, 1000
 	e := New(k, 0, 0)
@@ -137,11 +141,11 @@
 	for e.now < 2000 {
 		e.Advance(min(e.Next(), 2000))
 	}
-	require.InDelta(t, 10*(0.7*1000+1000), e.books.Done, 10*0.03*1000, "the ramp's mean, then all, within a step")
+	require.InDelta(t, 10*(0.7*1000+1000), e.totals.Done, 10*0.03*1000, "the mean capacity of the ramp, then full capacity, within one step")
 	require.Equal(t, 0.7, e.Warmth(500))
 }
 
-func TestMemoryIsGrantedToTheLastByte(t *testing.T) {
+func TestGrantsUseAllMemory(t *testing.T) {
 	e := New(plain(8, 1000), 0, -1)
 	start := func(id uint64, grant int64) *Job {
 		j := &Job{ID: id, Work: 100, Threads: 1, GrantMB: grant, NeedMB: grant, Priority: 1, Expires: 50}
@@ -159,7 +163,7 @@
 	f := start(5, 999)
 	ends := e.Advance(50)
 	require.Len(t, ends, 1)
-	require.True(t, ends[0].Expired && ends[0].Job == f, "its time ran out in the line")
+	require.True(t, ends[0].Expired && ends[0].Job == f, "it expired in the queue")
 }
 
 func TestSpillingTakesMoreWork(t *testing.T) {
@@ -171,8 +175,8 @@
 	require.InDelta(t, 100*(1+2*0.75), j.Total(), 1e-9)
 }
 
-// Whichever comes first in the order of events wins, and there is one end.
-func TestCancelledInTheInstantOfItsEnd(t *testing.T) {
+// A cancellation and a completion at the same time end the query once: the earlier event wins.
+func TestCancelAtCompletionTimeEndsOnce(t *testing.T) {
 	for _, first := range []string{"cancel", "end"} {
 		e := New(plain(1, 1000), 0, -1)
 		e.Start(0, &Job{ID: 1, Work: 10, Threads: 1, Expires: math.Inf(1)})
@@ -189,7 +193,7 @@
 	}
 }
 
-func TestALoadHoldsItsDataSet(t *testing.T) {
+func TestLoadBlocksItsDataSet(t *testing.T) {
 	e := New(plain(8, 1000), 0, -1)
 	start := func(id uint64, load, waits bool) *Job {
 		j := &Job{ID: id, Group: 7, Work: 100, Threads: 1, GrantMB: 10, LoadsDataSet: load, WaitsForLoads: waits, Expires: math.Inf(1)}
@@ -198,35 +202,35 @@
 	}
 	first, second, reader, free := start(1, true, false), start(2, true, false), start(3, false, true), start(4, false, false)
 	require.Equal(t, []state{running, blocked, blocked, running}, []state{first.state, second.state, reader.state, free.state})
-	require.EqualValues(t, 40, e.GrantedMB(), "what stands still keeps its memory")
+	require.EqualValues(t, 40, e.GrantedMB(), "blocked queries keep their memory")
 	e.Advance(e.Next())
-	require.Equal(t, []state{over, running, blocked}, []state{first.state, second.state, reader.state})
+	require.Equal(t, []state{ended, running, blocked}, []state{first.state, second.state, reader.state})
 	e.Cancel(e.now, 2)
 	require.Equal(t, running, reader.state)
 }
 
-func TestAColdEngineFallsOverAndAWarmOneDoesNot(t *testing.T) {
+func TestOnlyColdEngineIsOverloaded(t *testing.T) {
 	for _, started := range []float64{0, -1} {
 		k := plain(10, 1<<40)
 		k.WarmupInitialRatio, k.WarmupMS, k.OverloadMultiple, k.OverloadMS, k.OverloadRatio = 0.4, 10000, 3, 1000, 1
 		e := New(k, 0, started)
-		fell := false
+		overloaded := false
 		for i := range 3000 {
-			fell = fell || e.Start(float64(i)/4, &Job{ID: uint64(i + 1), Work: 10, OverloadWeight: 10, Threads: 1, Coordinator: i % 2, Expires: math.Inf(1)}) == Overloaded
+			overloaded = overloaded || e.Start(float64(i)/4, &Job{ID: uint64(i + 1), Work: 10, OverloadWeight: 10, Threads: 1, Coordinator: i % 2, Expires: math.Inf(1)}) == Overloaded
 		}
-		require.Equal(t, started == 0, fell)
-		if fell {
+		require.Equal(t, started == 0, overloaded)
+		if overloaded {
 			require.InDelta(t, 0.5, e.NotifiedLoadRatio(func(from int) bool { return from == 0 }), 0.01)
 		}
 	}
 }
 
-func TestWorkGivenUpIsDroppedAndBooked(t *testing.T) {
+func TestAbandonedWorkCountsAsDropped(t *testing.T) {
 	e := New(plain(1, 1000), 0, -1)
 	for id := range uint64(3) {
 		e.Start(0, &Job{ID: id + 1, Group: 5, Work: 100, Threads: 1, GrantMB: 10, LoadsDataSet: id > 0, Expires: math.Inf(1)})
 	}
-	e.Advance(30) // the third stands still behind the second: two share the core
+	e.Advance(30) // the third is blocked by the second: two queries share the core
 	require.True(t, e.Cancel(30, 1))
 	b, left := e.Books()
 	require.InDelta(t, 85, b.Dropped, 1e-9)
@@ -239,7 +243,7 @@
 	require.Zero(t, left)
 }
 
-func TestTheLineGoesByPriorityThenInTurn(t *testing.T) {
+func TestQueueOrderIsPriorityThenArrival(t *testing.T) {
 	e := New(plain(1, 100), 0, -1)
 	var order []uint64
 	for i, p := range []int{1, 0, 1, 3, 1, 3} {
--- a/internal/emulator/engine/job.go
+++ b/internal/emulator/engine/job.go
@@ -1,7 +1,7 @@
 package engine
 
-// Job is a query at the engine. Work is milliseconds of all threads together, cold
-// and with all the memory that it needs.
+// Job is a query at the engine. Work is the time of all its threads together, in ms, on a
+// cold data set and with all the memory that it needs.
 type Job struct {
 	ID             uint64
 	Class          int
@@ -9,29 +9,30 @@
 	Work, IORatio  float64
 	Threads        int
 	NeedMB         int64
-	GrantMB        int64 // 0: the engine's choice, from EstimateMB or else BaselineMB
+	GrantMB        int64 // 0: the engine chooses, from EstimateMB or else BaselineMB
 	EstimateMB     int64
 	BaselineMB     int64
-	OverloadWeight float64 // weight towards falling over
+	OverloadWeight float64 // work that counts towards an overload of a cold engine
 	Coordinator    int     // the coordinator that sent it
 	Priority       int
-	LoadsDataSet   bool // holds its data set while it runs
-	WaitsForLoads  bool // stands still behind a load on its data set
-	Expires        float64
-	Owner          any // whatever the driver keeps by it
-
-	state   state
-	seq     int
-	granted int64
-	total   float64 // work to do here: warmth saves some, spilling adds some
-	ioWork  float64
-	finish  float64 // by its share's clock
-	left    float64 // of total, while it has no share
-	share   *processorShare
-	index   int // in its share
+	LoadsDataSet   bool    // blocks its data set while it runs
+	WaitsForLoads  bool    // is blocked by a load on its data set
+	Expires        float64 // time at which it leaves the queue unserved
+	Owner          any     // for the caller's use
+
+	state     state
+	seq       int // order of arrival
+	grantedMB int64
+	total     float64 // see Total
+	ioWork    float64 // part of total that is done on disks
+	finish    float64 // value of its share's clock at which it is done
+	workLeft  float64 // of total, while it has no share
+	share     *processorShare
+	index     int // position in its share's heap
 }
 
-// Total is the work that it is here: warmth saves some, spilling adds some.
+// Total returns the work of the job at this engine in ms: less than Work on a warm data set,
+// more if it spills.
 func (j *Job) Total() float64 { return j.total }
 
 type state int
@@ -40,22 +41,22 @@
 	fresh state = iota
 	waiting
 	running
-	blocked // behind a load on its data set; it keeps its memory
-	over
+	blocked // by a load on its data set; the job keeps its memory
+	ended
 )
 
 // StartResult is the result of starting a query.
 type StartResult int
 
-// What Start answers.
+// The results of Start.
 const (
-	Accepted   StartResult = iota // it runs, or waits in the line
-	Rejected                      // its line is full: it never ran
-	Overloaded                    // the engine fell over under it: all that it held is lost
+	Accepted   StartResult = iota // it runs, or waits in the queue
+	Rejected                      // the engine holds as many queries as it has sessions; the query never ran
+	Overloaded                    // the engine failed of overload; all its queries are lost
 )
 
-// End is how a job ended.
+// End is a job that ended, and how.
 type End struct {
 	Job     *Job
-	Expired bool // its time ran out in the line: it never ran
+	Expired bool // its time ran out in the queue; it never ran
 }
--- a/internal/emulator/engine/report.go
+++ b/internal/emulator/engine/report.go
@@ -1,54 +1,57 @@
 package engine
 
-// Report is what a probe hears.
+// Report is a load report, as a probe reads it. All values but InFlight and Queue are ratios.
 type Report struct{ InFlight, Queue, Util, Memory, Disk float64 }
 
-// sample is a report as it was taken.
+// sample is a report and the time at which it was taken.
 type sample struct {
 	time float64
 	Report
 }
 
-func (e *Engine) state() Report {
-	return Report{InFlight: float64(len(e.jobs)), Queue: float64(len(e.line)), Util: e.coresIn / e.kind.Cores,
-		Memory: float64(e.granted) / float64(e.kind.MemoryMB), Disk: e.disksIn / e.kind.Disks}
+// currentReport returns a report on the present state.
+func (e *Engine) currentReport() Report {
+	return Report{InFlight: float64(len(e.jobs)), Queue: float64(len(e.queue)), Util: e.coresInUse / e.config.Cores,
+		Memory: float64(e.grantedMB) / float64(e.config.MemoryMB), Disk: e.disksInUse / e.config.Disks}
 }
 
-// Report is the latest report that has come out; it lags behind the truth.
+// Report returns the latest published report, which lags behind the present state unless
+// ReportPeriodMS is 0.
 func (e *Engine) Report(now float64) Report {
 	e.passTime(now)
-	if e.kind.ReportPeriodMS == 0 {
-		return e.state()
+	if e.config.ReportPeriodMS == 0 {
+		return e.currentReport()
 	}
 	return e.publishReport(now)
 }
 
-// publishReport is the latest sample that has come out by now; older ones are forgotten.
+// publishReport returns the latest sample whose report delay has passed by now, and drops
+// older samples.
 func (e *Engine) publishReport(now float64) Report {
-	for len(e.samples) > 1 && e.samples[1].time+e.kind.ReportDelayMS+e.late <= now {
+	for len(e.samples) > 1 && e.samples[1].time+e.config.ReportDelayMS+e.extraReportDelay <= now {
 		e.samples = e.samples[1:]
 	}
-	if len(e.samples) > 0 && e.samples[0].time+e.kind.ReportDelayMS+e.late <= now {
-		e.shown = e.samples[0].Report
+	if len(e.samples) > 0 && e.samples[0].time+e.config.ReportDelayMS+e.extraReportDelay <= now {
+		e.published = e.samples[0].Report
 	}
-	return e.shown
+	return e.published
 }
 
-// SetReportDelay makes reports come out so much later than usual; what is out stays out.
+// SetReportDelay sets the delay that is added to ReportDelayMS. Published reports stay published.
 func (e *Engine) SetReportDelay(now, ms float64) {
 	e.passTime(now)
 	e.publishReport(now)
-	e.late = ms
+	e.extraReportDelay = ms
 }
 
-// Progress is what an engine tells of a query that is here.
+// Progress is the progress of a query that the engine holds.
 type Progress struct {
-	Ratio      float64 // of its work done
-	MissingMB  int64   // MB that it spills for
-	WaitReason int     // 1 for memory, 2 for a load; 0: it runs
+	Ratio      float64 // part of its work that is done
+	MissingMB  int64   // need beyond its grant; the query spills
+	WaitReason int     // 0: it runs, 1: it waits for memory, 2: it waits for a load
 }
 
-// Progress tells of a query; false: it is not here.
+// Progress returns the progress of a query, and false if the engine does not hold it.
 func (e *Engine) Progress(now float64, id uint64) (Progress, bool) {
 	e.passTime(now)
 	j := e.jobs[id]
@@ -61,5 +64,5 @@
 	case blocked:
 		return Progress{WaitReason: 2}, true
 	}
-	return Progress{Ratio: 1 - e.remaining(j)/max(j.total, 1e-9), MissingMB: max(j.NeedMB-j.granted, 0)}, true
+	return Progress{Ratio: 1 - e.remaining(j)/max(j.total, 1e-9), MissingMB: max(j.NeedMB-j.grantedMB, 0)}, true
 }
--- a/internal/emulator/engine/share.go
+++ b/internal/emulator/engine/share.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// updateThroughput finds how fast each processor share's threads go. Cores and disks are shared by weighted
-// water-filling: a thread of weight w goes at min(1, level*w) of the engine's speed, and
-// the level rises until cores or disks are all in use. Threads that use no disk go on to
-// rise where only the disks are short.
+// updateThroughput sets the pace of each processor share. Cores and disks are shared by
+// weighted water-filling: a thread of weight w gets min(1, level*w) of the engine's speed, and
+// the level rises until all cores or all disks are in use. If only the disks are scarce, the
+// level of threads that use no disk rises further.
 func (e *Engine) updateThroughput() {
 	var threads int
 	var disk float64
@@ -13,59 +13,60 @@
 		threads += e.shares[i].threads
 		disk += e.shares[i].disk
 	}
-	speed := e.kind.Speed / e.slow / e.paging()
+	speed := e.config.Speed / e.slowdown / e.pagingSlowdown()
 	if e.stalled {
 		speed = 0
 	}
-	cores := e.kind.Cores * (1 - e.taken) * e.Warmth(e.now) * thrashFactor(float64(threads)/e.kind.Cores, e.kind.SaturationThreads, e.kind.ThrashRatio)
-	disks := e.kind.Disks * (1 - e.taken) * e.Warmth(e.now) * seekFactor(disk/e.kind.Disks, e.kind.SeekPenalty)
-	level := min(e.level(cores, false, 0), e.level(disks, true, 0))
-	dry := level // of threads that use no disk
-	if e.level(disks, true, 0) < e.level(cores, false, 0) {
-		dry = e.level(cores, false, level)
+	cores := e.config.Cores * (1 - e.neighbourRatio) * e.Warmth(e.now) * thrashFactor(float64(threads)/e.config.Cores, e.config.SaturationThreads, e.config.ThrashRatio)
+	disks := e.config.Disks * (1 - e.neighbourRatio) * e.Warmth(e.now) * seekFactor(disk/e.config.Disks, e.config.SeekPenalty)
+	level := min(e.fillLevel(cores, false, 0), e.fillLevel(disks, true, 0))
+	coreLevel := level // of threads that use no disk
+	if e.fillLevel(disks, true, 0) < e.fillLevel(cores, false, 0) {
+		coreLevel = e.fillLevel(cores, false, level)
 	}
-	e.coresIn, e.disksIn = 0, 0
+	e.coresInUse, e.disksInUse = 0, 0
 	for i := range e.shares {
-		l := &e.shares[i]
-		at := dry
-		if l.usesDisks {
-			at = level
+		s := &e.shares[i]
+		shareLevel := coreLevel
+		if s.usesDisks {
+			shareLevel = level
 		}
-		share := min(1, at*l.weight)
-		l.pace = speed * share
+		share := min(1, shareLevel*s.weight)
+		s.pace = speed * share
 		if speed > 0 {
-			e.coresIn += l.cpu * share
-			e.disksIn += l.disk * share
+			e.coresInUse += s.cpu * share
+			e.disksInUse += s.disk * share
 		}
 	}
 }
 
-// paging is how many times slower all goes for memory in use past what there is: at twice
-// of it the kind's figure, at four times its square.
-func (e *Engine) paging() float64 {
-	if !e.kind.Overcommit || e.used <= e.kind.MemoryMB {
+// pagingSlowdown returns the factor by which memory overcommitment slows all queries: the
+// PagingPenalty at twice the engine's memory, its square at four times.
+func (e *Engine) pagingSlowdown() float64 {
+	if !e.config.Overcommit || e.usedMB <= e.config.MemoryMB {
 		return 1
 	}
-	return math.Pow(e.kind.PagingPenalty, math.Log2(float64(e.used)/float64(e.kind.MemoryMB)))
+	return math.Pow(e.config.PagingPenalty, math.Log2(float64(e.usedMB)/float64(e.config.MemoryMB)))
 }
 
-// level is how far the water rises until a resource is all in use. With fixed above 0,
-// shares that use disks stay at that level and only the others rise.
-func (e *Engine) level(room float64, disks bool, fixed float64) float64 {
+// fillLevel returns the water-filling level at which all cores, or all disks, are in use; +Inf
+// if they never are. With fixed above 0, shares that use disks stay at that level and only the
+// others rise.
+func (e *Engine) fillLevel(capacity float64, disks bool, fixed float64) float64 {
 	var rising [4]float64
 	for i := range e.shares {
-		l := &e.shares[i]
-		use := l.cpu
+		s := &e.shares[i]
+		use := s.cpu
 		if disks {
-			use = l.disk
+			use = s.disk
 		}
-		if fixed > 0 && l.usesDisks {
-			room -= use * min(1, fixed*l.weight)
+		if fixed > 0 && s.usesDisks {
+			capacity -= use * min(1, fixed*s.weight)
 		} else {
 			rising[i%4] += use
 		}
 	}
-	// The highest weight is the first to have all that it can use.
+	// With a rising level, the threads of the highest weight are the first to run at full speed.
 	var slope float64
 	for p := range rising {
 		slope += rising[p] * weights[p]
@@ -74,10 +75,10 @@
 		if rising[p] == 0 {
 			continue
 		}
-		if at := room / slope; at <= 1/weights[p] {
-			return max(at, 0)
+		if fullAt := capacity / slope; fullAt <= 1/weights[p] {
+			return max(fullAt, 0)
 		}
-		room -= rising[p]
+		capacity -= rising[p]
 		if slope -= rising[p] * weights[p]; slope <= 1e-12 {
 			break
 		}
@@ -85,104 +86,107 @@
 	return math.Inf(1)
 }
 
-// thrashFactor is the part of the cores that is left with so many threads a core: each
-// doubling beyond the knee leaves the part that thrash names.
-func thrashFactor(threads, knee, thrash float64) float64 {
-	if threads <= knee {
+// thrashFactor returns the part of the cores that is usable: each doubling of the threads per
+// core beyond the saturation point multiplies it by thrashRatio.
+func thrashFactor(threadsPerCore, saturation, thrashRatio float64) float64 {
+	if threadsPerCore <= saturation {
 		return 1
 	}
-	return math.Pow(thrash, math.Log2(threads/knee))
+	return math.Pow(thrashRatio, math.Log2(threadsPerCore/saturation))
 }
 
-// seekFactor is the part of the disks that is left with so many threads for each.
-func seekFactor(waiting, seek float64) float64 {
-	if waiting <= 1 {
+// seekFactor returns the part of the disks that is usable with a number of threads per disk.
+func seekFactor(threadsPerDisk, seekPenalty float64) float64 {
+	if threadsPerDisk <= 1 {
 		return 1
 	}
-	return 1 / (1 + seek*math.Log2(waiting))
+	return 1 / (1 + seekPenalty*math.Log2(threadsPerDisk))
 }
 
-// slack for chance: an engine stands so much more than it must.
+// overloadSlack is the factor by which an engine tolerates more than the overload limit, so that
+// random variation alone does not overload it.
 const overloadSlack = 1.1
 
-// overloadedBy books what reaches a cold engine and tells whether it falls over: more than
-// the multiple of its present capacity over the span.
+// overloadedBy records a query that is offered to a cold engine and reports whether it overloads
+// the engine: whether the offered work of the last OverloadMS exceeds OverloadMultiple times, with
+// some slack, the capacity of that span.
 func (e *Engine) overloadedBy(now float64, j *Job) bool {
-	if e.Warmth(now) >= 1 || e.kind.OverloadMultiple == 0 {
-		e.arrived = nil
+	if e.Warmth(now) >= 1 || e.config.OverloadMultiple == 0 {
+		e.recentArrivals = nil
 		return false
 	}
-	e.arrived = append(e.arrived, arrival{now, j.OverloadWeight, j.Coordinator})
-	from := now - e.kind.OverloadMS
-	for e.arrived[0].time < from {
-		e.arrived = e.arrived[1:]
+	e.recentArrivals = append(e.recentArrivals, arrival{now, j.OverloadWeight, j.Coordinator})
+	from := now - e.config.OverloadMS
+	for e.recentArrivals[0].time < from {
+		e.recentArrivals = e.recentArrivals[1:]
 	}
 	var sum float64
-	for _, a := range e.arrived {
+	for _, a := range e.recentArrivals {
 		sum += a.weight
 	}
-	mid := e.Warmth(max(now-e.kind.OverloadMS/2, e.started))
-	capacity := e.kind.Cores * e.kind.OverloadRatio * mid * e.kind.OverloadMS
-	return sum > e.kind.OverloadMultiple*overloadSlack*capacity
+	mid := e.Warmth(max(now-e.config.OverloadMS/2, e.startedAt))
+	capacity := e.config.Cores * e.config.OverloadRatio * mid * e.config.OverloadMS
+	return sum > e.config.OverloadMultiple*overloadSlack*capacity
 }
 
-// NotifiedLoadRatio tells which part of the work that lately reached a cold engine came from
-// the coordinators that told picks.
-func (e *Engine) NotifiedLoadRatio(told func(from int) bool) float64 {
-	var sum, part float64
-	for _, a := range e.arrived {
+// NotifiedLoadRatio returns the part of the work recently offered to a cold engine that came from
+// the coordinators for which notified returns true.
+func (e *Engine) NotifiedLoadRatio(notified func(coordinator int) bool) float64 {
+	var sum, notifiedSum float64
+	for _, a := range e.recentArrivals {
 		sum += a.weight
-		if told(a.from) {
-			part += a.weight
+		if notified(a.coordinator) {
+			notifiedSum += a.weight
 		}
 	}
-	return part / max(sum, 1e-9)
+	return notifiedSum / max(sum, 1e-9)
 }
 
-func (l *processorShare) less(a, b *Job) bool {
+// less orders the heap by the time of completion, then by arrival.
+func (s *processorShare) less(a, b *Job) bool {
 	return a.finish < b.finish || a.finish == b.finish && a.seq < b.seq
 }
 
-func (l *processorShare) push(j *Job) {
-	j.index = len(l.heap)
-	l.heap = append(l.heap, j)
-	l.up(j.index)
+func (s *processorShare) push(j *Job) {
+	j.index = len(s.heap)
+	s.heap = append(s.heap, j)
+	s.up(j.index)
 }
 
-func (l *processorShare) swap(a, b int) {
-	h := l.heap
+func (s *processorShare) swap(a, b int) {
+	h := s.heap
 	h[a], h[b] = h[b], h[a]
 	h[a].index, h[b].index = a, b
 }
 
-func (l *processorShare) up(i int) {
-	for i > 0 && l.less(l.heap[i], l.heap[(i-1)/2]) {
-		l.swap(i, (i-1)/2)
+func (s *processorShare) up(i int) {
+	for i > 0 && s.less(s.heap[i], s.heap[(i-1)/2]) {
+		s.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 }
 
-func (l *processorShare) remove(j *Job) {
-	i, last := j.index, len(l.heap)-1
-	l.swap(i, last)
-	l.heap[last] = nil
-	l.heap = l.heap[:last]
+func (s *processorShare) remove(j *Job) {
+	i, last := j.index, len(s.heap)-1
+	s.swap(i, last)
+	s.heap[last] = nil
+	s.heap = s.heap[:last]
 	if i == last {
 		return
 	}
-	l.up(i)
+	s.up(i)
 	for {
 		c := 2*i + 1
 		if c >= last {
 			return
 		}
-		if c+1 < last && l.less(l.heap[c+1], l.heap[c]) {
+		if c+1 < last && s.less(s.heap[c+1], s.heap[c]) {
 			c++
 		}
-		if !l.less(l.heap[c], l.heap[i]) {
+		if !s.less(s.heap[c], s.heap[i]) {
 			return
 		}
-		l.swap(i, c)
+		s.swap(i, c)
 		i = c
 	}
 }
