--- a/internal/emulator/clients/clients.go
+++ b/internal/emulator/clients/clients.go
@@ -1,5 +1,5 @@
-// Package clients holds what virtual and real rehearsals share of those who ask: the
-// front that spreads them over coordinators, and their habits.
+// Package clients contains the client behavior that simulations and rehearsals share: the front
+// proxy that distributes clients over coordinators, and the clients' retry habits.
 package clients
 
 import (
@@ -9,8 +9,8 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// Front spreads clients over the coordinators of their hall that it holds for alive,
-// in turn. It notices a death, or a start, late: its owner says when.
+// Front is a front proxy. It distributes clients round-robin over the coordinators of their zone
+// that it believes to be alive. It learns of crashes and starts with a delay, by SetAlive.
 type Front struct {
 	scenario *scenario.Scenario
 	rng      *rand.Rand
@@ -18,7 +18,7 @@
 	next     int
 }
 
-// NewFront holds all coordinators for alive.
+// NewFront returns a front proxy that believes all coordinators to be alive.
 func NewFront(s *scenario.Scenario, rng *rand.Rand) *Front {
 	f := &Front{scenario: s, rng: rng}
 	for range s.Coordinators.Count {
@@ -27,19 +27,20 @@
 	return f
 }
 
-// DetectionDelay draws how long the front takes to see a change, ms.
+// DetectionDelay draws the time that the front proxy takes to detect a change, in ms.
 func (f *Front) DetectionDelay() float64 { return f.scenario.FrontProxy.DetectionMS.Draw(f.rng) }
 
-// SetAlive is what the front has come to hold.
+// SetAlive sets whether the front proxy believes a coordinator to be alive.
 func (f *Front) SetAlive(coordinator int, alive bool) { f.alive[coordinator] = alive }
 
-// Pick is the coordinator for a client of a hall, -1 where the front knows none alive.
-func (f *Front) Pick(hall int) int {
+// Pick returns the coordinator for a client of a zone: one of the zone if any is believed alive,
+// else any other. It returns -1 if there is none.
+func (f *Front) Pick(zone int) int {
 	var near, reachable []int
 	for c, alive := range f.alive {
 		if alive {
 			reachable = append(reachable, c)
-			if f.scenario.ZoneOf(c) == hall {
+			if f.scenario.ZoneOf(c) == zone {
 				near = append(near, c)
 			}
 		}
@@ -54,24 +55,24 @@
 	return near[f.next%len(near)]
 }
 
-// RetryAfter is what a client does by its habit once a try, of so many so far, has ended
-// unserved: whether it comes again, and after how long.
-func RetryAfter(q scenario.Query, a *observer.ClientQuery, tries int, kind observer.TryResult, comeBack, now float64) (wait float64, again bool) {
+// RetryAfter returns whether a client retries by its habit after its latest try ended, and after
+// how many ms. Tries is the number of tries so far; retryAfterMS is the answer's Retry-After.
+func RetryAfter(q scenario.Query, state *observer.ClientQuery, tries int, kind observer.TryResult, retryAfterMS, now float64) (wait float64, again bool) {
 	if kind == observer.Served || tries > len(q.RetryWaits) {
 		return 0, false
 	}
 	if wait = q.RetryWaits[tries-1]; q.HonorsRetryAfter && kind == observer.Rejected {
-		wait = max(wait, comeBack)
+		wait = max(wait, retryAfterMS)
 	}
-	return wait, now+wait < a.AbandonAt
+	return wait, now+wait < state.AbandonAt
 }
 
-// TryDeadline is when a try made now is given up.
-func TryDeadline(s *scenario.Scenario, q scenario.Query, a *observer.ClientQuery, now float64) float64 {
-	return min(now+s.Classes[q.Class].DeadlineMS*q.Patience, a.AbandonAt)
+// TryDeadline returns the time at which the client abandons a try that it makes now.
+func TryDeadline(s *scenario.Scenario, q scenario.Query, state *observer.ClientQuery, now float64) float64 {
+	return min(now+s.Classes[q.Class].DeadlineMS*q.Patience, state.AbandonAt)
 }
 
-// NewClientQuery is a first try as the observer books it.
+// NewClientQuery returns the observer's state of a query that arrives at a client.
 func NewClientQuery(s *scenario.Scenario, q scenario.Query) observer.ClientQuery {
 	return observer.ClientQuery{Class: q.Class, ArrivedAt: q.ArrivesAt, ObjectiveTime: s.ObjectiveTime(q), AbandonAt: q.ArrivesAt + s.Classes[q.Class].DeadlineMS}
 }
--- a/internal/emulator/des/des.go
+++ b/internal/emulator/des/des.go
@@ -1,5 +1,5 @@
-// Package des is the bare machinery of a discrete-event simulation: a clock that
-// jumps from event to event, and one stream of random numbers for each concern.
+// Package des provides the core of a discrete-event simulation: a clock that jumps from event to
+// event, and an independent stream of random numbers for each concern.
 package des
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Loop holds what is to happen, in order of time and, at one time, of scheduling.
+// Loop runs scheduled events in order of time; events of the same time run in order of scheduling.
 // Times are virtual milliseconds. It is not safe for concurrent use.
 type Loop struct {
 	now      float64
@@ -27,13 +27,13 @@
 	return a.time < b.time || a.time == b.time && a.sequence < b.sequence
 }
 
-// Now is the time of the event under way.
+// Now returns the time of the current event.
 func (l *Loop) Now() float64 { return l.now }
 
-// Events is how many have happened.
+// Events returns the number of events that have run.
 func (l *Loop) Events() int { return l.events }
 
-// At schedules f; a time that has passed is now.
+// At schedules f at a time. A time in the past counts as now.
 func (l *Loop) At(at float64, f func()) {
 	l.sequence++
 	l.heap = append(l.heap, event{max(at, l.now), l.sequence, f})
@@ -48,10 +48,10 @@
 	}
 }
 
-// After schedules f in so many milliseconds.
+// After schedules f after a number of milliseconds.
 func (l *Loop) After(ms float64, f func()) { l.At(l.now+ms, f) }
 
-// Run lets events happen until none is left or the next lies beyond the end.
+// Run runs events until none is left or the next one is after the end, and sets the clock to the end.
 func (l *Loop) Run(end float64) {
 	for len(l.heap) > 0 && l.heap[0].time <= end {
 		e := l.pop()
@@ -85,8 +85,8 @@
 	return top
 }
 
-// Stream is the random source of one concern. Streams of one seed are independent,
-// so what one concern draws never shifts what another gets.
+// Stream returns the random source of one concern. The streams of one seed are independent: the
+// numbers that one concern draws do not affect those of another.
 func Stream(seed uint64, concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
--- a/internal/emulator/observer/observer.go
+++ b/internal/emulator/observer/observer.go
@@ -15,7 +15,7 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// Request is one request that a coordinator received. A client's retry is a new one.
+// Request is one request that a coordinator received. A client's retry is a new request.
 type Request struct {
 	Name            string
 	Class           int
@@ -25,17 +25,17 @@
 	closed          bool
 	closedAt        float64     // once closed
 	closedBy        closeReason // once closed
-	sentAt          []float64   // of its attempts
+	sentAt          []float64   // times at which its attempts were sent
 	excused         bool        // its coordinator was paused or crashed: its deadline does not count
 	mayRun          bool        // an attempt is in flight, or ended without proof that it never ran
 	firstSentAt     float64
 	inFlight        int
 	sends           int
 	provenNotRun    int // attempts that are known never to have run
-	startsAtEngines int // at engines
+	startsAtEngines int // starts of its attempts at engines
 }
 
-// closeReason is why no answer is owed to a request any more.
+// closeReason is the reason why a request needs no further answer.
 type closeReason string
 
 // The reasons, as violations name them.
@@ -52,27 +52,28 @@
 	ObjectiveTime float64 // an answer until then earns its full weight
 	AbandonAt     float64 // the client gives up
 	earnedWeight  float64
-	ended         bool
+	ended         bool // it was served, or its client gave up
 }
 
 // Observer observes one run. It is not safe for concurrent use.
 type Observer struct {
-	scenario     *scenario.Scenario
-	timeSlackMS  float64
-	violations   map[string]*RuleViolations
-	notified     []map[decide.EndpointID]notification // by coordinator
-	keys         []map[uint64][]*Request
-	restingUntil []map[uint64]float64
-	received     [][]float64
-	retries      [][]float64
-	classes      []classTotals
-	windows      []windowTotals
-	totals       Totals
-	notes        []Note
-	open         map[*Request]int     // their coordinators
-	unanswered   map[*Request]float64 // when their clients left, after their deadline
+	scenario    *scenario.Scenario
+	timeSlackMS float64
+	violations  map[string]*RuleViolations
+	notified    []map[decide.EndpointID]notification // by coordinator
+	keys        []map[uint64][]*Request
+	settledAt   []map[uint64]float64
+	received    [][]float64
+	retries     [][]float64
+	classes     []classTotals
+	windows     []windowTotals
+	totals      Totals
+	notes       []Note
+	open        map[*Request]int     // coordinator of each request that is not closed
+	unanswered  map[*Request]float64 // times at which their clients left after the deadline
 }
 
+// notification is the state of an engine that a coordinator was notified of, and the time.
 type notification struct {
 	state decide.EndpointState
 	since float64
@@ -84,13 +85,13 @@
 	What string  `json:"what"`
 }
 
-// New returns an observer. ExtraMS is added to every time limit, for what real sockets take.
+// New returns an observer. ExtraMS is added to every time limit, for the delays of real sockets.
 func New(s *scenario.Scenario, extraMS float64) *Observer {
 	o := &Observer{scenario: s, timeSlackMS: extraMS, violations: map[string]*RuleViolations{}, open: map[*Request]int{}, unanswered: map[*Request]float64{}}
 	for range s.Coordinators.Count {
 		o.notified = append(o.notified, map[decide.EndpointID]notification{})
 		o.keys = append(o.keys, map[uint64][]*Request{})
-		o.restingUntil = append(o.restingUntil, map[uint64]float64{})
+		o.settledAt = append(o.settledAt, map[uint64]float64{})
 	}
 	o.received, o.retries = make([][]float64, s.Coordinators.Count), make([][]float64, s.Coordinators.Count)
 	o.classes = make([]classTotals, len(s.Classes))
@@ -109,15 +110,15 @@
 // Totals returns the counts of the run, to which the caller may add.
 func (o *Observer) Totals() *Totals { return &o.totals }
 
-// CoordinatorStarted records a coordinator's start. It has no state of earlier incarnations.
+// CoordinatorStarted records a coordinator's start. The new incarnation has no state of earlier ones.
 func (o *Observer) CoordinatorStarted(coord int) {
 	clear(o.notified[coord])
 	clear(o.keys[coord])
-	clear(o.restingUntil[coord])
+	clear(o.settledAt[coord])
 	o.received[coord], o.retries[coord] = nil, nil
 }
 
-// CoordinatorCrashed records a crash. Requests that are lost by it violate no rule.
+// CoordinatorCrashed records a crash. The requests that it loses violate no rule.
 func (o *Observer) CoordinatorCrashed(coord int) {
 	for r, c := range o.open {
 		if c == coord {
@@ -164,7 +165,7 @@
 func (o *Observer) RequestAnswered(at float64, coord int, r *Request, kind TryResult) {
 	if r.closed {
 		if !r.excused { // otherwise its coordinator crashed meanwhile, or was paused past the deadline
-			o.Violate(RuleOneAnswer, at, "%s: a second answer", r.Name)
+			o.Violate(RuleOneAnswer, at, "%s: answered twice", r.Name)
 		}
 		return
 	}
@@ -172,8 +173,9 @@
 	o.close(at, coord, r, closedByAnswer)
 }
 
-// AnswerReceived records a final answer as its client reads it; at is when it arrived. An observer of a client that reads
-// late may be told first that the client left. An answer that arrived before that is the request's; one after it is ignored.
+// AnswerReceived records a final answer as its client reads it; at is the time of its arrival. If the client reads late,
+// ClientDisconnected may be called first. Then an answer that arrived before the client left still counts as the request's
+// answer, and a later one is ignored.
 func (o *Observer) AnswerReceived(at float64, coord int, r *Request, kind TryResult) {
 	if r.closedBy != closedByDisconnect {
 		o.RequestAnswered(at, coord, r, kind)
@@ -184,32 +186,32 @@
 	}
 	delete(o.unanswered, r)
 	o.checkAnswer(at, r, kind)
-	r.sentAt = slices.DeleteFunc(r.sentAt, func(sentAt float64) bool { return sentAt >= r.closedAt+o.departureSlack(r) }) // found already
+	r.sentAt = slices.DeleteFunc(r.sentAt, func(sentAt float64) bool { return sentAt >= r.closedAt+o.departureSlack(r) }) // already recorded as violations
 	r.closedAt, r.closedBy = at, closedByAnswer
 	o.checkSentBeforeClose(r)
 }
 
-// checkAnswer checks an answer's time, and that of a rejection nothing may have run.
+// checkAnswer checks the time of an answer, and that a rejected request that is not idempotent cannot have run.
 func (o *Observer) checkAnswer(at float64, r *Request, kind TryResult) {
 	if limit := o.answerLimit(r); at > limit && !r.excused {
-		o.Violate(RuleOneAnswer, at, "%s: answered %.1f ms after its time", r.Name, at-r.Until)
+		o.Violate(RuleOneAnswer, at, "%s: answered %.1f ms after its deadline", r.Name, at-r.Until)
 	}
 	c := o.scenario.Classes[r.Class]
 	if kind == Rejected {
 		o.totals.Rejections++
 		if r.mayRun && c.Idempotency == "once" {
-			o.Violate(RuleNoDuplicateEffects, at, "%s: a %s refused that may have run", r.Name, c.Name)
+			o.Violate(RuleNoDuplicateEffects, at, "%s: rejected a %s that may have run", r.Name, c.Name)
 		}
 	}
 }
 
-// answerLimit is when a request's answer is due at the latest.
+// answerLimit returns the latest time at which a request must be answered.
 func (o *Observer) answerLimit(r *Request) float64 {
 	return r.Until + o.scenario.Rules.AnswerSlackMS + o.timeSlackMS
 }
 
-// ClientDisconnected records that a client left. That violates a rule only after its deadline, unless an answer that came
-// before is told of later; Finish decides that.
+// ClientDisconnected records that a client left. It violates a rule if the deadline had passed, unless an earlier answer is
+// recorded later; Finish decides that.
 func (o *Observer) ClientDisconnected(at float64, coord int, r *Request) {
 	if at > o.answerLimit(r) && !r.excused && !r.closed {
 		o.unanswered[r] = at
@@ -217,7 +219,7 @@
 	o.close(at, coord, r, closedByDisconnect)
 }
 
-// close notes that no answer is owed to a request any more, and finds attempts that were sent after that and told of before.
+// close records that a request needs no further answer, and checks the attempts recorded so far.
 func (o *Observer) close(at float64, coord int, r *Request, by closeReason) {
 	if !r.closed {
 		r.closed, r.closedAt, r.closedBy = true, at, by
@@ -227,8 +229,7 @@
 	o.leaveKeyQueue(coord, r)
 }
 
-// checkSentBeforeClose checks that the attempts of a closed request that were told of before were sent before an answer
-// was no longer owed.
+// checkSentBeforeClose checks that the recorded attempts of a closed request were sent before it was closed.
 func (o *Observer) checkSentBeforeClose(r *Request) {
 	for _, sentAt := range r.sentAt {
 		if sentAt > r.closedAt+o.departureSlack(r) && !r.excused {
@@ -237,10 +238,11 @@
 	}
 }
 
-// departureSlackMS is how long after a client has left, by the page, an attempt may still begin on real sockets: its close or
-// cancellation is on its way.
+// departureSlackMS is the documented time after a client's departure during which an attempt may still be sent on real
+// sockets, because the close or cancellation has not reached the coordinator yet.
 const departureSlackMS = 100.0
 
+// departureSlack returns departureSlackMS for a client that left over a real socket, else 0.
 func (o *Observer) departureSlack(r *Request) float64 {
 	if r.closedBy == closedByDisconnect && o.timeSlackMS > 0 {
 		return departureSlackMS
@@ -252,18 +254,20 @@
 	o.Violate(RuleOneAnswer, sentAt, "%s: sent %.3f ms after %s, at %.3f ms", r.Name, sentAt-r.closedAt, r.closedBy, r.closedAt)
 }
 
+// leaveKeyQueue removes a request from the queue of its key once it is closed and has no attempt in flight.
 func (o *Observer) leaveKeyQueue(coord int, r *Request) {
-	if line := o.keys[coord][r.Key]; r.closed && r.inFlight == 0 && len(line) > 0 {
-		for i, q := range line {
+	if queue := o.keys[coord][r.Key]; r.closed && r.inFlight == 0 && len(queue) > 0 {
+		for i, q := range queue {
 			if q == r {
-				o.keys[coord][r.Key] = append(line[:i:i], line[i+1:]...)
+				o.keys[coord][r.Key] = append(queue[:i:i], queue[i+1:]...)
 				return
 			}
 		}
 	}
 }
 
-// AttemptSent records an attempt; at is when it left its coordinator, which may be told of later than what followed.
+// AttemptSent records an attempt; at is the time at which it left its coordinator. The call may come after those for
+// later events.
 func (o *Observer) AttemptSent(at float64, coord int, r *Request, id decide.EndpointID, zone int) {
 	c := o.scenario.Classes[r.Class]
 	o.totals.Attempts++
@@ -276,13 +280,13 @@
 		o.violateSentAfterClose(at, r)
 	}
 	if r.sends > o.scenario.Coordinators.MaxAttempts {
-		o.Violate(RuleMaxAttempts, at, "%s: send %d", r.Name, r.sends)
+		o.Violate(RuleMaxAttempts, at, "%s: attempt %d", r.Name, r.sends)
 	}
 	if r.mayRun && (c.Idempotency == "once" || c.Idempotency == "by_key" && at > r.firstSentAt+c.IdempotencyWindowMS) {
-		o.Violate(RuleNoDuplicateEffects, at, "%s: a %s sent again that may have run", r.Name, c.Name)
+		o.Violate(RuleNoDuplicateEffects, at, "%s: retried a %s that may have run", r.Name, c.Name)
 	}
 	if r.inFlight > 0 && !o.scenario.Coordinators.HedgingAllowed {
-		o.Violate(RuleNoDuplicateEffects, at, "%s: two attempts at a time", r.Name)
+		o.Violate(RuleNoDuplicateEffects, at, "%s: two attempts in flight at once", r.Name)
 	}
 	o.checkPlacement(at, coord, r, id, zone)
 	o.checkKeyOrder(at, coord, r)
@@ -304,7 +308,7 @@
 		}
 	case decide.OutcomeTimeout, decide.OutcomeReset, decide.OutcomeCancelled:
 		if o.scenario.Classes[r.Class].OrderedByKey {
-			o.restingUntil[coord][r.Key] = at + o.scenario.Rules.OrderSettleMS
+			o.settledAt[coord][r.Key] = at + o.scenario.Rules.OrderSettleMS
 		}
 	}
 	o.leaveKeyQueue(coord, r)
@@ -313,21 +317,22 @@
 // AttemptStarted records an attempt that starts at an engine.
 func (o *Observer) AttemptStarted(at float64, r *Request) {
 	if r.startsAtEngines++; r.startsAtEngines > 1 && o.scenario.Classes[r.Class].Idempotency == "once" {
-		o.Violate(RuleRanOnce, at, "%s: a %s began %d times", r.Name, o.scenario.Classes[r.Class].Name, r.startsAtEngines)
+		o.Violate(RuleRanOnce, at, "%s: a %s started %d times at engines", r.Name, o.scenario.Classes[r.Class].Name, r.startsAtEngines)
 	}
 }
 
-// EngineOverloaded records an engine that failed of overload while it warmed up. The ratio is the part of its load that came
-// from coordinators that had been notified of its start.
-func (o *Observer) EngineOverloaded(at float64, id decide.EndpointID, part float64) {
+// EngineOverloaded records an engine that failed of overload while it warmed up. NotifiedRatio is the part of its load that
+// came from coordinators that had been notified of its start.
+func (o *Observer) EngineOverloaded(at float64, id decide.EndpointID, notifiedRatio float64) {
 	o.totals.Overloaded++
-	o.Note(at, "engine %d falls over", id)
-	if part >= 2.0/3 {
-		o.Violate(RuleSlowStart, at, "engine %d was pushed over while cold", id)
+	o.Note(at, "engine %d fails of overload", id)
+	if notifiedRatio >= 2.0/3 {
+		o.Violate(RuleSlowStart, at, "engine %d failed of overload while it warmed up", id)
 	}
 }
 
-// Finish records a violation for each request that never got an answer, or whose client left without one after its time.
+// Finish records a violation for each request that never got an answer, or whose client left without one after the
+// deadline.
 func (o *Observer) Finish(at float64) {
 	o.finishUnanswered()
 	var late int
@@ -345,13 +350,14 @@
 	}
 }
 
-// finishUnanswered records a violation for each client that left without an answer after its time, in the order of these times.
+// finishUnanswered records a violation for each client that left without an answer after the deadline, in order of
+// departure.
 func (o *Observer) finishUnanswered() {
 	requests := slices.SortedFunc(maps.Keys(o.unanswered), func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(o.unanswered[a], o.unanswered[b]), cmp.Compare(a.Name, b.Name))
 	})
 	for _, r := range requests {
-		o.Violate(RuleOneAnswer, o.unanswered[r], "%s: not answered in its time", r.Name)
+		o.Violate(RuleOneAnswer, o.unanswered[r], "%s: not answered by its deadline", r.Name)
 	}
 	clear(o.unanswered)
 }
--- a/internal/emulator/observer/report.go
+++ b/internal/emulator/observer/report.go
@@ -24,14 +24,14 @@
 	Events      int                  `json:"events"`
 }
 
-// ClassReport is the result of one class. Latencies are those of served queries since their first try, in ms.
+// ClassReport is the result of one class. Latencies are those of served queries, from the first try on, in ms.
 type ClassReport struct {
 	Name        string  `json:"name"`
 	Service     float64 `json:"service"`
 	First       int     `json:"first_tries"`
 	Tries       int     `json:"tries"`
 	Served      int     `json:"served"`
-	Late        int     `json:"late"` // of the served, after the latency objective
+	Late        int     `json:"late"` // served after the latency objective
 	Rejected    int     `json:"tries_refused"`
 	Failed      int     `json:"tries_failed"`
 	Lost        int     `json:"tries_lost"`
@@ -39,11 +39,11 @@
 	P50         float64 `json:"p50_ms"`
 	P95         float64 `json:"p95_ms"`
 	P99         float64 `json:"p99_ms"`
-	// Latency is at each of Quantiles.
+	// Latency has one value for each of Quantiles.
 	Latency []float64 `json:"latency_ms"`
 }
 
-// Quantiles are those of a class's latency curve, in percent.
+// Quantiles are the quantiles of a class's latency distribution in a report, in percent.
 var Quantiles = []float64{1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 98, 99, 99.9}
 
 // WindowReport is the result of a window of time. A query counts in the window of its first try.
@@ -60,7 +60,7 @@
 // worstWindowMS is the length of the worst window, which counts towards the service figure.
 const worstWindowMS = 10000.0
 
-// gossipUnitBytes is the amount of datagrams that one peer price is for.
+// gossipUnitBytes is the number of datagram bytes that Objective.Peer is the price of.
 const gossipUnitBytes = 256
 
 // Names of the parts of the service figure, as reports have them.
@@ -76,7 +76,7 @@
 	partGossipPrice   = "peer_price"
 )
 
-// prices are the parts that are subtracted, in the order of their subtraction.
+// prices lists the parts that are subtracted from the service figure, in order of subtraction.
 var prices = []string{partLateFailPrice, partWastePrice, partCrossZone, partProbePrice, partHandshake, partGossipPrice}
 
 // Report sums up the run.
@@ -99,7 +99,7 @@
 	return r
 }
 
-// addService sets the service figure and its parts: weighted ratios of the earned weight, less the prices.
+// addService sets the service figure and its parts: weighted ratios of the earned weight, minus the prices.
 func (o *Observer) addService(r *Report) {
 	var offered, earned, lateFailed float64
 	for i := range o.classes {
@@ -127,7 +127,7 @@
 	r.Service = round(max(service, 0))
 }
 
-// worstClass is the least ratio of earned to offered weight of a class.
+// worstClass returns the least ratio of earned to offered weight of a class.
 func (o *Observer) worstClass() float64 {
 	worst := 1.0
 	for i := range o.classes {
@@ -138,7 +138,7 @@
 	return worst
 }
 
-// worstWindow is the least ratio of earned to offered weight over as many windows as make worstWindowMS.
+// worstWindow returns the least ratio of earned to offered weight over any span of worstWindowMS.
 func (o *Observer) worstWindow() float64 {
 	span := min(max(int(math.Round(worstWindowMS/o.scenario.WindowMS)), 1), len(o.windows))
 	worst := 1.0
@@ -184,6 +184,7 @@
 	return t
 }
 
+// safeRatio returns a/b, or 0 if b is 0.
 func safeRatio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -191,5 +192,5 @@
 	return a / b
 }
 
-// round keeps four decimal places.
+// round rounds to four decimal places.
 func round(x float64) float64 { return math.Round(x*1e4) / 1e4 }
--- a/internal/emulator/observer/rules.go
+++ b/internal/emulator/observer/rules.go
@@ -8,21 +8,21 @@
 	"aniseloft/decide"
 )
 
-// The rules. The values stand in reports.
+// Names of the rules, as reports have them.
 const (
 	RuleOneAnswer          = "one_answer"  // each request gets one final answer, in time
 	RuleNoDuplicateEffects = "effects"     // a request that is not idempotent is not retried or rejected once it may have run
 	RuleDrain              = "drains"      // no attempt at an engine that drains or was removed
 	RuleSlowStart          = "fail_back"   // no engine fails of overload while it warms up
-	RuleKeyOrder           = "order"       // requests of one key run one at a time, in order
-	RulePlacement          = "placement"   // only in allowed zones
-	RuleRetryBudget        = "ration"      // retries within their budget
+	RuleKeyOrder           = "order"       // requests of one key run one at a time, in order of arrival
+	RulePlacement          = "placement"   // attempts go to allowed zones only
+	RuleRetryBudget        = "ration"      // a coordinator's retries stay within their budget
 	RuleMaxAttempts        = "attempts"    // no more attempts of a request than allowed
-	RuleRanOnce            = "ran_twice"   // seen at the engines: a request that is not idempotent started twice
+	RuleRanOnce            = "ran_twice"   // a request that is not idempotent started twice, as seen at the engines
 	RuleKnownEndpoint      = "unknown_way" // an attempt at an engine that was never listed
 )
 
-// RuleNames are all rules, in the order of reports.
+// RuleNames lists all rules in the order of reports.
 var RuleNames = []string{RuleOneAnswer, RuleNoDuplicateEffects, RuleDrain, RuleSlowStart, RuleKeyOrder, RulePlacement, RuleRetryBudget, RuleMaxAttempts, RuleRanOnce, RuleKnownEndpoint}
 
 // RuleViolations are the violations of one rule.
@@ -38,16 +38,16 @@
 	return fmt.Sprintf("%s: violations: %d, first at %.1f ms: %s", v.Rule, v.Count, v.AtMS, v.First)
 }
 
-// Violate records a violation of a rule. Violations may be told of in any order; the report names the earliest.
+// Violate records a violation of a rule. Violations may be recorded in any order; the report names the earliest.
 func (o *Observer) Violate(rule string, at float64, format string, args ...any) {
-	b := o.violations[rule]
-	if b == nil {
-		b = &RuleViolations{Rule: rule, AtMS: math.Inf(1)}
-		o.violations[rule] = b
+	v := o.violations[rule]
+	if v == nil {
+		v = &RuleViolations{Rule: rule, AtMS: math.Inf(1)}
+		o.violations[rule] = v
 	}
-	b.Count++
-	if at = round(at); at < b.AtMS {
-		b.AtMS, b.First = at, fmt.Sprintf(format, args...)
+	v.Count++
+	if at = round(at); at < v.AtMS {
+		v.AtMS, v.First = at, fmt.Sprintf(format, args...)
 	}
 }
 
@@ -59,40 +59,41 @@
 	case !ok:
 		o.Violate(RuleKnownEndpoint, at, "%s: engine %d was never listed to coordinator %d", r.Name, id, coord)
 	case n.state != decide.EndpointReady && at > n.since+limit:
-		o.Violate(RuleDrain, at, "%s: sent to engine %d, %.0f ms after coordinator %d was told of its end", r.Name, id, at-n.since, coord)
+		o.Violate(RuleDrain, at, "%s: sent to engine %d, %.0f ms after coordinator %d was notified that it drains or was removed", r.Name, id, at-n.since, coord)
 	}
 	if zones := o.scenario.Classes[r.Class].AllowedZones; len(zones) > 0 && !slices.Contains(zones, zone) {
-		o.Violate(RulePlacement, at, "%s: sent to hall %d", r.Name, zone)
+		o.Violate(RulePlacement, at, "%s: sent to zone %d, which its class does not allow", r.Name, zone)
 	}
 }
 
-// checkKeyOrder checks that a request is the first of its key, and that the key does not rest after an unknown outcome.
+// checkKeyOrder checks that a request is the first of its key, and that the key has settled after an attempt with an unknown
+// outcome.
 func (o *Observer) checkKeyOrder(at float64, coord int, r *Request) {
 	if !o.scenario.Classes[r.Class].OrderedByKey {
 		return
 	}
-	if line := o.keys[coord][r.Key]; len(line) > 0 && line[0] != r {
-		o.Violate(RuleKeyOrder, at, "%s: sent before %s of its key", r.Name, line[0].Name)
-	} else if at < o.restingUntil[coord][r.Key] && r.sends == 1 {
-		o.Violate(RuleKeyOrder, at, "%s: sent while its key rests", r.Name)
+	if queue := o.keys[coord][r.Key]; len(queue) > 0 && queue[0] != r {
+		o.Violate(RuleKeyOrder, at, "%s: sent before %s, an earlier request of its key", r.Name, queue[0].Name)
+	} else if at < o.settledAt[coord][r.Key] && r.sends == 1 {
+		o.Violate(RuleKeyOrder, at, "%s: sent before its key settled after an unknown outcome", r.Name)
 	}
 }
 
 // checkRetryBudget checks the retries of a coordinator within the retry window against the requests it received.
 func (o *Observer) checkRetryBudget(at float64, coord int, r *Request) {
-	ru := o.scenario.Rules
-	if ru.RetryRatio == nil {
+	rules := o.scenario.Rules
+	if rules.RetryRatio == nil {
 		return
 	}
-	since := func(l []float64) []float64 {
-		for len(l) > 0 && l[0] < at-ru.RetryWindowMS {
+	recent := func(l []float64) []float64 {
+		for len(l) > 0 && l[0] < at-rules.RetryWindowMS {
 			l = l[1:]
 		}
 		return l
 	}
-	o.retries[coord] = append(since(o.retries[coord]), at)
-	o.received[coord] = since(o.received[coord])
-	if n := float64(len(o.retries[coord])); n > ru.SpareAttempts+*ru.RetryRatio*float64(len(o.received[coord])) {
-		o.Violate(RuleRetryBudget, at, "%s: further attempt %.0f with %d requests taken", r.Name, n, len(o.received[coord]))
+	o.retries[coord] = append(recent(o.retries[coord]), at)
+	o.received[coord] = recent(o.received[coord])
+	if n := float64(len(o.retries[coord])); n > rules.SpareAttempts+*rules.RetryRatio*float64(len(o.received[coord])) {
+		o.Violate(RuleRetryBudget, at, "%s: retry %.0f with %d requests received, within the retry window", r.Name, n, len(o.received[coord]))
 	}
 }
--- a/internal/emulator/observer/totals.go
+++ b/internal/emulator/observer/totals.go
@@ -4,6 +4,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// classTotals are the counts of one class.
 type classTotals struct {
 	offeredWeight, earnedWeight, lateFailedWeight float64
 	first, served, late                           int
@@ -12,12 +13,13 @@
 	latency                                       *hdrhistogram.Histogram
 }
 
+// windowTotals are the counts of one window of time.
 type windowTotals struct {
 	offeredWeight, earnedWeight            float64
 	first, tries, served, rejected, failed int
 }
 
-// Totals are counts of the day.
+// Totals are the counts of a run.
 type Totals struct {
 	FirstTries    int     `json:"first_tries"`
 	Retries       int     `json:"retries"`
--- a/internal/emulator/observer/tries.go
+++ b/internal/emulator/observer/tries.go
@@ -8,57 +8,58 @@
 	Served TryResult = iota
 	Rejected
 	Failed
-	Lost // its coordinator crashed, or none was running
+	Lost // the coordinator crashed, or none was running
 )
 
+// window returns the totals of the window of a time.
 func (o *Observer) window(at float64) *windowTotals {
 	return &o.windows[min(max(int(at/o.scenario.WindowMS), 0), len(o.windows)-1)]
 }
 
 // FirstTry records a client's first try.
-func (o *Observer) FirstTry(a *ClientQuery) {
-	c, w := &o.classes[a.Class], o.window(a.ArrivedAt)
-	weight := o.scenario.Classes[a.Class].Weight
+func (o *Observer) FirstTry(q *ClientQuery) {
+	c, w := &o.classes[q.Class], o.window(q.ArrivedAt)
+	weight := o.scenario.Classes[q.Class].Weight
 	c.first++
 	c.offeredWeight += weight
 	w.first++
 	w.offeredWeight += weight
 	o.totals.FirstTries++
-	o.countTry(a.ArrivedAt, a)
+	o.countTry(q.ArrivedAt, q)
 }
 
 // countTry counts any try.
-func (o *Observer) countTry(at float64, a *ClientQuery) {
-	o.classes[a.Class].tries++
+func (o *Observer) countTry(at float64, q *ClientQuery) {
+	o.classes[q.Class].tries++
 	o.window(at).tries++
 }
 
 // Retry records a client's retry.
-func (o *Observer) Retry(at float64, a *ClientQuery) {
+func (o *Observer) Retry(at float64, q *ClientQuery) {
 	o.totals.Retries++
-	o.countTry(at, a)
+	o.countTry(at, q)
 }
 
-// TryEnded records the result of a try for its client; last: the client does not retry.
-func (o *Observer) TryEnded(at float64, a *ClientQuery, kind TryResult, last bool) {
-	c, w := &o.classes[a.Class], o.window(at)
-	k := o.scenario.Classes[a.Class]
+// TryEnded records the result of a try for its client. Last means that the client does not retry.
+func (o *Observer) TryEnded(at float64, q *ClientQuery, kind TryResult, last bool) {
+	c, w := &o.classes[q.Class], o.window(at)
+	k := o.scenario.Classes[q.Class]
 	switch kind {
 	case Served:
-		if a.ended {
+		if q.ended {
 			return
 		}
-		a.ended = true
+		q.ended = true
 		c.served++
 		w.served++
-		a.earnedWeight = k.Weight
-		if at > a.ObjectiveTime {
+		q.earnedWeight = k.Weight
+		if at > q.ObjectiveTime {
 			c.late++
-			a.earnedWeight *= k.LateWeightRatio
+			q.earnedWeight *= k.LateWeightRatio
 		}
-		c.earnedWeight += a.earnedWeight
-		o.window(a.ArrivedAt).earnedWeight += a.earnedWeight
-		_ = c.latency.RecordValue(max(int64((at-a.ArrivedAt)*1000), 1))
+		c.earnedWeight += q.earnedWeight
+		o.window(q.ArrivedAt).earnedWeight += q.earnedWeight
+		_ = c.latency.RecordValue(max(int64((at-q.ArrivedAt)*1000), 1))
 		return
 	case Rejected:
 		c.rejected++
@@ -70,10 +71,10 @@
 		c.lost++
 		w.failed++
 	}
-	if last && !a.ended {
-		a.ended = true
+	if last && !q.ended {
+		q.ended = true
 		c.neverServed++
-		if at > a.ObjectiveTime {
+		if at > q.ObjectiveTime {
 			c.lateFailedWeight += k.Weight
 		}
 	}
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds those who decide in an emulated day: the project's module and,
-// behind the same interface, plain policies for every figure to stand beside.
+// Package policy provides the policies that decide in an emulation: the decision module and,
+// behind the same interface, simple policies as a baseline for its results.
 package policy
 
 import (
@@ -12,23 +12,23 @@
 	"aniseloft/decide"
 )
 
-// Policy takes one event and says what is to be done, as decide.Gateway does.
+// Policy handles one event at a time and returns the actions to perform, as decide.Gateway does.
 type Policy interface {
 	Handle(now decide.Millis, ev decide.Event) []decide.Action
 }
 
-// Module is the project's own.
+// Module is the name of the policy that runs the decision module, package decide.
 const Module = "module"
 
-// Names are the policies that can be asked for.
+// Names returns the names that New accepts.
 func Names() []string {
 	return []string{Module, "random", "round-robin", "least-outstanding", "two-choices", "home"}
 }
 
-// New returns a policy by its name.
-func New(name string, set decide.Settings, seed uint64) (Policy, error) {
+// New returns the policy of a name.
+func New(name string, settings decide.Settings, seed uint64) (Policy, error) {
 	if name == Module {
-		g, err := decide.New(set, seed)
+		g, err := decide.New(settings, seed)
 		if err != nil {
 			return nil, fmt.Errorf("module: %w", err)
 		}
@@ -36,57 +36,58 @@
 	}
 	choose := choosers[name]
 	if choose == nil {
-		return nil, fmt.Errorf("policy %q is unknown: one of %v", name, Names())
+		return nil, fmt.Errorf("unknown policy %q: use one of %v", name, Names())
 	}
-	return &basicPolicy{settings: set, choose: choose, rng: rand.New(rand.NewPCG(seed, 2)), engines: map[decide.EndpointID]*member{},
+	return &basicPolicy{settings: settings, choose: choose, rng: rand.New(rand.NewPCG(seed, 2)), endpoints: map[decide.EndpointID]*endpoint{},
 		requests: map[decide.RequestID]*request{}}, nil
 }
 
-// basicPolicy sends everything at once to whatever its choice names, and elsewhere where that
-// is safe and did not work. It knows nothing of health, load reports, grants or cold engines.
+// basicPolicy sends each request at once to the engine that its choose function picks. After a
+// failed attempt it retries on another engine if that is safe. It ignores health, load reports,
+// grants and warm-up.
 type basicPolicy struct {
-	settings decide.Settings
-	choose   func(*basicPolicy, *request, []*member) *member
-	rng      *rand.Rand
-	engines  map[decide.EndpointID]*member
-	order    []*member // by id
-	requests map[decide.RequestID]*request
-	next     int
+	settings  decide.Settings
+	choose    func(*basicPolicy, *request, []*endpoint) *endpoint
+	rng       *rand.Rand
+	endpoints map[decide.EndpointID]*endpoint
+	order     []*endpoint // by id
+	requests  map[decide.RequestID]*request
+	next      int
 }
 
-type member struct {
+type endpoint struct {
 	decide.EndpointInfo
 	inFlight int
 }
 
 type request struct {
 	decide.RequestArrived
-	until    decide.Millis
-	attempts int
-	mayRun   bool
-	current  *member
-	finished bool
-	avoid    *member // where it failed last
+	deadline   decide.Millis
+	attempts   int
+	mayRun     bool // an attempt ended without proof that it never ran
+	current    *endpoint
+	finished   bool
+	lastFailed *endpoint // of the last failed attempt
 }
 
-var choosers = map[string]func(*basicPolicy, *request, []*member) *member{
-	"random": func(p *basicPolicy, _ *request, l []*member) *member { return l[p.rng.IntN(len(l))] },
-	"round-robin": func(p *basicPolicy, _ *request, l []*member) *member {
+var choosers = map[string]func(*basicPolicy, *request, []*endpoint) *endpoint{
+	"random": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint { return l[p.rng.IntN(len(l))] },
+	"round-robin": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint {
 		p.next++
 		return l[p.next%len(l)]
 	},
-	"least-outstanding": func(p *basicPolicy, _ *request, l []*member) *member {
+	"least-outstanding": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint {
 		return leastOutstanding(l, p.rng.IntN(len(l)))
 	},
-	"two-choices": func(p *basicPolicy, _ *request, l []*member) *member {
+	"two-choices": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint {
 		a, b := l[p.rng.IntN(len(l))], l[p.rng.IntN(len(l))]
 		if b.inFlight < a.inFlight {
 			return b
 		}
 		return a
 	},
-	"home": func(_ *basicPolicy, r *request, l []*member) *member {
-		return slices.MaxFunc(l, func(a, b *member) int {
+	"home": func(_ *basicPolicy, r *request, l []*endpoint) *endpoint {
+		return slices.MaxFunc(l, func(a, b *endpoint) int {
 			if x, y := weight(r.Group, a.ID), weight(r.Group, b.ID); x != y {
 				if x > y {
 					return 1
@@ -98,17 +99,19 @@
 	},
 }
 
-// leastOutstanding is the one with the fewest out; the place where the search begins breaks ties.
-func leastOutstanding(l []*member, from int) *member {
-	best := l[from]
+// leastOutstanding returns the endpoint with the fewest attempts in flight; of equal ones the first
+// from index start on, cyclically.
+func leastOutstanding(l []*endpoint, start int) *endpoint {
+	best := l[start]
 	for i := range l {
-		if m := l[(from+i)%len(l)]; m.inFlight < best.inFlight {
+		if m := l[(start+i)%len(l)]; m.inFlight < best.inFlight {
 			best = m
 		}
 	}
 	return best
 }
 
+// weight is the rendezvous hash of a group at an endpoint: the highest is the group's home.
 func weight(group uint64, id decide.EndpointID) uint64 {
 	var b [16]byte
 	for i := range 8 {
@@ -122,11 +125,11 @@
 	case decide.EndpointUpdate:
 		p.updateEndpoints(ev)
 	case decide.RequestArrived:
-		r := &request{RequestArrived: ev, until: now + ev.TimeLeft}
+		r := &request{RequestArrived: ev, deadline: now + ev.TimeLeft}
 		p.requests[ev.ID] = r
-		return p.try(now, r)
+		return p.startAttempt(now, r)
 	case decide.AttemptEnded:
-		return p.ended(now, ev)
+		return p.attemptEnded(now, ev)
 	case decide.ClientDisconnected:
 		if r := p.requests[ev.ID]; r != nil {
 			return p.finish(r, nil)
@@ -139,34 +142,34 @@
 	named := map[decide.EndpointID]bool{}
 	for _, e := range ev.Entries {
 		named[e.ID] = true
-		m := p.engines[e.ID]
+		m := p.endpoints[e.ID]
 		if m == nil {
-			m = &member{}
-			p.engines[e.ID] = m
+			m = &endpoint{}
+			p.endpoints[e.ID] = m
 			p.order = append(p.order, m)
 		}
 		m.EndpointInfo = e
 	}
-	p.order = slices.DeleteFunc(p.order, func(m *member) bool {
+	p.order = slices.DeleteFunc(p.order, func(m *endpoint) bool {
 		gone := m.State == decide.EndpointRemoved || ev.Kind != decide.UpdateIncremental && !named[m.ID]
 		if gone {
-			delete(p.engines, m.ID)
+			delete(p.endpoints, m.ID)
 		}
 		return gone
 	})
-	slices.SortFunc(p.order, func(a, b *member) int { return int(int64(a.ID) - int64(b.ID)) })
+	slices.SortFunc(p.order, func(a, b *endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
 }
 
-func (p *basicPolicy) try(now decide.Millis, r *request) []decide.Action {
+func (p *basicPolicy) startAttempt(now decide.Millis, r *request) []decide.Action {
 	c := p.settings.Classes[r.Class]
-	var l []*member
+	var l []*endpoint
 	for _, m := range p.order {
-		if m.State == decide.EndpointReady && m != r.avoid && (c.Zones == nil || slices.Contains(c.Zones, m.Zone)) {
+		if m.State == decide.EndpointReady && m != r.lastFailed && (c.Zones == nil || slices.Contains(c.Zones, m.Zone)) {
 			l = append(l, m)
 		}
 	}
-	if len(l) == 0 && r.avoid != nil && r.avoid.State == decide.EndpointReady {
-		l = append(l, r.avoid)
+	if len(l) == 0 && r.lastFailed != nil && r.lastFailed.State == decide.EndpointReady {
+		l = append(l, r.lastFailed)
 	}
 	if len(l) == 0 || r.attempts >= p.settings.MaxAttempts {
 		return p.giveUp(r)
@@ -174,9 +177,10 @@
 	r.current = p.choose(p, r, l)
 	r.current.inFlight++
 	r.attempts++
-	return []decide.Action{decide.StartAttempt{ID: r.ID, Endpoint: r.current.ID, Timeout: max(r.until-now, 0.001)}}
+	return []decide.Action{decide.StartAttempt{ID: r.ID, Endpoint: r.current.ID, Timeout: max(r.deadline-now, 0.001)}}
 }
 
+// giveUp fails a request that may have run and must not be retried, and rejects any other.
 func (p *basicPolicy) giveUp(r *request) []decide.Action {
 	if r.mayRun && p.settings.Classes[r.Class].Idempotency != decide.IdempotentAlways {
 		return p.finish(r, decide.Fail{ID: r.ID})
@@ -184,6 +188,7 @@
 	return p.finish(r, decide.Reject{ID: r.ID, RetryAfter: p.settings.MaxRetryAfter})
 }
 
+// finish sends the answer, if any, and cancels the attempt in flight.
 func (p *basicPolicy) finish(r *request, answer decide.Action) (acts []decide.Action) {
 	if answer != nil {
 		acts = append(acts, answer)
@@ -196,13 +201,13 @@
 	return acts
 }
 
-func (p *basicPolicy) ended(now decide.Millis, ev decide.AttemptEnded) []decide.Action {
+func (p *basicPolicy) attemptEnded(now decide.Millis, ev decide.AttemptEnded) []decide.Action {
 	r := p.requests[ev.ID]
 	if r == nil || r.current == nil {
 		return nil
 	}
 	r.current.inFlight--
-	r.avoid, r.current = r.current, nil
+	r.lastFailed, r.current = r.current, nil
 	if o := ev.Outcome; o != decide.OutcomeOverloaded && o != decide.OutcomeConnectFailed && o != decide.OutcomeNotSent {
 		r.mayRun = true
 	}
@@ -210,8 +215,8 @@
 		return p.finish(r, nil)
 	}
 	c := p.settings.Classes[r.Class]
-	if now >= r.until-p.settings.TickInterval || r.mayRun && c.Idempotency != decide.IdempotentAlways {
+	if now >= r.deadline-p.settings.TickInterval || r.mayRun && c.Idempotency != decide.IdempotentAlways {
 		return p.giveUp(r)
 	}
-	return p.try(now, r)
+	return p.startAttempt(now, r)
 }
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -10,32 +10,32 @@
 	"aniseloft/internal/emulator/des"
 )
 
-// Query is a generated query with its client's habits: what it asks for, and what it needs in fact.
+// Query is a generated query: its true and its estimated needs, and its client's habits.
 type Query struct {
 	Number           int
 	ArrivesAt        float64
 	Class            int
 	Zone             int
-	DataSet          uint64 // from 1
+	DataSet          uint64 // numbered from 1
 	Work             float64
 	IORatio          float64
 	NeedMB           float64
 	EstimatedWork    float64
 	EstimatedMB      float64
-	Patience         float64 // of each try, as a part of the remaining time
+	Patience         float64 // part of the deadline that the client waits for one try
 	Habit            int
 	HonorsRetryAfter bool
 	RetryWaits       []float64
 }
 
-// Arrivals generates the queries one after another. The n-th asks for the same whatever faults there are: a burst only
-// brings it sooner.
+// Arrivals generates the queries one after another. Apart from heavy tails, faults do not change the n-th query; a burst
+// only makes it arrive earlier.
 type Arrivals struct {
 	scenario      *Scenario
 	timeline      *Timeline
 	count         int
 	now           float64
-	untilNext     float64 // of the unit exponential to the next arrival
+	untilNext     float64 // remaining part of the unit exponential interval to the next arrival
 	groups        []float64
 	classes       []float64
 	habits        []float64
@@ -58,18 +58,18 @@
 	a := &Arrivals{scenario: s, timeline: t, arrivalRand: des.Stream(seed, "arrivals"), choiceRand: des.Stream(seed, "classes and data sets"),
 		sizeRand: des.Stream(seed, "sizes"), estimateRand: des.Stream(seed, "estimates"), clientRand: des.Stream(seed, "clients"),
 		heavyTailRand: des.Stream(seed, "heavy tails")}
-	day := des.Stream(seed, "day")
-	zipf := s.DataSets.Zipf.Draw(day)
+	runRand := des.Stream(seed, "day")
+	zipf := s.DataSets.Zipf.Draw(runRand)
 	for k := range s.DataSets.Count {
 		a.groups = append(a.groups, math.Pow(float64(k+1), -zipf))
 	}
-	a.zoneSkew = s.Load.ZoneSkew.Draw(day)
+	a.zoneSkew = s.Load.ZoneSkew.Draw(runRand)
 	for _, c := range s.Classes {
 		a.classes = append(a.classes, c.Frequency)
-		mean := c.WorkMS.Draw(day)
+		mean := c.WorkMS.Draw(runRand)
 		a.meanWork = append(a.meanWork, mean)
-		a.ioRatio = append(a.ioRatio, c.IORatio.Draw(day))
-		a.bias = append(a.bias, c.EstimateBias.Draw(day))
+		a.ioRatio = append(a.ioRatio, c.IORatio.Draw(runRand))
+		a.bias = append(a.bias, c.EstimateBias.Draw(runRand))
 		a.work = append(a.work, logNormal(mean, c.WorkCV, a.sizeRand))
 		a.memory = append(a.memory, logNormal(c.MemoryMB, c.MemoryCV, a.sizeRand))
 	}
@@ -83,12 +83,13 @@
 	return a
 }
 
-// logNormal returns the distribution with a mean and a coefficient of variation.
+// logNormal returns the log-normal distribution with a mean and a coefficient of variation.
 func logNormal(mean, cv float64, rng *rand.Rand) distuv.LogNormal {
 	v := math.Log(1 + cv*cv)
 	return distuv.LogNormal{Mu: math.Log(mean) - v/2, Sigma: math.Sqrt(v), Src: rng}
 }
 
+// cumulate replaces frequencies by their cumulative distribution.
 func cumulate(l []float64) {
 	var sum float64
 	for i := range l {
@@ -100,14 +101,15 @@
 	}
 }
 
+// pick returns the index that a random number x in [0, 1) selects from a cumulative distribution.
 func pick(cumulated []float64, x float64) int {
 	return min(sort.SearchFloat64s(cumulated, x), len(cumulated)-1)
 }
 
-// rateStepMS is how long the arrival rate counts as constant.
+// rateStepMS is the length of the steps within which the arrival rate is constant.
 const rateStepMS = 5.0
 
-// Next returns the next query; false: there are no more.
+// Next returns the next query, or false after the last one.
 func (a *Arrivals) Next() (Query, bool) {
 	for {
 		step := math.Floor(a.now/rateStepMS)*rateStepMS + rateStepMS
@@ -130,19 +132,19 @@
 	c := a.scenario.Classes[q.Class]
 	q.IORatio = a.ioRatio[q.Class]
 	q.Work = max(a.work[q.Class].Rand(), 0.5)
-	if len(a.timeline.tails) > 0 { // a stream of its own: without the fault all is as it was
+	if len(a.timeline.tails) > 0 { // it has a random stream of its own, so that it leaves the other values unchanged
 		q.Work *= a.timeline.WorkMultiple(q.ArrivesAt, q.Class, a.heavyTailRand.Float64())
 	}
 	q.NeedMB = min(max(a.memory[q.Class].Rand(), 1), a.scenario.Engines.MemoryMB*a.scenario.Engines.MaxGrantRatio)
 	scatter := func() float64 { return logNormal(1, c.EstimateCV, a.estimateRand).Rand() }
 	q.EstimatedWork = q.Work * a.bias[q.Class] * scatter()
 	q.EstimatedMB = max(math.Round(q.NeedMB*a.bias[q.Class]*scatter()), 1)
-	// The first zone has the surplus.
-	halls := float64(len(a.scenario.Zones))
-	if x := a.clientRand.Float64(); x < (1+a.zoneSkew*(halls-1))/halls {
+	// The first zone gets the surplus.
+	zones := float64(len(a.scenario.Zones))
+	if x := a.clientRand.Float64(); x < (1+a.zoneSkew*(zones-1))/zones {
 		q.Zone = 0
 	} else {
-		q.Zone = 1 + int(a.clientRand.Float64()*(halls-1))
+		q.Zone = 1 + int(a.clientRand.Float64()*(zones-1))
 	}
 	q.Zone = min(q.Zone, len(a.scenario.Zones)-1)
 	q.Patience = a.scenario.Clients.PatienceRatio.Draw(a.clientRand)
@@ -158,19 +160,19 @@
 // MeanWork returns a class's mean work over all threads, in ms.
 func (a *Arrivals) MeanWork(class int) float64 { return a.meanWork[class] }
 
-// CoreWorkRatio returns the part of all work that is on cores.
+// CoreWorkRatio returns the part of all work that is done on cores.
 func (a *Arrivals) CoreWorkRatio() float64 {
-	var cores, all, was float64
+	var cores, all, previous float64
 	for i := range a.scenario.Classes {
-		w := (a.classes[i] - was) * a.meanWork[i]
-		was = a.classes[i]
+		w := (a.classes[i] - previous) * a.meanWork[i]
+		previous = a.classes[i]
 		all += w
 		cores += w * (1 - a.ioRatio[i])
 	}
 	return cores / all
 }
 
-// ObjectiveTime is until when an answer earns its full weight.
+// ObjectiveTime returns the latest time at which an answer to a query earns its full weight.
 func (s *Scenario) ObjectiveTime(q Query) float64 {
 	c := s.Classes[q.Class]
 	return q.ArrivesAt + min(c.LatencyObjectiveMS+c.ObjectivePerWork*q.Work/float64(c.Threads), c.DeadlineMS)
--- a/internal/emulator/scenario/default.go
+++ b/internal/emulator/scenario/default.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// fillLists sets the lists that a file leaves out. They are not in Default, as the entries of a decoded list would keep the
-// values of the entries that they replace.
+// fillLists sets the lists that a file leaves out. They are not in Default because a decoded entry would keep the fields of
+// the default entry that it replaces.
 func (s *Scenario) fillLists() {
 	if s.Engines.ReportFields == nil {
 		s.Engines.ReportFields = []string{"inflight", "util", "x1", "x0"}
--- a/internal/emulator/scenario/golden_test.go
+++ b/internal/emulator/scenario/golden_test.go
@@ -9,9 +9,9 @@
 	"aniseloft/internal/golden"
 )
 
-// testdata/scenario.json is tournament-sunday with a trouble that sets every field. testdata/scenario.golden is the value that d9ce9f6
-// read from it: go test ./internal/emulator/scenario -update
-func TestRecordedScenarioIsReadWhole(t *testing.T) {
+// testdata/scenario.json is tournament-sunday with a fault that sets every field. testdata/scenario.golden is the value that
+// commit d9ce9f6 parsed from it. To update it: go test ./internal/emulator/scenario -update
+func TestRecordedScenarioParsesToRecordedValue(t *testing.T) {
 	raw, err := os.ReadFile("testdata/scenario.json")
 	require.NoError(t, err)
 	s, err := Parse("scenario.json", raw)
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -28,19 +28,19 @@
 	return fmt.Sprintf("%s: %s: %s; %s", f.File, f.Pointer, f.Problem, f.Remedy)
 }
 
-// ValidationErrors are all problems of a file.
+// ValidationErrors lists all problems of a file.
 type ValidationErrors []ValidationError
 
 // Error returns one line for each problem.
 func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
+	for i, problem := range f {
+		lines[i] = problem.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Schema compiles a published schema.
+// Schema compiles a JSON schema.
 func Schema(name string, text []byte) (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -57,7 +57,8 @@
 	return s, nil
 }
 
-// Validate checks a document against a schema. The error is ValidationErrors, with all problems, where the document is wrong.
+// Validate checks a document against a schema. If the document is invalid, the error is a
+// ValidationErrors with all problems.
 func Validate(file string, raw, schemaText []byte) error {
 	var doc any
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -67,16 +68,16 @@
 	if err != nil {
 		return err
 	}
-	var wrong *jsonschema.ValidationError
-	if err := s.Validate(doc); errors.As(err, &wrong) {
-		return schemaErrors(file, wrong)
+	var invalid *jsonschema.ValidationError
+	if err := s.Validate(doc); errors.As(err, &invalid) {
+		return schemaErrors(file, invalid)
 	} else if err != nil {
 		return err
 	}
 	return nil
 }
 
-// syntaxErrorPosition describes line and column of a syntax error.
+// syntaxErrorPosition returns a remedy that names the line and column of a syntax error.
 func syntaxErrorPosition(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
@@ -84,19 +85,20 @@
 	}
 	before := raw[:min(int(syntax.Offset), len(raw))]
 	line := bytes.Count(before, []byte("\n")) + 1
-	return fmt.Sprintf("look at line %d, column %d", line, len(before)-bytes.LastIndexByte(before, '\n')-1)
+	return fmt.Sprintf("correct line %d, column %d", line, len(before)-bytes.LastIndexByte(before, '\n')-1)
 }
 
+// schemaErrors returns the leaves of a tree of schema errors.
 func schemaErrors(file string, e *jsonschema.ValidationError) ValidationErrors {
 	if len(e.Causes) == 0 {
-		said := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-		mend := "see the schema for what this field takes"
-		if strings.Contains(said, "additional properties") {
-			mend = "remove it or mend its spelling"
-		} else if strings.Contains(said, "missing") {
-			mend = "add it"
+		problem := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
+		remedy := "see the schema for the allowed values"
+		if strings.Contains(problem, "additional properties") {
+			remedy = "remove it or correct its spelling"
+		} else if strings.Contains(problem, "missing") {
+			remedy = "add it"
 		}
-		return ValidationErrors{{file, pointer(e.InstanceLocation...), said, mend}}
+		return ValidationErrors{{file, pointer(e.InstanceLocation...), problem, remedy}}
 	}
 	var all ValidationErrors
 	for _, c := range e.Causes {
@@ -106,6 +108,7 @@
 	return all
 }
 
+// pointer returns a JSON pointer.
 func pointer(parts ...string) string {
 	var b strings.Builder
 	for _, p := range parts {
@@ -114,14 +117,14 @@
 	return max(b.String(), "/")
 }
 
-// Parse reads a scenario file and checks all of it. The error is ValidationErrors where the file is wrong.
+// Parse parses and validates a scenario file. If the file is invalid, the error is a ValidationErrors.
 func Parse(file string, raw []byte) (*Scenario, error) {
 	if err := Validate(file, raw, schema.Scenario); err != nil {
 		return nil, err
 	}
 	s := Default()
 	if err := json.Unmarshal(raw, s); err != nil {
-		return nil, ValidationErrors{{file, "/", err.Error(), "see the schema"}}
+		return nil, ValidationErrors{{file, "/", err.Error(), "see the schema for the allowed values"}}
 	}
 	s.fillLists()
 	c := checker{file: file}
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -13,14 +13,14 @@
 
 // UnmarshalJSON reads a number or a pair.
 func (r *Range) UnmarshalJSON(b []byte) error {
-	var one float64
-	if json.Unmarshal(b, &one) == nil {
-		r.Min, r.Max = one, one
+	var fixed float64
+	if json.Unmarshal(b, &fixed) == nil {
+		r.Min, r.Max = fixed, fixed
 		return nil
 	}
 	var pair [2]float64
 	if err := json.Unmarshal(b, &pair); err != nil {
-		return fmt.Errorf("a number or [least, most]: %w", err)
+		return fmt.Errorf("not a number or [minimum, maximum]: %w", err)
 	}
 	r.Min, r.Max = pair[0], pair[1]
 	return nil
@@ -34,7 +34,7 @@
 	return json.Marshal([2]float64{r.Min, r.Max})
 }
 
-// Draw returns a number of the range. It draws one random number, also for a fixed one.
+// Draw returns a random number in the range. It always consumes one number of the random source, even for a fixed range.
 func (r Range) Draw(rng *rand.Rand) float64 { return r.Min + rng.Float64()*(r.Max-r.Min) }
 
 // Scenario is a run of the emulator. Times are in milliseconds, work in milliseconds on one core, memory in MB; ratios are
@@ -62,16 +62,16 @@
 // Coordinators are the instances of the decision module and their limits.
 type Coordinators struct {
 	Count           int     `json:"count"`
-	QuantumMS       float64 `json:"quantum_ms"` // inputs within it are handled together, at its end
+	QuantumMS       float64 `json:"quantum_ms"` // inputs that arrive within a quantum are handled together at its end
 	TickMS          float64 `json:"tick_ms"`
 	MaxAttempts     int     `json:"max_attempts"`
 	MaxOpenRequests int     `json:"max_open"`
-	MaxRetryAfterMS float64 `json:"max_come_back_ms"` // bound of Retry-After; 0: it is not sent
+	MaxRetryAfterMS float64 `json:"max_come_back_ms"` // upper limit of Retry-After; 0: no Retry-After is sent
 	HedgingAllowed  bool    `json:"may_duplicate"`
-	ProbesAllowed   bool    `json:"probes"`    // of engines' load
+	ProbesAllowed   bool    `json:"probes"`    // probes of the engines' load
 	GossipAllowed   bool    `json:"peers"`     // datagrams between coordinators
-	GossipDelayMS   Range   `json:"peer_ms"`   // of a datagram
-	GossipLossRatio float64 `json:"peer_loss"` // of datagrams
+	GossipDelayMS   Range   `json:"peer_ms"`   // delay of a datagram
+	GossipLossRatio float64 `json:"peer_loss"` // part of the datagrams that is lost
 }
 
 // Network gives the delays of messages, in one direction.
@@ -84,7 +84,7 @@
 
 // FrontProxy distributes clients over the coordinators of their zone.
 type FrontProxy struct {
-	DetectionMS Range `json:"notice_ms"` // until it sees that a coordinator has crashed or started
+	DetectionMS Range `json:"notice_ms"` // time after which it detects that a coordinator has crashed or started
 }
 
 // Engines describes the engines of the initial fleet and those that join later.
@@ -92,40 +92,41 @@
 	Count              int      `json:"count"`
 	Kind               string   `json:"kind"`
 	Cores              float64  `json:"cores"`
-	Disks              float64  `json:"disks"` // reads and writes at a time at full throughput
+	Disks              float64  `json:"disks"` // number of concurrent reads and writes at full throughput
 	MemoryMB           float64  `json:"memory_mb"`
 	Speed              Range    `json:"speed"`
-	SaturationThreads  Range    `json:"knee"`   // per core, above which throughput falls
-	ThrashRatio        Range    `json:"thrash"` // throughput that is left at twice the saturation, its square at four times, and so on
-	SeekPenalty        Range    `json:"seek"`   // throughput of disks is 1/(1+seek) with twice as many queries as disks
-	SpillPenalty       Range    `json:"spill"`  // additional work, as a multiple, without any memory
+	SaturationThreads  Range    `json:"knee"`   // threads per core above which throughput falls
+	ThrashRatio        Range    `json:"thrash"` // factor of the throughput at twice the saturation; its square at four times, and so on
+	SeekPenalty        Range    `json:"seek"`   // factor of the disks' throughput is 1/(1+seek) with twice as many threads as disks
+	SpillPenalty       Range    `json:"spill"`  // additional work of a query without any memory, as a multiple of its work
 	MaxGrantRatio      float64  `json:"most_grant"`
 	Grants             bool     `json:"grants"`       // memory grants of coordinators apply
 	Priorities         bool     `json:"priorities"`   // priorities of coordinators apply
 	ReportsCost        bool     `json:"tells_cost"`   // answers report work and memory
 	MemoryShort        string   `json:"memory_short"` // QueueForMemory or OvercommitMemory
 	PagingPenalty      Range    `json:"page"`         // divisor of the throughput at twice the memory, with OvercommitMemory
-	ProgressMS         float64  `json:"progress_ms"`  // between two progress reports of an attempt; 0: none
+	ProgressMS         float64  `json:"progress_ms"`  // interval of progress reports on an attempt; 0: none
 	Reports            string   `json:"reports"`      // ReportsByProbe, ReportsInAnswers (by probe too) or NoReports
 	ReportFields       []string `json:"report_fields"`
 	Sessions           int      `json:"sessions"`    // queries that run or wait; more are rejected
-	Connections        int      `json:"connections"` // of all coordinators
+	Connections        int      `json:"connections"` // limit for all coordinators together
 	HandshakeRTTs      float64  `json:"handshake_rtts"`
 	IdleTimeoutMS      float64  `json:"idle_ms"`
 	ConnectTimeoutMS   float64  `json:"connect_timeout_ms"`
 	WarmSets           Range    `json:"warm_sets"`
-	WarmGain           Range    `json:"warm_gain"` // ratio of the reads that cached data saves
+	WarmGain           Range    `json:"warm_gain"` // part of the reads that a warm data set saves
 	WarmupInitialRatio Range    `json:"cold_from"`
 	WarmupMS           Range    `json:"cold_ms"`
 	ReportPeriodMS     Range    `json:"report_period_ms"`
 	ReportDelayMS      Range    `json:"report_delay_ms"`
 	ReportNoise        float64  `json:"report_noise"`
 	ErrorRate          float64  `json:"error_rate"`
-	OrphanMS           float64  `json:"orphan_ms"` // a query that nobody polls is cancelled after it
+	OrphanMS           float64  `json:"orphan_ms"` // time after which a query that no coordinator polls is cancelled
 	ProbeTimeoutMS     float64  `json:"probe_timeout_ms"`
 }
 
-// What an engine does when grants exceed its memory, and how load reports are sent.
+// Values of Engines.MemoryShort, the behavior when grants exceed the memory, and of Engines.Reports, the way in which load
+// reports are sent.
 const (
 	QueueForMemory   = "line_up"
 	OvercommitMemory = "overcommit"
@@ -154,36 +155,36 @@
 	LoadsDataSet        bool    `json:"load"`     // locks its data set on the engine while it runs
 	WaitsForLoads       bool    `json:"waits"`    // waits for loads of its data set
 	OrderedByKey        bool    `json:"in_order"` // requests of one data set run one at a time
-	AllowedZones        []int   `json:"halls"`    // empty: all
+	AllowedZones        []int   `json:"halls"`    // empty: all zones are allowed
 	EstimateBias        Range   `json:"estimate_bias"`
 	EstimateCV          float64 `json:"estimate_cv"`
-	BadPlanRatio        Range   `json:"runaway"`       // of the attempts
-	BadPlanMultiple     Range   `json:"runaway_times"` // of the work, with a bad plan
+	BadPlanRatio        Range   `json:"runaway"`       // part of the attempts that get a bad plan
+	BadPlanMultiple     Range   `json:"runaway_times"` // factor of the work with a bad plan
 }
 
-// DataSets are groups of tables, the most read first.
+// DataSets describes the groups of tables, ordered by the frequency of reads.
 type DataSets struct {
 	Count int   `json:"count"`
-	Zipf  Range `json:"zipf"` // exponent: the k-th is read in proportion to k^-zipf
+	Zipf  Range `json:"zipf"` // exponent: the k-th data set is read in proportion to k^-zipf
 }
 
-// Load is the open-loop arrival of first tries.
+// Load describes the open-loop arrivals of first tries.
 type Load struct {
 	PerSecond float64 `json:"per_s"`
 	Shape     string  `json:"shape"`     // steady, wave, bursts
 	Swing     Range   `json:"swing"`     // amplitude of the wave or the bursts, as a ratio of the rate
-	PeriodMS  float64 `json:"period_ms"` // of the wave, or the mean time between bursts
-	ZoneSkew  Range   `json:"hall_skew"` // the first zone gets this part of the others' load
+	PeriodMS  float64 `json:"period_ms"` // period of the wave, or mean time between bursts
+	ZoneSkew  Range   `json:"hall_skew"` // part of the other zones' load that goes to the first zone
 }
 
-// Clients are the habits of those who ask.
+// Clients describes the clients' behavior.
 type Clients struct {
 	Habits        []Habit `json:"habits"`
-	PatienceRatio Range   `json:"try_share"`   // part of the remaining time that one try waits
-	MarksRetries  bool    `json:"marks_retry"` // retries are marked as such
+	PatienceRatio Range   `json:"try_share"`   // part of the deadline that a client waits for one try
+	MarksRetries  bool    `json:"marks_retry"` // clients mark their retries
 }
 
-// Habit is how some clients retry.
+// Habit describes how a part of the clients retries.
 type Habit struct {
 	Frequency             float64 `json:"share"`
 	Retries               int     `json:"retries"`
@@ -191,7 +192,7 @@
 	HonorsRetryAfterRatio float64 `json:"honour"` // part of the clients that wait for Retry-After
 }
 
-// Discovery is the service that lists the engines.
+// Discovery describes the delays of the journal service, which lists the engines.
 type Discovery struct {
 	DetectionMS             Range `json:"notice_ms"` // from a change to its publication
 	UnresponsiveDetectionMS Range `json:"silent_ms"` // the same for an engine that becomes unresponsive
@@ -204,15 +205,15 @@
 	DrainGraceMS       float64  `json:"drain_grace_ms"`
 	OverloadMultiple   float64  `json:"fall_multiple"`
 	OverloadMS         float64  `json:"fall_ms"`
-	WarmupInitialRatio float64  `json:"cold_from"` // configured in coordinators: the least of the engines'
-	WarmupMS           float64  `json:"cold_ms"`   // configured in coordinators: the longest of the engines'
+	WarmupInitialRatio float64  `json:"cold_from"` // configured in coordinators: the minimum of the engines' values
+	WarmupMS           float64  `json:"cold_ms"`   // configured in coordinators: the maximum of the engines' values
 	OrderSettleMS      float64  `json:"order_settle_ms"`
 	RetryRatio         *float64 `json:"repeat_ratio,omitempty"`
 	SpareAttempts      float64  `json:"spare_attempts"`
 	RetryWindowMS      float64  `json:"repeat_span_ms"`
 }
 
-// Objective weighs the parts of the service figure and sets the prices that are subtracted.
+// Objective gives the weights of the parts of the service figure and the prices that are subtracted from it.
 type Objective struct {
 	Service     float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
--- a/internal/emulator/scenario/set.go
+++ b/internal/emulator/scenario/set.go
@@ -15,19 +15,19 @@
 	}
 	var doc any
 	if err := json.Unmarshal(raw, &doc); err != nil {
-		return Parse(file, raw) // it says where
+		return Parse(file, raw) // its error gives the position
 	}
 	for _, c := range changes {
-		at, text, ok := strings.Cut(c, "=")
-		if !ok || !strings.HasPrefix(at, "/") {
-			return nil, ValidationErrors{{file, c, "not a change", "write it as /load/per_s=300"}}
+		pointer, text, ok := strings.Cut(c, "=")
+		if !ok || !strings.HasPrefix(pointer, "/") {
+			return nil, ValidationErrors{{file, c, "not a change of the form POINTER=VALUE", "write it like /load/per_s=300"}}
 		}
 		var v any
 		if json.Unmarshal([]byte(text), &v) != nil {
 			v = text
 		}
-		if err := put(&doc, strings.Split(at[1:], "/"), v); err != nil {
-			return nil, ValidationErrors{{file, at, err.Error(), "name a place that the scenario has"}}
+		if err := setValue(&doc, strings.Split(pointer[1:], "/"), v); err != nil {
+			return nil, ValidationErrors{{file, pointer, err.Error(), "use the JSON pointer of an existing field or list entry"}}
 		}
 	}
 	b, err := json.Marshal(doc)
@@ -37,29 +37,30 @@
 	return Parse(file, b)
 }
 
-func put(doc *any, path []string, v any) error {
+// setValue sets the value at a path. It creates missing objects, but no list entries.
+func setValue(doc *any, path []string, v any) error {
 	if len(path) == 0 {
 		*doc = v
 		return nil
 	}
 	key := strings.NewReplacer("~1", "/", "~0", "~").Replace(path[0])
-	switch at := (*doc).(type) {
+	switch node := (*doc).(type) {
 	case map[string]any:
-		child, ok := at[key]
+		child, ok := node[key]
 		if !ok && len(path) > 1 {
 			child = map[string]any{}
 		}
-		if err := put(&child, path[1:], v); err != nil {
+		if err := setValue(&child, path[1:], v); err != nil {
 			return err
 		}
-		at[key] = child
+		node[key] = child
 		return nil
 	case []any:
 		i, err := strconv.Atoi(key)
-		if err != nil || i < 0 || i >= len(at) {
-			return fmt.Errorf("there is no entry %s", key)
+		if err != nil || i < 0 || i >= len(node) {
+			return fmt.Errorf("the list has no entry %s", key)
 		}
-		return put(&at[i], path[1:], v)
+		return setValue(&node[i], path[1:], v)
 	}
-	return fmt.Errorf("%s is inside a plain value", key)
+	return fmt.Errorf("%s is inside a value that is neither an object nor a list", key)
 }
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -8,21 +8,21 @@
 	"aniseloft/internal/wire"
 )
 
-// SettingsJSON returns the settings in the configuration of the coordinator with index me. Simulated and real coordinators
-// get the same.
+// SettingsJSON returns the settings of the coordinator with index me, as its configuration has them. Simulated and real
+// coordinators get the same.
 func (s *Scenario) SettingsJSON(me int) ([]byte, error) {
 	type object = map[string]any
-	var lanes []object
+	var classes []object
 	var threads []int
 	var loads, waits []bool
 	for _, c := range s.Classes {
-		lane := object{"name": c.Name, "promiseMs": c.LatencyObjectiveMS, "aimStretch": c.ObjectivePerWork, "deadlineMs": c.DeadlineMS,
+		class := object{"name": c.Name, "promiseMs": c.LatencyObjectiveMS, "aimStretch": c.ObjectivePerWork, "deadlineMs": c.DeadlineMS,
 			"repeat": c.Idempotency, "dedupScope": "all", "repeatWindowMs": c.IdempotencyWindowMS, "inTurn": c.OrderedByKey,
 			"gain": c.Weight, "lateWorth": c.LateWeightRatio}
 		if len(c.AllowedZones) > 0 {
-			lane["confinedTo"] = c.AllowedZones
+			class["confinedTo"] = c.AllowedZones
 		}
-		lanes = append(lanes, lane)
+		classes = append(classes, class)
 		threads, loads, waits = append(threads, c.Threads), append(loads, c.LoadsDataSet), append(waits, c.WaitsForLoads)
 	}
 	k, e, r := s.Coordinators, s.Engines, s.Rules
@@ -41,7 +41,7 @@
 			"writesTables": loads, "blockedByLoads": waits, "costInAnswers": e.ReportsCost, "grantsCount": e.Grants,
 			"lanesCount": e.Priorities, "memoryShort": e.MemoryShort, "mostGrant": e.MaxGrantRatio, "progressMs": e.ProgressMS},
 		"clientHabits": object{"marksRetry": s.Clients.MarksRetries},
-		"lanes":        lanes, "registryMode": "push", "rules": rules, "prices": object{"probe": s.Objective.Probe, "handshake": s.Objective.Handshake,
+		"lanes":        classes, "registryMode": "push", "rules": rules, "prices": object{"probe": s.Objective.Probe, "handshake": s.Objective.Handshake,
 			"peer": s.Objective.Peer},
 		"report": object{"via": e.Reports, "fields": e.ReportFields},
 	})
@@ -51,7 +51,7 @@
 	return raw, nil
 }
 
-// Settings returns the same settings as the decision module reads them.
+// Settings returns the settings of SettingsJSON as the decision module reads them.
 func (s *Scenario) Settings(me int) (decide.Settings, error) {
 	raw, err := s.SettingsJSON(me)
 	if err != nil {
--- a/internal/emulator/scenario/timeline.go
+++ b/internal/emulator/scenario/timeline.go
@@ -10,7 +10,7 @@
 	"aniseloft/internal/emulator/des"
 )
 
-// FaultSpan is when a fault took place in a run, and its description.
+// FaultSpan is the time span of a fault in a run, and its description.
 type FaultSpan struct {
 	Kind        string  `json:"kind"`
 	FromMS      float64 `json:"from_ms"`
@@ -28,10 +28,10 @@
 	Description string
 }
 
-// EventKind is what an event changes.
+// EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of events, with the meaning of their values.
+// The kinds of events. Comments give the meaning of Event.Value where it has one.
 const (
 	EventStall          EventKind = iota // 1: stalls; 0: resumes
 	EventSlowFleet                       // multiple of all engines' execution times
@@ -43,7 +43,7 @@
 	EventLeave                           // a drained engine ends for good
 	EventCrash                           // an engine ends at once
 	EventReturn                          // an engine starts again
-	EventUnresponsive                    // 1: an engine is cut off the network; 0: connected
+	EventUnresponsive                    // 1: an engine is cut off from the network; 0: connected again
 	EventNoisyNeighbour                  // part of an engine that another program uses
 	EventReportDelay                     // added to load reports, ms
 	EventCoordinatorCrash
@@ -53,13 +53,13 @@
 // Timeline is the faults of a run, generated from its seed.
 type Timeline struct {
 	Spans       []FaultSpan
-	Events      []Event // by time
-	EngineCount int     // of the whole run, the initial fleet first
+	Events      []Event // in order of time
+	EngineCount int     // engines of the whole run; the initial fleet has the lowest indexes
 	bursts      []burst
 	wavePhase   float64
 	swing       float64
 	scenario    *Scenario
-	loadBursts  []burst
+	loadBursts  []burst // of the load shape "bursts"; bursts holds those of faults
 	tails       []heavyTail
 }
 
@@ -69,7 +69,7 @@
 	class                        int
 }
 
-// WorkMultiple returns the multiple of its usual work that a query costs. Draw is the query's random number in [0, 1).
+// WorkMultiple returns the factor by which heavy tails multiply a query's work. Draw is the query's random number in [0, 1).
 func (t *Timeline) WorkMultiple(at float64, class int, draw float64) float64 {
 	multiple := 1.0
 	for _, tail := range t.tails {
@@ -80,11 +80,11 @@
 	return multiple
 }
 
-// burst is a span in which arrivals are a multiple of the usual.
+// burst is a span in which the arrival rate is a multiple of the usual.
 type burst struct{ from, until, multiple float64 }
 
-// Timeline generates the events of all faults. Each fault has a random stream of its own, so that a change of one leaves the
-// others and the arrivals as they were.
+// Timeline generates the events of all faults. Each fault has a random stream of its own, so that changing one does not
+// change the others or the arrivals.
 func (s *Scenario) Timeline(seed uint64) *Timeline {
 	t := &Timeline{scenario: s, EngineCount: s.Engines.Count}
 	shape := des.Stream(seed, "load shape")
@@ -129,27 +129,27 @@
 	t.Spans = append(t.Spans, FaultSpan{f.Kind, math.Round(v.start), math.Round(max(v.end, v.start)), description})
 }
 
-// addFaultEvents adds a fault's events and describes it. It sets the end of a fault that its events decide.
+// addFaultEvents adds a fault's events and returns its description. It sets v.end if the events determine the fault's end.
 func (t *Timeline) addFaultEvents(f Fault, v *faultValues, rng *rand.Rand) (description string) {
 	switch f.Kind {
 	case FaultTrafficBurst:
 		t.bursts = append(t.bursts, burst{v.start, v.end, v.magnitude})
-		return fmt.Sprintf("traffic times %.2f", v.magnitude)
+		return fmt.Sprintf("%.2f times the arrivals", v.magnitude)
 	case FaultHeavyTail:
 		t.tails = append(t.tails, heavyTail{v.start, v.end, v.affectedRatio, v.magnitude, f.Class})
-		return fmt.Sprintf("%.3f of class %d cost %.1f times the usual", v.affectedRatio, f.Class, v.magnitude)
+		return fmt.Sprintf("%.3f of the queries of class %d cost %.1f times the usual work", v.affectedRatio, f.Class, v.magnitude)
 	case FaultSlowFleet:
 		t.addPair(v, EventSlowFleet, v.magnitude, 1)
-		return fmt.Sprintf("every engine %.2f times slower", v.magnitude)
+		return fmt.Sprintf("all engines are %.2f times slower", v.magnitude)
 	case FaultReportsDelayed:
 		t.addPair(v, EventReportDelay, v.magnitudeMS, 0)
 		return fmt.Sprintf("load reports are %.0f ms later", v.magnitudeMS)
 	case FaultDiscoveryDown:
 		t.addPair(v, EventDiscoveryDown, 1, 0)
-		return "the roster is out of reach"
+		return "the journal service is unavailable"
 	case FaultDiscoveryDelayed:
 		t.addPair(v, EventDiscoveryDelay, v.magnitudeMS, 0)
-		return fmt.Sprintf("the roster is %.0f ms further behind", v.magnitudeMS)
+		return fmt.Sprintf("the journal service detects changes %.0f ms later", v.magnitudeMS)
 	case FaultStalls:
 		return t.addStalls(v, rng)
 	case FaultNoisyNeighbour:
@@ -182,7 +182,7 @@
 	t.EngineCount++
 }
 
-// drawAffected draws which engines of the initial fleet a fault affects, one at least.
+// drawAffected draws the engines of the initial fleet that a fault affects, at least one.
 func (t *Timeline) drawAffected(ratio float64, rng *rand.Rand) []int {
 	engines := t.scenario.Engines.Count
 	affected := max(int(math.Round(ratio*float64(engines))), 1)
@@ -197,7 +197,7 @@
 			t.addEvent(at+v.magnitudeMS, EventStall, engine, 0)
 		}
 	}
-	return fmt.Sprintf("%d engines stand still for %.0f ms every %.0f ms", len(affected), v.magnitudeMS, v.intervalMS)
+	return fmt.Sprintf("%d engines stall for %.0f ms, about every %.0f ms", len(affected), v.magnitudeMS, v.intervalMS)
 }
 
 func (t *Timeline) addNoisyNeighbours(v *faultValues, rng *rand.Rand) (description string) {
@@ -218,10 +218,11 @@
 		}
 		t.addEvent(v.end, EventNoisyNeighbour, engine, 0)
 	}
-	return fmt.Sprintf("another program takes %.2f of %d engines", v.magnitude, len(affected))
+	return fmt.Sprintf("another program uses %.2f of %d engines", v.magnitude, len(affected))
 }
 
-// addRollingReplace replaces the initial fleet; the fault ends after its last engine's interval.
+// addRollingReplace replaces the engines of the initial fleet one by one. The fault ends one interval after the last
+// replacement starts.
 func (t *Timeline) addRollingReplace(v *faultValues) (description string) {
 	at := v.start
 	for engine := range t.scenario.Engines.Count {
@@ -241,10 +242,10 @@
 			t.Events = append(t.Events, Event{AtMS: v.end, Kind: EventCoordinatorStart, Coordinator: coordinator})
 		}
 	}
-	return fmt.Sprintf("coordinators %v die", f.Coordinators)
+	return fmt.Sprintf("coordinators %v crash", f.Coordinators)
 }
 
-// restartDrainMS is how long a restart lets work finish.
+// restartDrainMS is the time for which a restarting engine drains, and the minimum for an engine that drains for good.
 const restartDrainMS = 3000.0
 
 // addEngineFault adds the events of a fault of one engine.
@@ -274,7 +275,7 @@
 	}
 }
 
-// Rate returns the arrivals of first tries at a time, per second.
+// Rate returns the arrival rate of first tries at a time, per second.
 func (t *Timeline) Rate(at float64) float64 {
 	r := t.scenario.Load.PerSecond
 	if t.scenario.Load.Shape == "wave" {
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -7,60 +7,60 @@
 	"strconv"
 )
 
-// checker finds the problems that a schema can't express.
+// checker finds the problems that the schema cannot express.
 type checker struct {
 	file   string
 	errors ValidationErrors
 }
 
-func (c *checker) add(at, problem, mend string) {
-	c.errors = append(c.errors, ValidationError{c.file, at, problem, mend})
+func (c *checker) add(path, problem, remedy string) {
+	c.errors = append(c.errors, ValidationError{c.file, path, problem, remedy})
 }
 
-// Shortest duration of a scenario, and of a deadline or a fault: shorter ones were most likely meant in seconds.
+// Minimum durations. Shorter ones were most likely meant in seconds.
 const (
-	minDayMS  = 1000.0
-	minSpanMS = 100.0
+	minRunMS  = 1000.0 // of a scenario
+	minSpanMS = 100.0  // of a deadline or a fault
 )
 
-func (c *checker) span(at string, ms, least float64) {
-	if ms > 0 && ms < least {
-		c.add(at, fmt.Sprintf("%g ms looks like seconds", ms), fmt.Sprintf("write milliseconds, as %g", ms*1000))
+func (c *checker) checkDuration(path string, ms, minMS float64) {
+	if ms > 0 && ms < minMS {
+		c.add(path, fmt.Sprintf("%g ms is very short, it looks like seconds", ms), fmt.Sprintf("write milliseconds, like %g", ms*1000))
 	}
 }
 
-func (c *checker) ordered(at string, r Range) {
+func (c *checker) checkRange(path string, r Range) {
 	if r.Min > r.Max {
-		c.add(at, fmt.Sprintf("the range [%g, %g] runs backwards", r.Min, r.Max), "put the least first")
+		c.add(path, fmt.Sprintf("in the range [%g, %g] the minimum is above the maximum", r.Min, r.Max), "write [minimum, maximum]")
 	}
 }
 
 func (c *checker) check(s *Scenario) {
-	c.span("/duration_ms", s.DurationMS, minDayMS)
+	c.checkDuration("/duration_ms", s.DurationMS, minRunMS)
 	for i, k := range s.Classes {
-		at := "/classes/" + strconv.Itoa(i)
-		c.span(at+"/deadline_ms", k.DeadlineMS, minSpanMS)
+		path := "/classes/" + strconv.Itoa(i)
+		c.checkDuration(path+"/deadline_ms", k.DeadlineMS, minSpanMS)
 		if k.LatencyObjectiveMS > k.DeadlineMS {
-			c.add(at+"/aim_ms", "the aim lies beyond the deadline", "set it at or below deadline_ms")
+			c.add(path+"/aim_ms", "the latency objective is beyond the deadline", "set it to at most deadline_ms")
 		}
 		if k.MemoryMB > s.Engines.MemoryMB {
-			c.add(at+"/memory_mb", "more than an engine has", "set it below /engines/memory_mb")
+			c.add(path+"/memory_mb", "a query needs more memory than an engine has", "set it to at most /engines/memory_mb")
 		}
-		for _, h := range k.AllowedZones {
-			if h >= len(s.Zones) {
-				c.add(at+"/halls", fmt.Sprintf("there is no hall %d", h), fmt.Sprintf("halls count from 0 to %d", len(s.Zones)-1))
+		for _, zone := range k.AllowedZones {
+			if zone >= len(s.Zones) {
+				c.add(path+"/halls", fmt.Sprintf("there is no zone %d", zone), fmt.Sprintf("use indexes of /halls, from 0 to %d", len(s.Zones)-1))
 			}
 		}
-		c.ordered(at+"/work_ms", k.WorkMS)
-		c.ordered(at+"/io", k.IORatio)
+		c.checkRange(path+"/work_ms", k.WorkMS)
+		c.checkRange(path+"/io", k.IORatio)
 	}
-	c.ordered("/network/cross_ms", s.Network.CrossZoneMS)
-	c.ordered("/engines/speed", s.Engines.Speed)
-	c.fleet(s)
+	c.checkRange("/network/cross_ms", s.Network.CrossZoneMS)
+	c.checkRange("/engines/speed", s.Engines.Speed)
+	c.checkFaults(s)
 }
 
-// fleet checks the faults by their start, and that each finds its engines in the fleet.
-func (c *checker) fleet(s *Scenario) {
+// checkFaults checks the faults in order of their start, and that the engines of each are in the fleet at that time.
+func (c *checker) checkFaults(s *Scenario) {
 	fleet := fleetOverTime{runEndMS: s.DurationMS * 2}
 	fleet.join(s.Engines.Count)
 	order := make([]int, len(s.Faults))
@@ -69,43 +69,43 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(s.Faults[a].AtMS.Min, s.Faults[b].AtMS.Min) })
 	for _, i := range order {
-		fault, at := s.Faults[i], "/troubles/"+strconv.Itoa(i)
-		c.fault(at, fault, s)
+		fault, path := s.Faults[i], "/troubles/"+strconv.Itoa(i)
+		c.checkFault(path, fault, s)
 		for _, engine := range fault.Engines {
-			c.engine(at, fault, engine, &fleet)
+			c.checkEngine(path, fault, engine, &fleet)
 		}
 		fleet.apply(fault)
 	}
 }
 
-// fault checks the fields of a fault by themselves.
-func (c *checker) fault(at string, fault Fault, s *Scenario) {
-	c.ordered(at+"/at_ms", fault.AtMS)
-	c.ordered(at+"/for_ms", fault.DurationMS)
-	c.ordered(at+"/size", fault.Magnitude)
+// checkFault checks the fields of a fault that do not depend on other faults.
+func (c *checker) checkFault(path string, fault Fault, s *Scenario) {
+	c.checkRange(path+"/at_ms", fault.AtMS)
+	c.checkRange(path+"/for_ms", fault.DurationMS)
+	c.checkRange(path+"/size", fault.Magnitude)
 	if fault.AtMS.Max > s.DurationMS {
-		c.add(at+"/at_ms", "begins after the day's end", "set it below duration_ms")
+		c.add(path+"/at_ms", "the fault starts after the end of the run", "set it below duration_ms")
 	}
-	c.span(at+"/for_ms", fault.DurationMS.Max, minSpanMS)
-	c.need(at, fault)
+	c.checkDuration(path+"/for_ms", fault.DurationMS.Max, minSpanMS)
+	c.checkRequiredFields(path, fault)
 	if fault.Kind == FaultNoisyNeighbour && fault.Magnitude.Max >= 1 {
-		c.add(at+"/size", "the whole machine is taken", "give a part below 1; vanish or crash takes all")
+		c.add(path+"/size", "the other program uses the whole engine", "set a part below 1; for all of an engine use a fault of kind vanish or crash")
 	}
 	if fault.Kind == FaultHeavyTail && fault.Class >= len(s.Classes) {
-		c.add(at+"/class", fmt.Sprintf("there is no class %d", fault.Class), fmt.Sprintf("classes count from 0 to %d", len(s.Classes)-1))
+		c.add(path+"/class", fmt.Sprintf("there is no class %d", fault.Class), fmt.Sprintf("use indexes of /classes, from 0 to %d", len(s.Classes)-1))
 	}
 	for _, coordinator := range fault.Coordinators {
 		if coordinator >= s.Coordinators.Count {
-			c.add(at+"/coordinators", fmt.Sprintf("there is no coordinator %d", coordinator),
-				fmt.Sprintf("they count from 0 to %d", s.Coordinators.Count-1))
+			c.add(path+"/coordinators", fmt.Sprintf("there is no coordinator %d", coordinator),
+				fmt.Sprintf("use indexes from 0 to %d", s.Coordinators.Count-1))
 		}
 	}
 }
 
-// fleetOverTime follows which engines there are as faults take place.
+// fleetOverTime tracks the engines of the fleet as faults start and remove them.
 type fleetOverTime struct {
-	endsMS   []float64 // of each engine, by index
-	runEndMS float64   // the end of an engine that is never removed
+	endsMS   []float64 // end of each engine, by index
+	runEndMS float64   // value of endsMS for an engine that is never removed
 	replaced bool      // a rolling replacement has removed the initial fleet
 }
 
@@ -127,55 +127,55 @@
 	}
 }
 
-// engine checks that a fault's engine is in the fleet, and notes its end if the fault removes it.
-func (c *checker) engine(at string, fault Fault, engine int, fleet *fleetOverTime) {
+// checkEngine checks that a fault's engine is in the fleet, and records its end if the fault removes it.
+func (c *checker) checkEngine(path string, fault Fault, engine int, fleet *fleetOverTime) {
 	removes := fault.Kind == FaultDrain || fault.Kind == FaultReplace || fault.Kind == FaultCrash && fault.DurationMS.Max == 0
 	switch {
 	case engine >= len(fleet.endsMS):
-		c.add(at+"/engines", fmt.Sprintf("there is no engine %d by then", engine),
-			fmt.Sprintf("engines count from 0 to %d at that time; those that join come last", len(fleet.endsMS)-1))
+		c.add(path+"/engines", fmt.Sprintf("there is no engine %d by then", engine),
+			fmt.Sprintf("use indexes from 0 to %d; engines that join get the next indexes", len(fleet.endsMS)-1))
 	case fault.AtMS.Min > fleet.endsMS[engine] || fleet.replaced:
-		c.add(at+"/engines", fmt.Sprintf("engine %d is gone by then", engine), "name another, or move the trouble before it leaves")
+		c.add(path+"/engines", fmt.Sprintf("engine %d has been removed by then", engine), "name another engine, or set at_ms to a time before its removal")
 	case removes:
 		fleet.endsMS[engine] = fault.AtMS.Min
 	}
 }
 
-// need checks that the fields are given without which a kind of fault has no meaning.
-func (c *checker) need(at string, t Fault) {
-	lack := func(is bool, field, why string) {
-		if is {
-			c.add(at+"/"+field, "a "+t.Kind+" needs it", why)
+// checkRequiredFields checks that the fields that a kind of fault requires are set.
+func (c *checker) checkRequiredFields(path string, t Fault) {
+	require := func(missing bool, field, remedy string) {
+		if missing {
+			c.add(path+"/"+field, "a fault of kind "+t.Kind+" requires this field", remedy)
 		}
 	}
 	switch t.Kind {
 	case FaultTrafficBurst, FaultSlowFleet, FaultSlowEngine:
-		lack(t.Magnitude.Max <= 0, "size", "give the multiple, as 2.3")
-		lack(t.DurationMS.Max <= 0, "for_ms", "say how long it lasts")
+		require(t.Magnitude.Max <= 0, "size", "set the multiple, like 2.3")
+		require(t.DurationMS.Max <= 0, "for_ms", "set its duration in ms")
 	case FaultStalls:
-		lack(t.AffectedRatio.Max <= 0, "part", "give the part of the engines, as 0.45")
-		lack(t.MagnitudeMS.Max <= 0, "size_ms", "say how long each stall is")
-		lack(t.IntervalMS.Max <= 0, "every_ms", "say how far stalls are apart")
-		lack(t.DurationMS.Max <= 0, "for_ms", "say how long it lasts")
+		require(t.AffectedRatio.Max <= 0, "part", "set the part of the engines, like 0.45")
+		require(t.MagnitudeMS.Max <= 0, "size_ms", "set the duration of each stall in ms")
+		require(t.IntervalMS.Max <= 0, "every_ms", "set the interval between stalls in ms")
+		require(t.DurationMS.Max <= 0, "for_ms", "set its duration in ms")
 	case FaultDiscoveryDown, FaultUnresponsive:
-		lack(t.DurationMS.Max <= 0, "for_ms", "say how long it lasts")
+		require(t.DurationMS.Max <= 0, "for_ms", "set its duration in ms")
 	case FaultReportsDelayed:
-		lack(t.MagnitudeMS.Max <= 0, "size_ms", "say by how much")
-		lack(t.DurationMS.Max <= 0, "for_ms", "say how long it lasts")
+		require(t.MagnitudeMS.Max <= 0, "size_ms", "set the delay in ms")
+		require(t.DurationMS.Max <= 0, "for_ms", "set its duration in ms")
 	case FaultNoisyNeighbour, FaultHeavyTail:
-		lack(t.AffectedRatio.Max <= 0, "part", "give the part, as 0.3")
-		lack(t.Magnitude.Max <= 0, "size", "give the part of the machine that is taken, or the multiple of the cost")
-		lack(t.DurationMS.Max <= 0, "for_ms", "say how long it lasts")
+		require(t.AffectedRatio.Max <= 0, "part", "set the part of the engines or queries, like 0.3")
+		require(t.Magnitude.Max <= 0, "size", "set the part of an engine that the other program uses, or the multiple of the work")
+		require(t.DurationMS.Max <= 0, "for_ms", "set its duration in ms")
 	case FaultDiscoveryDelayed:
-		lack(t.MagnitudeMS.Max <= 0, "size_ms", "say by how much")
+		require(t.MagnitudeMS.Max <= 0, "size_ms", "set the delay in ms")
 	case FaultJoin:
-		lack(t.Count <= 0, "count", "say how many engines join")
+		require(t.Count <= 0, "count", "set the number of engines that join")
 	case FaultRollingReplace:
-		lack(t.IntervalMS.Max <= 0, "every_ms", "say how far the replacements are apart")
+		require(t.IntervalMS.Max <= 0, "every_ms", "set the interval between replacements in ms")
 	case FaultCoordinatorCrash:
-		lack(len(t.Coordinators) == 0, "coordinators", "name them")
+		require(len(t.Coordinators) == 0, "coordinators", "list the coordinators by index")
 	}
 	if slices.Contains([]string{FaultDrain, FaultRestart, FaultCrash, FaultReplace, FaultUnresponsive, FaultSlowEngine}, t.Kind) {
-		lack(len(t.Engines) == 0, "engines", "name them")
+		require(len(t.Engines) == 0, "engines", "list the engines by index")
 	}
 }
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,4 +1,4 @@
-// Package scenarios holds the days that come with the program.
+// Package scenarios embeds the scenario files that come with the program.
 package scenarios
 
 import (
@@ -13,11 +13,11 @@
 //go:embed *.json
 var files embed.FS
 
-// Names are the embedded scenarios, in order of name.
+// Names returns the names of the embedded scenarios, sorted.
 func Names() []string {
 	l, err := files.ReadDir(".")
 	if err != nil {
-		panic(err) // the files are part of the program
+		panic(err) // cannot happen: the files are embedded
 	}
 	var names []string
 	for _, f := range l {
@@ -26,7 +26,7 @@
 	return names
 }
 
-// Raw is a scenario's text: an embedded one's by its name, or a file's.
+// Raw returns the text and the file name of a scenario, which is given by the name of an embedded scenario or as a file.
 func Raw(nameOrFile string) (file string, raw []byte, err error) {
 	if raw, err = files.ReadFile(nameOrFile + ".json"); err == nil {
 		return nameOrFile + ".json", raw, nil
@@ -37,7 +37,7 @@
 	return nameOrFile, raw, nil
 }
 
-// Load reads and checks a scenario.
+// Load reads and validates a scenario, which is given by the name of an embedded scenario or as a file.
 func Load(nameOrFile string) (*scenario.Scenario, error) {
 	file, raw, err := Raw(nameOrFile)
 	if err != nil {
