--- a/internal/emulator/simulation/attempts.go
+++ b/internal/emulator/simulation/attempts.go
@@ -7,7 +7,7 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// openRequest is a request as a coordinator holds it.
+// openRequest is a request that a coordinator holds.
 type openRequest struct {
 	observer.Request
 	id               decide.RequestID
@@ -25,7 +25,7 @@
 type attempt struct {
 	coordinator         *coordinator
 	request             *openRequest
-	index               int // of the request's attempts
+	index               int // position in the request's attempts
 	engine              *engineProcess
 	startedAt, deadline float64
 	grantMB             float64
@@ -38,7 +38,7 @@
 	job                 *engine.Job
 }
 
-// attemptEnded handles an attempt's outcome. Job is that of a successful attempt; load may be nil.
+// attemptEnded handles an attempt's outcome. Job is set if the attempt succeeded; load may be nil.
 func (c *coordinator) attemptEnded(now float64, a *attempt, outcome decide.Outcome, job *engine.Job, load *decide.LoadReport) {
 	if a.ended {
 		return
@@ -77,7 +77,7 @@
 	})
 }
 
-// removeIfDone forgets a request that is answered and has no attempt in flight.
+// removeIfDone removes a request that is answered and has no attempt in flight.
 func (c *coordinator) removeIfDone(r *openRequest) {
 	if r.answered && r.attemptsInFlight == 0 {
 		delete(c.requests, r.id)
@@ -111,7 +111,7 @@
 	})
 }
 
-// startAttempt sends a request to an engine. Its deadline holds from now on, also while the connection is established.
+// startAttempt sends a request to an engine. The attempt's timeout includes the time to establish a connection.
 func (c *coordinator) startAttempt(now float64, action decide.StartAttempt) {
 	r := c.requests[action.ID]
 	if r == nil {
--- a/internal/emulator/simulation/bench_test.go
+++ b/internal/emulator/simulation/bench_test.go
@@ -8,18 +8,18 @@
 	"aniseloft/scenarios"
 )
 
-// BenchmarkDay plays the calm day, 60 s of three coordinators and eight engines, with
-// the module and, for a ratio within one run, with the plainest policy.
+// BenchmarkDay simulates calm-weekday, 60 s of three coordinators and eight engines, with the
+// decision module and with the random policy. The ratio of the two is comparable across machines.
 func BenchmarkDay(b *testing.B) {
-	for _, who := range []string{policy.Module, "random"} {
-		b.Run(who, func(b *testing.B) {
+	for _, policyName := range []string{policy.Module, "random"} {
+		b.Run(policyName, func(b *testing.B) {
 			s, err := scenarios.Load("calm-weekday")
 			if err != nil {
 				b.Fatal(err)
 			}
 			events := 0
 			for i := range b.N {
-				r, err := simulation.Run(s, simulation.Options{Seed: uint64(i), Policy: who})
+				r, err := simulation.Run(s, simulation.Options{Seed: uint64(i), Policy: policyName})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -19,7 +19,7 @@
 	tries int
 }
 
-// try is one request of a client: the first, or a retry.
+// try is one request of a client: the first one or a retry.
 type try struct {
 	client      *client
 	coordinator *coordinator
@@ -61,10 +61,10 @@
 		Name: fmt.Sprintf("request %d.%d", cl.query.Number, cl.tries), Class: cl.query.Class, Key: cl.query.DataSet, Until: until,
 	}
 	// The client waits a little longer than the deadline that it sends.
-	sim.loop.At(until+sim.scenario.Rules.AnswerSlackMS, t.hangUp)
+	sim.loop.At(until+sim.scenario.Rules.AnswerSlackMS, t.abandon)
 	sim.loop.After(sim.clientDelay(), func() {
 		if t.coordinator == nil || !t.coordinator.running {
-			sim.loop.After(sim.clientDelay(), t.lostNow)
+			sim.loop.After(sim.clientDelay(), t.endLost)
 			return
 		}
 		t.incarnation = t.coordinator.incarnation
@@ -72,15 +72,16 @@
 	})
 }
 
-// lost ends a try whose coordinator crashed.
-func (t *try) lost() { t.client.sim.loop.After(t.client.sim.clientDelay(), t.lostNow) }
+// connectionLost ends a try whose coordinator crashed, once the client notices.
+func (t *try) connectionLost() { t.client.sim.loop.After(t.client.sim.clientDelay(), t.endLost) }
 
-func (t *try) lostNow() { t.end(observer.Lost, 0) }
+// endLost ends a try that reached no running coordinator, or whose coordinator crashed.
+func (t *try) endLost() { t.end(observer.Lost, 0) }
 
 func (t *try) answered(result observer.TryResult, retryAfterMS float64) { t.end(result, retryAfterMS) }
 
-// hangUp ends a try that got no answer in time.
-func (t *try) hangUp() {
+// abandon ends a try that got no answer in time.
+func (t *try) abandon() {
 	if t.ended {
 		return
 	}
@@ -113,14 +114,14 @@
 	}
 }
 
-// sortedRequests returns requests in the order of their arrival.
+// sortedRequests returns requests in order of arrival, which is the order of their IDs.
 func sortedRequests(m map[decide.RequestID]*openRequest) []*openRequest {
-	l := make([]*openRequest, 0, len(m))
+	requests := make([]*openRequest, 0, len(m))
 	for _, r := range m {
-		l = append(l, r)
+		requests = append(requests, r)
 	}
-	slices.SortFunc(l, func(a, b *openRequest) int {
+	slices.SortFunc(requests, func(a, b *openRequest) int {
 		return cmp.Or(cmp.Compare(len(a.id), len(b.id)), cmp.Compare(a.id, b.id))
 	})
-	return l
+	return requests
 }
--- a/internal/emulator/simulation/coordinator.go
+++ b/internal/emulator/simulation/coordinator.go
@@ -10,8 +10,8 @@
 	"aniseloft/internal/emulator/policy"
 )
 
-// coordinator hosts one policy with the event and action semantics of internal/routing. While it handles its inbox it touches
-// only its own state, and defers what concerns others as effects, so that coordinators can run in parallel.
+// coordinator runs one policy with the event and action semantics of internal/routing. While it handles its inbox, it accesses
+// only its own state and defers all other changes as effects, so that coordinators can run in parallel.
 type coordinator struct {
 	index       int
 	zone        int
@@ -27,9 +27,11 @@
 	pools       map[*engineProcess]*connectionPool
 }
 
-// effect is a deferred change outside the coordinator. The effects of a step are applied in the order of the coordinators.
+// effect is a deferred change to state outside the coordinator. The effects of a step are applied in the order of the
+// coordinators.
 type effect func(sim *Simulation)
 
+// startCoordinator starts a new incarnation of a coordinator with a new policy.
 func (sim *Simulation) startCoordinator(c *coordinator) error {
 	p, err := sim.options.New(c.settings, c.seedRand.Uint64())
 	if err != nil {
@@ -43,8 +45,8 @@
 	return nil
 }
 
-// crashCoordinator ends a coordinator at once. Its clients lose their connections, and engines cancel its queries once they
-// notice that nobody polls them.
+// crashCoordinator ends a coordinator at once. Its clients lose their connections, and engines cancel its queries
+// OrphanMS later, as no coordinator polls them.
 func (sim *Simulation) crashCoordinator(c *coordinator) {
 	if !c.running {
 		return
@@ -54,7 +56,7 @@
 	sim.observer.CoordinatorCrashed(c.index)
 	for _, r := range sortedRequests(c.requests) {
 		if !r.answered {
-			r.try.lost()
+			r.try.connectionLost()
 		}
 		for _, a := range r.attempts {
 			if !a.ended {
@@ -69,7 +71,7 @@
 	sim.loop.After(sim.frontProxy.DetectionDelay(), func() { sim.frontProxy.SetAlive(c.index, c.running) })
 }
 
-// deliver adds an input to the inbox for the next step. A coordinator that is down loses it.
+// deliver adds an input to the inbox for the next step. A coordinator that is not running loses it.
 func (c *coordinator) deliver(sim *Simulation, in any) {
 	if !c.running {
 		return
@@ -88,28 +90,28 @@
 	sim.loop.At((math.Floor(sim.loop.Now()/quantum)+1)*quantum, sim.step)
 }
 
-// minParallelInputs is the number of inputs from which a step runs coordinators in parallel: fewer do not repay the
-// goroutines.
+// minParallelInputs is the number of inputs from which a step runs coordinators in parallel. With fewer the goroutines cost
+// more than they gain.
 const minParallelInputs = 16
 
-// step lets each coordinator handle its inbox, and then applies their effects.
+// step makes each coordinator handle its inbox, and then applies all effects.
 func (sim *Simulation) step() {
 	sim.stepScheduled = false
 	now := sim.loop.Now()
 	var due []*coordinator
-	work := 0
+	inputs := 0
 	for _, c := range sim.coordinators {
 		if c.running && len(c.inbox) > 0 {
 			due = append(due, c)
-			work += len(c.inbox)
+			inputs += len(c.inbox)
 		}
 	}
-	if len(due) > 1 && work >= minParallelInputs && runtime.GOMAXPROCS(0) > 1 {
-		var all sync.WaitGroup
+	if len(due) > 1 && inputs >= minParallelInputs && runtime.GOMAXPROCS(0) > 1 {
+		var wg sync.WaitGroup
 		for _, c := range due {
-			all.Go(func() { c.handleInbox(now) })
+			wg.Go(func() { c.handleInbox(now) })
 		}
-		all.Wait()
+		wg.Wait()
 	} else {
 		for _, c := range due {
 			c.handleInbox(now)
@@ -118,8 +120,8 @@
 	for _, c := range due {
 		effects := c.effects
 		c.effects = c.effects[:0]
-		for _, do := range effects {
-			do(sim)
+		for _, apply := range effects {
+			apply(sim)
 		}
 		clear(effects)
 		if len(c.inbox) > 0 {
@@ -130,12 +132,12 @@
 
 func (c *coordinator) effect(e effect) { c.effects = append(c.effects, e) }
 
-// handleInbox handles the inputs that were there at its start.
+// handleInbox handles the inputs that are in the inbox when it is called. Inputs added meanwhile wait for the next step.
 func (c *coordinator) handleInbox(now float64) {
 	in := c.inbox
 	c.inbox = c.spareInbox[:0]
-	for _, one := range in {
-		c.handle(now, one)
+	for _, input := range in {
+		c.handle(now, input)
 	}
 	clear(in)
 	c.spareInbox = in
--- a/internal/emulator/simulation/discovery.go
+++ b/internal/emulator/simulation/discovery.go
@@ -6,20 +6,20 @@
 	"aniseloft/decide"
 )
 
-// discovery simulates the service that lists the engines. Each coordinator receives watch events in order; while the
-// service is unavailable, they wait.
+// discovery simulates the journal service, which lists the engines. Each coordinator receives watch events in order. While the
+// service is unavailable, changes are published with a delay, once it is available again.
 type discovery struct {
 	rng            *rand.Rand
 	unavailable    bool
 	delayMS        float64 // added to each detection
 	state          map[*engineProcess]decide.EndpointState
-	entries        []decide.EndpointInfo // the published list, in the order of engines
+	entries        []decide.EndpointInfo // the published endpoint list, with the same indexes as engines
 	engines        []*engineProcess
-	pending        []func()  // publications that wait while the service is unavailable
-	lastDeliveryAt []float64 // of the latest watch event, by coordinator
+	pending        []func()  // publications that wait for the service to be available
+	lastDeliveryAt []float64 // delivery of the latest watch event, by coordinator
 }
 
-// detectionDelay draws how long the service takes to notice a change, in ms.
+// detectionDelay draws the time that the service takes to detect a change, in ms.
 func (d *discovery) detectionDelay(sim *Simulation, unresponsive bool) float64 {
 	if unresponsive {
 		return sim.scenario.Discovery.UnresponsiveDetectionMS.Draw(d.rng)
@@ -27,7 +27,7 @@
 	return sim.scenario.Discovery.DetectionMS.Draw(d.rng)
 }
 
-// setState publishes an engine's state.
+// setState sets an engine's state in the published list, and returns its entry.
 func (d *discovery) setState(proc *engineProcess, state decide.EndpointState) decide.EndpointInfo {
 	const enginesPerCell = 4
 	if d.state == nil {
@@ -48,7 +48,7 @@
 	return entry
 }
 
-// snapshot is the list that a coordinator starts with.
+// snapshot returns the endpoint list that a starting coordinator receives.
 func (d *discovery) snapshot() decide.EndpointUpdate {
 	update := decide.EndpointUpdate{Kind: decide.UpdateCached}
 	for _, entry := range d.entries {
@@ -59,12 +59,12 @@
 	return update
 }
 
-// detect publishes a change of a responsive engine after the time that its detection takes.
+// detect publishes a change of a responsive engine after the detection delay.
 func (d *discovery) detect(sim *Simulation, proc *engineProcess, state decide.EndpointState) {
 	d.changeDetected(sim, proc, state, d.detectionDelay(sim, false))
 }
 
-// changeDetected publishes a change after a time, or once the service is available again.
+// changeDetected publishes a change afterMS later, or when the service is available again.
 func (d *discovery) changeDetected(sim *Simulation, proc *engineProcess, state decide.EndpointState, afterMS float64) {
 	publish := func() { d.publish(sim, proc, state) }
 	sim.loop.After(afterMS+d.delayMS, func() {
@@ -94,14 +94,14 @@
 	}
 }
 
-// setAvailable makes the service unavailable, or available again with all that waited.
+// setAvailable makes the service unavailable, or available again. Then it publishes the pending changes.
 func (d *discovery) setAvailable(sim *Simulation, available bool) {
 	d.unavailable = !available
 	if !available {
-		sim.observer.Note(sim.loop.Now(), "roster out of reach")
+		sim.observer.Note(sim.loop.Now(), "journal service unavailable")
 		return
 	}
-	sim.observer.Note(sim.loop.Now(), "roster back")
+	sim.observer.Note(sim.loop.Now(), "journal service available")
 	pending := d.pending
 	d.pending = nil
 	for _, publish := range pending {
--- a/internal/emulator/simulation/engine_process.go
+++ b/internal/emulator/simulation/engine_process.go
@@ -7,8 +7,8 @@
 	"aniseloft/internal/emulator/engine"
 )
 
-// longAgo is a start time before the simulation, of an engine that is warm.
-const longAgo = -1
+// alreadyWarm is the start time of an engine that is warm when the simulation starts.
+const alreadyWarm = -1
 
 // engineProcess is an engine's place in the fleet: the process that runs there, if any, and its network connections.
 type engineProcess struct {
@@ -16,60 +16,61 @@
 	place          int // index in the fleet
 	endpoint       decide.EndpointID
 	zone           int
-	build          engine.Build
+	config         engine.Build
 	model          *engine.Engine
 	incarnation    int // number of starts
 	running        bool
 	draining       bool
 	removed        bool // does not start again
-	overloaded     bool
-	unresponsive   bool // cut off the network
+	overloaded     bool // a process has ended of overload
+	unresponsive   bool // cut off from the network
 	stalled        bool
-	slowdown       float64 // a multiple of the other engines' execution times
-	neighbourRatio float64 // part of the machine that another program uses
+	slowdown       float64 // factor of the execution times, relative to the other engines
+	neighbourRatio float64 // part of the cores and disks that another program uses
 	startedAt      float64
-	connections    int // open ones, of all coordinators
-	nextWakeAt     float64
+	connections    int      // open connections of all coordinators
+	nextWakeAt     float64  // scheduled call of advance; +Inf: none
 	afterStall     []func() // calls that wait while the process is stalled
 }
 
+// newEngine returns an engine that does not run yet, with a configuration and an ID drawn from the random streams.
 func (sim *Simulation) newEngine(place int) *engineProcess {
 	proc := &engineProcess{sim: sim, place: place, zone: sim.scenario.ZoneOf(place), endpoint: decide.EndpointID(sim.endpointIDRand.Uint32()),
-		slowdown: 1, build: engine.Draw(sim.scenario, sim.engineRand, sim.coreWorkRatio)}
+		slowdown: 1, config: engine.Draw(sim.scenario, sim.engineRand, sim.coreWorkRatio)}
 	sim.enginesByID[proc.endpoint] = proc
 	return proc
 }
 
-// start starts a new incarnation; started is when it begins to warm up.
-func (proc *engineProcess) start(now, started float64) {
+// start starts a new incarnation; startedAt is the start of its warm-up.
+func (proc *engineProcess) start(now, startedAt float64) {
 	proc.collectWork()
-	proc.model = engine.New(proc.build, now, started)
+	proc.model = engine.New(proc.config, now, startedAt)
 	proc.model.SetSlowdown(now, proc.sim.fleetSlowdown*proc.slowdown)
 	proc.model.SetNeighbourRatio(now, proc.neighbourRatio)
 	proc.model.SetReportDelay(now, proc.sim.reportDelayMS)
 	proc.incarnation++
 	proc.running = true
 	proc.draining, proc.unresponsive, proc.stalled = false, false, false
-	proc.startedAt = max(started, 0)
+	proc.startedAt = max(startedAt, 0)
 	proc.connections = 0
 	proc.nextWakeAt = math.Inf(1)
 }
 
-// collectWork adds the work of the incarnation that ends to the simulation's. What was left counts as dropped.
+// collectWork adds the work totals of an incarnation that ends to those of the simulation. Work not done counts as dropped.
 func (proc *engineProcess) collectWork() {
 	if proc.model == nil {
 		return
 	}
-	work, left := proc.model.Books()
+	work, workLeft := proc.model.Books()
 	total := &proc.sim.endedWork
 	total.In += work.In
 	total.Done += work.Done
-	total.Dropped = total.Dropped + work.Dropped + left
+	total.Dropped = total.Dropped + work.Dropped + workLeft
 	proc.model = nil
 }
 
-// terminate ends the process. Its connections are reset unless it is unresponsive. One that ends of overload does not start
-// again.
+// terminate ends the process. Its connections are reset unless it is unresponsive. A process that ends of
+// overload does not start again.
 func (proc *engineProcess) terminate(overloaded bool) {
 	now := proc.sim.loop.Now()
 	jobs := proc.model.Terminate(now)
@@ -89,7 +90,7 @@
 	}
 }
 
-// advance brings the model up to now, handles the jobs that ended, calls f and schedules the next advance.
+// advance moves the model to the present time, handles the jobs that ended, calls f and schedules the next call.
 func (proc *engineProcess) advance(f func()) {
 	if !proc.running {
 		f()
@@ -113,22 +114,22 @@
 			}
 		})
 	} else if next > proc.nextWakeAt {
-		proc.nextWakeAt = math.Inf(1) // the call that is scheduled does nothing
+		proc.nextWakeAt = math.Inf(1) // the scheduled call will do nothing
 		proc.advance(func() {})
 	}
 }
 
-// stall stops the process for a while, or resumes it with all that waited.
-func (proc *engineProcess) stall(on bool) {
-	if !proc.running || proc.stalled == on {
+// stall stalls the process, or resumes it and makes the calls that waited.
+func (proc *engineProcess) stall(stalled bool) {
+	if !proc.running || proc.stalled == stalled {
 		return
 	}
-	proc.stalled = on
-	proc.advance(func() { proc.model.Stall(proc.sim.loop.Now(), on) })
-	if !on {
-		waited := proc.afterStall
+	proc.stalled = stalled
+	proc.advance(func() { proc.model.Stall(proc.sim.loop.Now(), stalled) })
+	if !stalled {
+		waiting := proc.afterStall
 		proc.afterStall = nil
-		for _, f := range waited {
+		for _, f := range waiting {
 			f()
 		}
 	}
--- a/internal/emulator/simulation/engine_queries.go
+++ b/internal/emulator/simulation/engine_queries.go
@@ -6,7 +6,7 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// jobEnded replies to the attempt of a job that ended. Some fail at random.
+// jobEnded replies to the attempt of a job that ended. A part of the completed jobs, ErrorRate, fails at random.
 func (proc *engineProcess) jobEnded(e engine.End) {
 	a := e.Job.Owner.(*attempt)
 	switch {
@@ -19,7 +19,7 @@
 	}
 }
 
-// reply sends an attempt's outcome to its coordinator; that of an unresponsive engine never arrives.
+// reply sends an attempt's outcome to its coordinator. The reply of an unresponsive engine is lost.
 func (proc *engineProcess) reply(a *attempt, outcome decide.Outcome, job *engine.Job) {
 	if proc.unresponsive {
 		return
@@ -37,7 +37,7 @@
 	})
 }
 
-// accept receives a query over a connection that leads to an incarnation.
+// accept receives a query over a connection to an incarnation of the engine.
 func (proc *engineProcess) accept(a *attempt, incarnation int) {
 	a.engineIncarnation = incarnation
 	switch {
@@ -79,8 +79,8 @@
 		case engine.Rejected:
 			proc.reply(a, decide.OutcomeOverloaded, nil)
 		case engine.Overloaded:
-			notified := proc.model.NotifiedLoadRatio(func(from int) bool { return sim.observer.KnowsEndpoint(from, proc.endpoint) })
-			sim.observer.EngineOverloaded(now, proc.endpoint, notified)
+			notifiedRatio := proc.model.NotifiedLoadRatio(func(coordinator int) bool { return sim.observer.KnowsEndpoint(coordinator, proc.endpoint) })
+			sim.observer.EngineOverloaded(now, proc.endpoint, notifiedRatio)
 			proc.terminate(true)
 			proc.reply(a, decide.OutcomeReset, nil)
 			sim.discovery.detect(sim, proc, decide.EndpointRemoved)
--- a/internal/emulator/simulation/engine_reports.go
+++ b/internal/emulator/simulation/engine_reports.go
@@ -5,7 +5,7 @@
 	"aniseloft/internal/emulator/engine"
 )
 
-// loadReport returns the engine's load report, with noise and the fields of the scenario; -1: not reported.
+// loadReport returns the engine's load report, with noise. Fields that the scenario does not report are -1.
 func (proc *engineProcess) loadReport() *decide.LoadReport {
 	sim := proc.sim
 	rep := proc.model.Report(sim.loop.Now())
@@ -30,7 +30,7 @@
 	return load
 }
 
-// answerProbe answers a health check, which needs no capacity. A stalled process answers once it resumes.
+// answerProbe answers a health check, which uses no capacity. A stalled process answers after it resumes.
 func (proc *engineProcess) answerProbe(c *coordinator, incarnation int, end func(decide.Outcome, *decide.LoadReport)) {
 	sim := proc.sim
 	switch {
@@ -54,7 +54,7 @@
 }
 
 // reportProgress reports an attempt's progress at an interval while the engine holds it: the ratio of its work that is done
-// or what it waits for, and the memory that it lacks.
+// or the reason why it waits, and the memory that it spills for.
 func (proc *engineProcess) reportProgress(a *attempt) {
 	interval := proc.sim.scenario.Engines.ProgressMS
 	if interval <= 0 {
--- a/internal/emulator/simulation/inputs.go
+++ b/internal/emulator/simulation/inputs.go
@@ -5,7 +5,7 @@
 	"aniseloft/internal/emulator/engine"
 )
 
-// Inputs of a coordinator.
+// The inputs of a coordinator.
 type (
 	requestInput      struct{ request *openRequest }
 	attemptEndedInput struct {
@@ -30,7 +30,7 @@
 	}
 )
 
-// handle handles one input.
+// handle processes one input.
 func (c *coordinator) handle(now float64, in any) {
 	switch in := in.(type) {
 	case requestInput:
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -16,7 +16,8 @@
 	return p
 }
 
-// sendGossip delivers a datagram to one coordinator or to all others. Any may be lost; the bytes of those that arrive count.
+// sendGossip delivers a datagram to one coordinator or to all others. Each copy may be lost; the bytes of
+// those that arrive count.
 func (sim *Simulation) sendGossip(from *coordinator, action decide.SendGossip) {
 	network := sim.scenario.Coordinators
 	for _, to := range sim.coordinators {
@@ -49,14 +50,14 @@
 	}
 }
 
-// connectionPool is the idle connections of one coordinator to one engine. A connection carries one query at a time.
+// connectionPool holds the idle connections of one coordinator to one engine. A connection carries one query at a time.
 type connectionPool struct {
-	idle []float64 // times since when they are idle, the oldest first
+	idle []float64 // times at which the connections became idle, the oldest first
 }
 
 func (p *connectionPool) put(now float64) { p.idle = append(p.idle, now) }
 
-// take takes the connection that was used last, and reports whether one is still open. It closes those that are idle for too long.
+// take takes the most recently used connection and reports whether there was one. It closes those that were idle for idleMS.
 func (p *connectionPool) take(proc *engineProcess, now, idleMS float64) bool {
 	for len(p.idle) > 0 && p.idle[0]+idleMS <= now {
 		p.idle = p.idle[1:]
@@ -69,8 +70,8 @@
 	return true
 }
 
-// connect sends a message to the engine over an idle or a new connection. Deliver runs at the engine with the incarnation
-// that the connection leads to; refused runs at the coordinator if no connection is established.
+// connect sends a message to the engine over an idle or a new connection. Deliver is called at the engine, with the
+// incarnation that the connection leads to; refused is called at the coordinator if no connection is established.
 func (proc *engineProcess) connect(c *coordinator, deliver func(incarnation int), refused func()) {
 	sim, engines := proc.sim, proc.sim.scenario.Engines
 	now, delay := sim.loop.Now(), sim.networkDelay(c.zone, proc.zone)
@@ -92,7 +93,7 @@
 	sim.loop.After(delay*(1+2*engines.HandshakeRTTs), func() { deliver(incarnation) })
 }
 
-// networkDelay draws how long a message takes between two zones, in ms.
+// networkDelay draws the time that a message takes between two zones, in ms.
 func (sim *Simulation) networkDelay(a, b int) float64 {
 	delay := sim.scenario.Network.SameZoneMS
 	if a != b {
@@ -101,11 +102,12 @@
 	return sim.jitter((delay.Min + delay.Max) / 2)
 }
 
-// clientDelay draws how long a message takes between a client and a coordinator, in ms.
+// clientDelay draws the time that a message takes between a client and a coordinator, in ms.
 func (sim *Simulation) clientDelay() float64 {
 	return sim.jitter((sim.scenario.Network.ClientMS.Min + sim.scenario.Network.ClientMS.Max) / 2)
 }
 
+// jitter draws a delay around a mean of ms.
 func (sim *Simulation) jitter(ms float64) float64 {
 	return ms * (1 + sim.scenario.Network.Jitter*(2*sim.networkRand.Float64()-1))
 }
--- a/internal/emulator/simulation/rules_test.go
+++ b/internal/emulator/simulation/rules_test.go
@@ -15,16 +15,16 @@
 	"aniseloft/scenarios"
 )
 
-// careless sends each request as its rule breaker says; else it keeps quiet.
-type careless struct {
-	set     decide.Settings
-	engines []decide.EndpointID // every one ever listed, in order of hearing
-	arrived func(c *careless, ev decide.RequestArrived) []decide.Action
-	ended   func(c *careless, ev decide.AttemptEnded) []decide.Action
-	turn    int
+// scriptedPolicy handles arrived requests and ended attempts by the functions of a test case, to violate a rule.
+type scriptedPolicy struct {
+	settings decide.Settings
+	engines  []decide.EndpointID // all engines ever listed, in order of their first notification
+	arrived  func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
+	ended    func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
+	next     int
 }
 
-func (c *careless) Handle(_ decide.Millis, ev decide.Event) []decide.Action {
+func (c *scriptedPolicy) Handle(_ decide.Millis, ev decide.Event) []decide.Action {
 	switch ev := ev.(type) {
 	case decide.EndpointUpdate:
 		for _, e := range ev.Entries {
@@ -50,78 +50,81 @@
 	return nil
 }
 
-func (c *careless) any() decide.EndpointID {
-	c.turn++
-	return c.engines[c.turn%len(c.engines)]
+// any returns one of the engines, in turn.
+func (c *scriptedPolicy) any() decide.EndpointID {
+	c.next++
+	return c.engines[c.next%len(c.engines)]
 }
 
-func (c *careless) sends(ev decide.RequestArrived, n int) (l []decide.Action) {
+func (c *scriptedPolicy) startAttempts(ev decide.RequestArrived, n int) (l []decide.Action) {
 	for range n {
 		l = append(l, decide.StartAttempt{ID: ev.ID, Endpoint: c.any(), Timeout: ev.TimeLeft})
 	}
 	return l
 }
 
-func once(c *careless, ev decide.RequestArrived) []decide.Action { return c.sends(ev, 1) }
+func sendOnce(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action {
+	return c.startAttempts(ev, 1)
+}
 
 func TestEachRuleViolationIsReported(t *testing.T) {
 	type act = []decide.Action
 	zero := 0.0
-	for rule, one := range map[string]struct {
+	for rule, breach := range map[string]struct {
 		change  func(s *scenario.Scenario)
-		arrived func(c *careless, ev decide.RequestArrived) []decide.Action
-		ended   func(c *careless, ev decide.AttemptEnded) []decide.Action
+		arrived func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
+		ended   func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
 	}{
-		observer.RuleOneAnswer: {arrived: func(*careless, decide.RequestArrived) act { return nil }},
-		observer.RuleNoDuplicateEffects: {arrived: func(c *careless, ev decide.RequestArrived) act {
-			return append(c.sends(ev, 1), decide.Reject{ID: ev.ID})
+		observer.RuleOneAnswer: {arrived: func(*scriptedPolicy, decide.RequestArrived) act { return nil }},
+		observer.RuleNoDuplicateEffects: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act {
+			return append(c.startAttempts(ev, 1), decide.Reject{ID: ev.ID})
 		}},
-		observer.RuleRanOnce: {arrived: func(c *careless, ev decide.RequestArrived) act { return c.sends(ev, 2) }},
-		observer.RuleDrain: {arrived: once, change: func(s *scenario.Scenario) {
+		observer.RuleRanOnce: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act { return c.startAttempts(ev, 2) }},
+		observer.RuleDrain: {arrived: sendOnce, change: func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: scenario.FaultDrain, AtMS: scenario.Range{Min: 1000, Max: 1000}, Engines: []int{2}}}
 			s.Discovery.DetectionMS = scenario.Range{}
 		}},
-		observer.RuleSlowStart: {arrived: func(c *careless, ev decide.RequestArrived) act {
+		observer.RuleSlowStart: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act {
 			return act{decide.StartAttempt{ID: ev.ID, Endpoint: c.engines[len(c.engines)-1], Timeout: ev.TimeLeft}}
 		}, change: func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: scenario.FaultJoin, AtMS: scenario.Range{Min: 500, Max: 500}, Count: 1}}
 			s.Discovery.DetectionMS = scenario.Range{}
 		}},
-		observer.RuleKeyOrder:  {arrived: once, change: func(s *scenario.Scenario) { s.Classes[0].OrderedByKey = true }},
-		observer.RulePlacement: {arrived: once, change: func(s *scenario.Scenario) { s.Classes[0].AllowedZones = []int{1} }},
-		observer.RuleRetryBudget: {arrived: once, ended: func(c *careless, ev decide.AttemptEnded) act {
+		observer.RuleKeyOrder:  {arrived: sendOnce, change: func(s *scenario.Scenario) { s.Classes[0].OrderedByKey = true }},
+		observer.RulePlacement: {arrived: sendOnce, change: func(s *scenario.Scenario) { s.Classes[0].AllowedZones = []int{1} }},
+		observer.RuleRetryBudget: {arrived: sendOnce, ended: func(c *scriptedPolicy, ev decide.AttemptEnded) act {
 			return act{decide.StartAttempt{ID: ev.ID, Endpoint: c.any(), Timeout: 1000}}
 		}, change: func(s *scenario.Scenario) { s.Rules.RetryRatio, s.Engines.ErrorRate = &zero, 0.2 }},
-		observer.RuleMaxAttempts: {arrived: func(c *careless, ev decide.RequestArrived) act { return c.sends(ev, 4) }},
-		observer.RuleKnownEndpoint: {arrived: func(_ *careless, ev decide.RequestArrived) act {
+		observer.RuleMaxAttempts: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act { return c.startAttempts(ev, 4) }},
+		observer.RuleKnownEndpoint: {arrived: func(_ *scriptedPolicy, ev decide.RequestArrived) act {
 			return act{decide.StartAttempt{ID: ev.ID, Endpoint: 1, Timeout: ev.TimeLeft}}
 		}},
 	} {
 		t.Run(rule, func(t *testing.T) {
-			day := func(newPolicy func(set decide.Settings, seed uint64) (policy.Policy, error)) *observer.Report {
+			run := func(newPolicy func(settings decide.Settings, seed uint64) (policy.Policy, error)) *observer.Report {
 				s, err := scenarios.Load("calm-weekday")
 				require.NoError(t, err)
 				s.DurationMS = 4000
-				if one.change != nil {
-					one.change(s)
+				if breach.change != nil {
+					breach.change(s)
 				}
 				r, err := simulation.Run(s, simulation.Options{Seed: 1, Policy: policy.Module, New: newPolicy})
 				require.NoError(t, err)
 				return r
 			}
 			var names []string
-			for _, b := range day(func(set decide.Settings, _ uint64) (policy.Policy, error) {
-				return &careless{set: set, arrived: one.arrived, ended: one.ended}, nil
+			for _, violations := range run(func(settings decide.Settings, _ uint64) (policy.Policy, error) {
+				return &scriptedPolicy{settings: settings, arrived: breach.arrived, ended: breach.ended}, nil
 			}).Rules {
-				names = append(names, b.Rule)
+				names = append(names, violations.Rule)
 			}
 			require.Contains(t, names, rule)
-			require.Zero(t, day(nil).RulesBroken, "the module violates none")
+			require.Zero(t, run(nil).RulesBroken, "the decision module violates no rule")
 		})
 	}
 }
 
-// With random faults nothing panics, work is conserved (or Run fails), and each query has one result.
+// With random faults nothing may panic, work must be conserved (else Run fails) and each query must have one result.
 func TestRandomFaultsConserveWorkAndQueries(t *testing.T) {
 	kinds := []string{scenario.FaultTrafficBurst, scenario.FaultSlowFleet, scenario.FaultStalls, scenario.FaultDiscoveryDown, scenario.FaultDiscoveryDelayed, scenario.FaultJoin,
 		scenario.FaultDrain, scenario.FaultRestart, scenario.FaultCrash, scenario.FaultReplace, scenario.FaultUnresponsive, scenario.FaultCoordinatorCrash}
@@ -138,47 +141,48 @@
 		s.Load.PerSecond = rapid.Float64Range(1, 400).Draw(t, "load")
 		s.Classes[0].WaitsForLoads = rapid.Bool().Draw(t, "waits")
 		for range rapid.IntRange(0, 5).Draw(t, "troubles") {
-			at := rapid.Float64Range(0, 2500).Draw(t, "at")
-			length := rapid.Float64Range(100, 2000).Draw(t, "for")
-			fix := func(x float64) scenario.Range { return scenario.Range{Min: x, Max: x} }
-			s.Faults = append(s.Faults, scenario.Fault{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), AtMS: fix(at), DurationMS: fix(length),
-				Magnitude: fix(2), MagnitudeMS: fix(300), IntervalMS: fix(500), AffectedRatio: fix(0.45), Count: 1,
+			start := rapid.Float64Range(0, 2500).Draw(t, "at")
+			durationMS := rapid.Float64Range(100, 2000).Draw(t, "for")
+			fixed := func(x float64) scenario.Range { return scenario.Range{Min: x, Max: x} }
+			s.Faults = append(s.Faults, scenario.Fault{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), AtMS: fixed(start), DurationMS: fixed(durationMS),
+				Magnitude: fixed(2), MagnitudeMS: fixed(300), IntervalMS: fixed(500), AffectedRatio: fixed(0.45), Count: 1,
 				Engines:      []int{rapid.IntRange(0, s.Engines.Count-1).Draw(t, "engine")},
 				Coordinators: []int{rapid.IntRange(0, s.Coordinators.Count-1).Draw(t, "coordinator")}})
 		}
-		who := rapid.SampledFrom(policy.Names()).Draw(t, "policy")
-		r, err := simulation.Run(s, simulation.Options{Seed: rapid.Uint64().Draw(t, "seed"), Policy: who})
+		policyName := rapid.SampledFrom(policy.Names()).Draw(t, "policy")
+		r, err := simulation.Run(s, simulation.Options{Seed: rapid.Uint64().Draw(t, "seed"), Policy: policyName})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, c := range r.Classes {
 			if c.Served+c.NeverServed != c.First {
-				t.Fatalf("%s: %d served and %d not, of %d", c.Name, c.Served, c.NeverServed, c.First)
+				t.Fatalf("%s: %d served and %d not served, of %d", c.Name, c.Served, c.NeverServed, c.First)
 			}
 		}
-		for _, b := range r.Rules {
-			if b.Rule != observer.RuleSlowStart || who == policy.Module {
-				t.Fatalf("%s: %v", who, b)
+		for _, violations := range r.Rules {
+			if violations.Rule != observer.RuleSlowStart || policyName == policy.Module {
+				t.Fatalf("%s: %v", policyName, violations)
 			}
 		}
 	})
 }
 
-// The random cases are the same each time, so that CI is repeatable; -rapid.seed sets others.
+// The random cases are the same in each run, so that CI is repeatable; -rapid.seed selects others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// Two faults may crash one coordinator: it crashes once and starts once, and loses no request that arrived between.
-func TestOverlappingCrashesOfOneCoordinatorLoseNothing(t *testing.T) {
+// Two overlapping faults may crash one coordinator. It must crash once and start once, and must not lose a request that arrives
+// after its start.
+func TestOverlappingCrashesOfOneCoordinator(t *testing.T) {
 	s, err := scenarios.Load("calm-weekday")
 	require.NoError(t, err)
 	s.DurationMS = 4000
-	for _, length := range []float64{500, 900} {
+	for _, durationMS := range []float64{500, 900} {
 		s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultCoordinatorCrash, AtMS: scenario.Range{Min: 1000, Max: 1000},
-			DurationMS: scenario.Range{Min: length, Max: length}, Coordinators: []int{0}})
+			DurationMS: scenario.Range{Min: durationMS, Max: durationMS}, Coordinators: []int{0}})
 	}
 	s.FrontProxy.DetectionMS = scenario.Range{}
 	r, err := simulation.Run(s, simulation.Options{Seed: 1, Policy: policy.Module})
--- a/internal/emulator/simulation/settings_test.go
+++ b/internal/emulator/simulation/settings_test.go
@@ -17,10 +17,11 @@
 	"aniseloft/scenarios"
 )
 
-var drawsFlag = flag.Int("drawn-settings", 30, "how many drawn settings to play")
+var siteCount = flag.Int("drawn-settings", 30, "number of generated sites to simulate")
 
-// drawnDay is a short day of a site drawn within the ranges that the operators' pages allow, each switch on or off.
-func drawnDay(seed uint64) (*scenario.Scenario, error) {
+// generateSite returns a short scenario of a random site, with values within the ranges of the operators' documentation and
+// each switch on or off.
+func generateSite(seed uint64) (*scenario.Scenario, error) {
 	s, err := scenarios.Load("tournament-sunday")
 	if err != nil {
 		return nil, err
@@ -29,7 +30,7 @@
 	coin := func() bool { return rng.IntN(2) == 0 }
 	between := func(lo, hi float64) float64 { return lo + rng.Float64()*(hi-lo) }
 	pick := func(l ...string) string { return l[rng.IntN(len(l))] }
-	at := func(x float64) scenario.Range { return scenario.Range{Min: x, Max: x} }
+	fixed := func(x float64) scenario.Range { return scenario.Range{Min: x, Max: x} }
 	s.Name, s.DurationMS, s.Faults = fmt.Sprint("drawn-", seed), 45000, nil
 	k, e, g := &s.Coordinators, &s.Engines, &s.Objective
 	if coin() {
@@ -51,10 +52,10 @@
 		s.Rules.RetryRatio, s.Rules.SpareAttempts = &ratio, float64(rng.IntN(4))
 	}
 	s.Clients.MarksRetries = coin()
-	var work float64 // of a mean query, ms
+	var work float64 // mean work of a query, ms
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		c.WorkMS, c.EstimateBias = at(between(c.WorkMS.Min, c.WorkMS.Max)), at(between(0.5, 2))
+		c.WorkMS, c.EstimateBias = fixed(between(c.WorkMS.Min, c.WorkMS.Max)), fixed(between(0.5, 2))
 		c.LatencyObjectiveMS *= between(0.6, 1.2)
 		c.MemoryMB *= between(0.6, 1.4)
 		if i == 2 {
@@ -66,61 +67,63 @@
 		}
 		work += c.Frequency * c.WorkMS.Min
 	}
-	// What the cores do at 85 in 100, were half of the work on them: load 1 in the pages' words.
+	// A factor of 1, load 1 in the documentation, offers work for 85% of the core time of all engines; only a part of it is
+	// done on the cores.
 	s.Load.PerSecond = between(0.4, 1.3) * float64(e.Count) * e.Cores * 1000 * 0.85 / work
-	trouble := func(t scenario.Fault) {
-		t.AtMS, t.DurationMS = at(between(2000, 8000)), at(between(3000, 10000))
+	addFault := func(t scenario.Fault) {
+		t.AtMS, t.DurationMS = fixed(between(2000, 8000)), fixed(between(3000, 10000))
 		s.Faults = append(s.Faults, t)
 	}
 	for range rng.IntN(3) {
 		switch rng.IntN(9) {
 		case 0:
-			trouble(scenario.Fault{Kind: scenario.FaultTrafficBurst, Magnitude: at(between(1.4, 2.3))})
+			addFault(scenario.Fault{Kind: scenario.FaultTrafficBurst, Magnitude: fixed(between(1.4, 2.3))})
 		case 1:
-			trouble(scenario.Fault{Kind: scenario.FaultSlowFleet, Magnitude: at(between(1.4, 2.7))})
+			addFault(scenario.Fault{Kind: scenario.FaultSlowFleet, Magnitude: fixed(between(1.4, 2.7))})
 		case 2:
-			trouble(scenario.Fault{Kind: scenario.FaultNoisyNeighbour, AffectedRatio: at(between(0.11, 0.48)), Magnitude: at(between(0.38, 0.7)), IntervalMS: at(2500)})
+			addFault(scenario.Fault{Kind: scenario.FaultNoisyNeighbour, AffectedRatio: fixed(between(0.11, 0.48)), Magnitude: fixed(between(0.38, 0.7)), IntervalMS: fixed(2500)})
 		case 3:
-			trouble(scenario.Fault{Kind: scenario.FaultReportsDelayed, MagnitudeMS: at(between(1300, 4900))})
+			addFault(scenario.Fault{Kind: scenario.FaultReportsDelayed, MagnitudeMS: fixed(between(1300, 4900))})
 		case 4:
-			trouble(scenario.Fault{Kind: scenario.FaultHeavyTail, AffectedRatio: at(0.02), Magnitude: at(between(6, 30))})
+			addFault(scenario.Fault{Kind: scenario.FaultHeavyTail, AffectedRatio: fixed(0.02), Magnitude: fixed(between(6, 30))})
 		case 5:
-			every := between(23000, 39000) / (0.93 * float64(e.Count)) // of a release of 93 in 100
-			trouble(scenario.Fault{Kind: scenario.FaultRollingReplace, IntervalMS: at(every)})
+			every := between(23000, 39000) / (0.93 * float64(e.Count)) // as in a release that replaces 93% of the engines in 23 to 39 s
+			addFault(scenario.Fault{Kind: scenario.FaultRollingReplace, IntervalMS: fixed(every)})
 		case 6:
-			trouble(scenario.Fault{Kind: scenario.FaultCrash, Engines: []int{rng.IntN(e.Count)}})
+			addFault(scenario.Fault{Kind: scenario.FaultCrash, Engines: []int{rng.IntN(e.Count)}})
 		case 7:
-			trouble(scenario.Fault{Kind: scenario.FaultStalls, AffectedRatio: at(between(0.1, 0.45)), MagnitudeMS: at(between(120, 390)), IntervalMS: at(2500)})
+			addFault(scenario.Fault{Kind: scenario.FaultStalls, AffectedRatio: fixed(between(0.1, 0.45)), MagnitudeMS: fixed(between(120, 390)), IntervalMS: fixed(2500)})
 		case 8:
-			trouble(scenario.Fault{Kind: scenario.FaultCoordinatorCrash, Coordinators: []int{0}})
+			addFault(scenario.Fault{Kind: scenario.FaultCoordinatorCrash, Coordinators: []int{0}})
 		}
 	}
 	return s, nil
 }
 
-// overfittedSeed generates a site on which a module that was fitted to one site lost 0.11 to the random policy: it took spills for
-// memory that it had asked for itself, where no grant is heeded.
+// overfittedSeed generates a site on which a decision module fitted to one site served 0.11 less than the random policy: it
+// attributed spills to its own memory grants although the engines ignored grants.
 const overfittedSeed = 57
 
-// A run of the random policy may come out better than the module's by luck: bad plans, lost datagrams and rejections differ
-// between two runs of one short scenario, and one long query in a hundred is 0.02 of its service. So a site on which the module is
-// behind by repeatMargin in one run is run with more seeds, and the test fails if it is behind by failMargin on their mean.
+// The random policy may serve more than the module by chance: bad plans, lost datagrams and rejections differ between two runs
+// of one short scenario, and one long query in a hundred is 0.02 of its service. A site on which the module is behind by more
+// than repeatMargin is therefore run with repeatRuns more seeds, and the test fails if the mean is behind by more than
+// failMargin.
 const (
 	repeatMargin = 0.005
 	repeatRuns   = 8
 	failMargin   = 0.01
 )
 
-// comparison is the module beside the random policy on one generated site.
+// comparison holds the results of the module and the random policy on one generated site.
 type comparison struct {
 	module, random *observer.Report
-	behind         float64 // mean difference of service
+	behind         float64 // mean service of the random policy minus that of the module
 	runs           float64
 }
 
 func runSite(t *testing.T, seed, run uint64, policyName string) *observer.Report {
 	t.Helper()
-	s, err := drawnDay(seed)
+	s, err := generateSite(seed)
 	if err == nil {
 		var r *observer.Report
 		if r, err = simulation.Run(s, simulation.Options{Seed: seed + run<<32, Policy: policyName}); err == nil {
@@ -148,6 +151,7 @@
 	return c
 }
 
+// check fails the test if the module violates a rule or serves less than the random policy.
 func (c comparison) check(t *testing.T, seed uint64) {
 	t.Helper()
 	if c.module.RulesBroken > 0 {
@@ -159,20 +163,20 @@
 	}
 }
 
-// A module that is fitted to one site fails this: whatever the settings within their ranges, it violates no rule and does
-// not serve less than the random policy.
+// Whatever the settings within their ranges, the module must violate no rule and must not serve less than the random policy. A
+// module that is fitted to one site fails this test.
 func TestModuleServesNoLessThanRandomOnGeneratedSites(t *testing.T) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var module, random float64
-	for n := range uint64(*drawsFlag) {
+	for n := range uint64(*siteCount) {
 		seed := n
 		if n == 0 {
 			seed = overfittedSeed
 		}
 		slots <- struct{}{}
-		all.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
 			c := compareOnSite(t, seed)
 			mu.Lock()
@@ -182,7 +186,7 @@
 			c.check(t, seed)
 		})
 	}
-	all.Wait()
-	t.Logf("%d generated sites: mean service %.3f, of the random policy %.3f", *drawsFlag, module/float64(*drawsFlag), random/float64(*drawsFlag))
+	wg.Wait()
+	t.Logf("%d generated sites: mean service %.3f, of the random policy %.3f", *siteCount, module/float64(*siteCount), random/float64(*siteCount))
 	require.Positive(t, random)
 }
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -20,14 +20,14 @@
 type Options struct {
 	Seed   uint64
 	Policy string
-	// New creates the policy of one coordinator; nil: the one that Policy names.
+	// New creates the policy of one coordinator. If it is nil, Policy names the policy.
 	New func(set decide.Settings, seed uint64) (policy.Policy, error)
-	// Progress is called with the virtual time from time to time; nil: never.
+	// Progress is called with the virtual time at regular intervals. It may be nil.
 	Progress func(nowMS, endMS float64)
 }
 
-// Simulation is a running simulation. Its event loop runs on one goroutine; only coordinators that handle their inputs run
-// side by side, and each touches nothing but its own state then.
+// Simulation is a running simulation. Its event loop runs on one goroutine; only coordinators that handle their inputs
+// run in parallel, and each accesses only its own state meanwhile.
 type Simulation struct {
 	scenario        *scenario.Scenario
 	options         Options
@@ -51,14 +51,14 @@
 	endpointIDRand  *rand.Rand
 	fleetSlowdown   float64           // 1: normal speed
 	jobs            uint64            // started so far
-	coreWorkRatio   float64           // part of the work that is on cores
+	coreWorkRatio   float64           // part of the work that is done on cores
 	endedWork       engine.WorkTotals // of processes that have ended
 	tries           uint64            // made so far
 }
 
 // Run simulates a scenario to its end.
 func Run(s *scenario.Scenario, opt Options) (*observer.Report, error) {
-	sim, err := build(s, opt)
+	sim, err := newSimulation(s, opt)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 	return sim.report(end)
 }
 
-// endMS is when each client of a scenario has its result: after the last arrival its longest deadline passes.
+// endMS returns a time at which each client of a scenario has its result: the longest deadline after the last arrival.
 func endMS(s *scenario.Scenario) float64 {
 	const slackMS = 1000
 	longest := 0.0
@@ -83,7 +83,8 @@
 	return s.DurationMS + longest + s.Rules.AnswerSlackMS + slackMS
 }
 
-func build(s *scenario.Scenario, opt Options) (*Simulation, error) {
+// newSimulation creates the engines and coordinators of a scenario, and schedules its events and its first query.
+func newSimulation(s *scenario.Scenario, opt Options) (*Simulation, error) {
 	sim := &Simulation{scenario: s, options: opt, enginesByID: map[decide.EndpointID]*engineProcess{}, fleetSlowdown: 1, observer: observer.New(s, 0)}
 	sim.timeline = s.Timeline(opt.Seed)
 	sim.arrivals = s.Arrivals(opt.Seed, sim.timeline)
@@ -115,7 +116,7 @@
 		sim.engines = append(sim.engines, sim.newEngine(place))
 	}
 	for _, proc := range sim.engines[:sim.scenario.Engines.Count] {
-		proc.start(0, longAgo)
+		proc.start(0, alreadyWarm)
 		sim.discovery.setState(proc, decide.EndpointReady)
 	}
 }
@@ -138,27 +139,27 @@
 	return nil
 }
 
-// workTolerance is the rounding error that the balance of the work may have, as a ratio of the work.
+// workTolerance is the rounding error that the work totals may have, as a ratio of the work.
 const workTolerance = 1e-6
 
-// report closes the observer's account, after a check that no work was lost or invented.
+// report finishes the observer and returns its report, after a check that work is conserved.
 func (sim *Simulation) report(end float64) (*observer.Report, error) {
 	sim.observer.Finish(end)
-	t := sim.observer.Totals()
+	totals := sim.observer.Totals()
 	sum := sim.endedWork
-	var left float64
+	var workLeft float64
 	for _, proc := range sim.engines {
 		if proc.model != nil {
 			proc.advance(func() {})
-			b, l := proc.model.Books()
-			sum.In, sum.Done, sum.Dropped, left = sum.In+b.In, sum.Done+b.Done, sum.Dropped+b.Dropped, left+l
+			work, left := proc.model.Books()
+			sum.In, sum.Done, sum.Dropped, workLeft = sum.In+work.In, sum.Done+work.Done, sum.Dropped+work.Dropped, workLeft+left
 		}
 	}
-	if off := sum.In - sum.Done - sum.Dropped - left; math.Abs(off) > workTolerance*sum.In+1 {
-		return nil, fmt.Errorf("work is not conserved: in %.1f, done %.1f, dropped %.1f, left %.1f ms", sum.In, sum.Done, sum.Dropped, left)
+	if imbalance := sum.In - sum.Done - sum.Dropped - workLeft; math.Abs(imbalance) > workTolerance*sum.In+1 {
+		return nil, fmt.Errorf("work is not conserved: in %.1f, done %.1f, dropped %.1f, left %.1f ms", sum.In, sum.Done, sum.Dropped, workLeft)
 	}
-	t.WorkIn, t.Dropped, t.Left = sum.In, sum.Dropped, left
-	t.Wasted = max(sum.Done-t.Served, 0)
+	totals.WorkIn, totals.Dropped, totals.Left = sum.In, sum.Dropped, workLeft
+	totals.Wasted = max(sum.Done-totals.Served, 0)
 	r := sim.observer.Report()
 	r.Seed, r.Policy, r.Mode = sim.options.Seed, sim.options.Policy, "virtual"
 	r.Faults = sim.timeline.Spans
