--- a/internal/emulator/engine/admission.go
+++ b/internal/emulator/engine/admission.go
@@ -148,7 +148,7 @@
 }
 
 // removeJob removes a job in any state. If it was the last load on its data set, the jobs
-// blocked behind it run, up to the next load.
+// blocked behind it run, up to and including the next load.
 func (e *Engine) removeJob(j *Job) {
 	delete(e.jobs, j.ID)
 	switch j.state {
--- a/internal/emulator/engine/draw.go
+++ b/internal/emulator/engine/draw.go
@@ -39,7 +39,7 @@
 }
 
 // NewJob returns the job that a client's query is at an engine, with its true work and memory
-// need; overloadWeight is the work that it counts towards an overload.
+// need; overloadWeight is the work that it counts towards an overload, usually the mean of its class.
 func NewJob(s *scenario.Scenario, q scenario.Query, overloadWeight float64) *Job {
 	c := s.Classes[q.Class]
 	return &Job{Class: q.Class, Group: q.DataSet, Work: q.Work, IORatio: q.IORatio, Threads: c.Threads, NeedMB: int64(math.Ceil(q.NeedMB)),
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -132,7 +132,7 @@
 	removes := fault.Kind == FaultDrain || fault.Kind == FaultReplace || fault.Kind == FaultCrash && fault.DurationMS.Max == 0
 	switch {
 	case engine >= len(fleet.endsMS):
-		c.add(path+"/engines", fmt.Sprintf("there is no engine %d by then", engine),
+		c.add(path+"/engines", fmt.Sprintf("there is no engine %d at that time", engine),
 			fmt.Sprintf("use indexes from 0 to %d; engines that join get the next indexes", len(fleet.endsMS)-1))
 	case fault.AtMS.Min > fleet.endsMS[engine] || fleet.replaced:
 		c.add(path+"/engines", fmt.Sprintf("engine %d has been removed by then", engine), "name another engine, or set at_ms to a time before its removal")
