--- a/internal/emulator/clients/clients.go
+++ b/internal/emulator/clients/clients.go
@@ -9,18 +9,18 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// Front is a front proxy. It distributes clients round-robin over the coordinators of their zone
-// that it believes to be alive. It learns of crashes and starts with a delay, by SetAlive.
-type Front struct {
+// FrontProxy distributes clients round-robin over the coordinators of their zone that it believes
+// to be alive. It learns of crashes and starts with a delay, by SetAlive.
+type FrontProxy struct {
 	scenario *scenario.Scenario
 	rng      *rand.Rand
 	alive    []bool
 	next     int
 }
 
-// NewFront returns a front proxy that believes all coordinators to be alive.
-func NewFront(s *scenario.Scenario, rng *rand.Rand) *Front {
-	f := &Front{scenario: s, rng: rng}
+// NewFrontProxy returns a front proxy that believes all coordinators to be alive.
+func NewFrontProxy(s *scenario.Scenario, rng *rand.Rand) *FrontProxy {
+	f := &FrontProxy{scenario: s, rng: rng}
 	for range s.Coordinators.Count {
 		f.alive = append(f.alive, true)
 	}
@@ -28,14 +28,14 @@
 }
 
 // DetectionDelay draws the time that the front proxy takes to detect a change, in ms.
-func (f *Front) DetectionDelay() float64 { return f.scenario.FrontProxy.DetectionMS.Draw(f.rng) }
+func (f *FrontProxy) DetectionDelay() float64 { return f.scenario.FrontProxy.DetectionMS.Draw(f.rng) }
 
 // SetAlive sets whether the front proxy believes a coordinator to be alive.
-func (f *Front) SetAlive(coordinator int, alive bool) { f.alive[coordinator] = alive }
+func (f *FrontProxy) SetAlive(coordinator int, alive bool) { f.alive[coordinator] = alive }
 
 // Pick returns the coordinator for a client of a zone: one of the zone if any is believed alive,
 // else any other. It returns -1 if there is none.
-func (f *Front) Pick(zone int) int {
+func (f *FrontProxy) Pick(zone int) int {
 	var near, reachable []int
 	for c, alive := range f.alive {
 		if alive {
@@ -55,9 +55,9 @@
 	return near[f.next%len(near)]
 }
 
-// RetryAfter returns whether a client retries by its habit after its latest try ended, and after
+// RetryDelay returns whether a client retries by its habit after its latest try ended, and after
 // how many ms. Tries is the number of tries so far; retryAfterMS is the answer's Retry-After.
-func RetryAfter(q scenario.Query, state *observer.ClientQuery, tries int, kind observer.TryResult, retryAfterMS, now float64) (wait float64, again bool) {
+func RetryDelay(q scenario.Query, state *observer.ClientQuery, tries int, kind observer.TryResult, retryAfterMS, now float64) (wait float64, again bool) {
 	if kind == observer.Served || tries > len(q.RetryWaits) {
 		return 0, false
 	}
--- a/internal/emulator/engine/draw.go
+++ b/internal/emulator/engine/draw.go
@@ -12,9 +12,9 @@
 
 // Draw draws the configuration of one engine from a scenario's ranges; coreWorkRatio is the
 // part of the mix's work that is done on cores.
-func Draw(s *scenario.Scenario, rng *rand.Rand, coreWorkRatio float64) Build {
+func Draw(s *scenario.Scenario, rng *rand.Rand, coreWorkRatio float64) Config {
 	e := s.Engines
-	k := Build{Cores: e.Cores, Disks: e.Disks, Speed: e.Speed.Draw(rng), MemoryMB: int64(e.MemoryMB),
+	k := Config{Cores: e.Cores, Disks: e.Disks, Speed: e.Speed.Draw(rng), MemoryMB: int64(e.MemoryMB),
 		SaturationThreads: e.SaturationThreads.Draw(rng), ThrashRatio: e.ThrashRatio.Draw(rng), SeekPenalty: e.SeekPenalty.Draw(rng), SpillPenalty: e.SpillPenalty.Draw(rng), MaxGrantRatio: e.MaxGrantRatio,
 		Sessions: e.Sessions, WarmSets: int(math.Round(e.WarmSets.Draw(rng))), WarmGain: e.WarmGain.Draw(rng),
 		WarmupInitialRatio: e.WarmupInitialRatio.Draw(rng), WarmupMS: e.WarmupMS.Draw(rng), OverloadMultiple: s.Rules.OverloadMultiple, OverloadMS: s.Rules.OverloadMS,
--- a/internal/emulator/engine/engine.go
+++ b/internal/emulator/engine/engine.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Build is the configuration of one engine, drawn from a scenario's ranges.
-type Build struct {
+// Config is the configuration of one engine, drawn from a scenario's ranges.
+type Config struct {
 	Cores, Disks, Speed            float64
 	MemoryMB                       int64
 	SaturationThreads, ThrashRatio float64
@@ -47,7 +47,7 @@
 
 // Engine is one engine. It is not safe for concurrent use.
 type Engine struct {
-	config           Build
+	config           Config
 	now              float64
 	seq              int
 	shares           [8]processorShare
@@ -81,7 +81,7 @@
 }
 
 // New returns an engine whose warm-up starts at startedAt. Below 0 the engine is warm.
-func New(k Build, now, startedAt float64) *Engine {
+func New(k Config, now, startedAt float64) *Engine {
 	e := &Engine{config: k, now: now, startedAt: startedAt, slowdown: 1, jobs: map[uint64]*Job{}, dataSets: map[uint64]*dataSetState{}, nextSampleAt: now}
 	for i := range e.shares {
 		e.shares[i].weight, e.shares[i].usesDisks = weights[i%4], i >= 4
@@ -89,8 +89,8 @@
 	return e
 }
 
-// Books returns the work totals so far, and the admitted work that is not done yet, in ms.
-func (e *Engine) Books() (work WorkTotals, workLeft float64) {
+// WorkTotals returns the work totals so far, and the admitted work that is not done yet, in ms.
+func (e *Engine) WorkTotals() (work WorkTotals, workLeft float64) {
 	for _, j := range e.heldJobs() {
 		switch j.state {
 		case running:
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -11,13 +11,13 @@
 )
 
 // plain returns an engine that has cores and memory to share, and no other effects.
-func plain(cores float64, memoryMB int64) Build {
-	return Build{Cores: cores, Disks: 1e9, Speed: 1, MemoryMB: memoryMB, SaturationThreads: 1e9, ThrashRatio: 1, MaxGrantRatio: 1, Sessions: 1 << 30, WarmSets: 1}
+func plain(cores float64, memoryMB int64) Config {
+	return Config{Cores: cores, Disks: 1e9, Speed: 1, MemoryMB: memoryMB, SaturationThreads: 1e9, ThrashRatio: 1, MaxGrantRatio: 1, Sessions: 1 << 30, WarmSets: 1}
 }
 
 // meanSojourn sends Poisson arrivals to an engine until n have ended, and returns the mean sojourn
 // time without the first tenth of them. It checks Little's law and that work is conserved.
-func meanSojourn(t *testing.T, k Build, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
+func meanSojourn(t *testing.T, k Config, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
 	e := New(k, 0, -1)
 	arrivedAt := map[uint64]float64{}
 	var now, next, area, sum, all float64
@@ -49,7 +49,7 @@
 		all += now - at
 	}
 	require.InEpsilon(t, area, all, 1e-6)
-	b, left := e.Books()
+	b, left := e.WorkTotals()
 	require.InEpsilon(t, b.In, b.Done+b.Dropped+left, 1e-6, "work is conserved")
 	return sum / (float64(n) * 0.9)
 }
@@ -187,7 +187,7 @@
 			require.Len(t, e.Advance(at), 1)
 			require.False(t, e.Cancel(at, 1))
 		}
-		b, left := e.Books()
+		b, left := e.WorkTotals()
 		require.InDelta(t, b.In, b.Done+b.Dropped+left, 1e-9)
 		require.Zero(t, e.GrantedMB())
 	}
@@ -232,11 +232,11 @@
 	}
 	e.Advance(30) // the third is blocked by the second: two queries share the core
 	require.True(t, e.Cancel(30, 1))
-	b, left := e.Books()
+	b, left := e.WorkTotals()
 	require.InDelta(t, 85, b.Dropped, 1e-9)
 	require.InDelta(t, 185, left, 1e-9)
 	require.Len(t, e.Terminate(40), 2)
-	b, left = e.Books()
+	b, left = e.WorkTotals()
 	require.InDelta(t, 300, b.In, 1e-9)
 	require.InDelta(t, 40, b.Done, 1e-9)
 	require.InDelta(t, 260, b.Dropped, 1e-9)
--- a/internal/emulator/live/client.go
+++ b/internal/emulator/live/client.go
@@ -194,7 +194,7 @@
 // end ends a try: the client is served, retries by its habit, or gives up.
 func (cl *client) end(result observer.TryResult, retryAfterMS float64) {
 	d, now := cl.rehearsal, cl.rehearsal.clock.Now()
-	wait, again := clients.RetryAfter(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
+	wait, again := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
 	d.judge.with(func(o *observer.Observer) { o.TryEnded(now, &cl.state, result, !again) })
 	if !again {
 		d.activeClients.Done()
--- a/internal/emulator/live/engine.go
+++ b/internal/emulator/live/engine.go
@@ -29,7 +29,7 @@
 	zone           int
 	endpoint       uint32
 	addr           string
-	build          engine.Build
+	build          engine.Config
 	meanWork       func(class int) float64
 	server         *http.Server
 	mu             sync.Mutex
@@ -156,7 +156,7 @@
 	e.advance()
 	e.running = false
 	e.model.Terminate(e.clock.Now())
-	b, left := e.model.Books()
+	b, left := e.model.WorkTotals()
 	e.endedWork.In, e.endedWork.Done, e.endedWork.Dropped = e.endedWork.In+b.In, e.endedWork.Done+b.Done, e.endedWork.Dropped+b.Dropped+left
 	for _, r := range e.queries {
 		r.finish(0)
@@ -242,7 +242,7 @@
 	b = e.endedWork
 	if e.running {
 		e.advance()
-		now, l := e.model.Books()
+		now, l := e.model.WorkTotals()
 		b.In, b.Done, b.Dropped, left = b.In+now.In, b.Done+now.Done, b.Dropped+now.Dropped, l
 	}
 	return b, left
--- a/internal/emulator/live/rehearsal.go
+++ b/internal/emulator/live/rehearsal.go
@@ -76,7 +76,7 @@
 	engines          []*Engine
 	discovery        *discoveryService
 	frontProxyMu     sync.Mutex // guards frontProxy
-	frontProxy       *clients.Front
+	frontProxy       *clients.FrontProxy
 	clientPools      []*clientPool
 	coordinators     []*coordinator
 	gossipAddresses  []string // where coordinators receive datagrams, by index
@@ -100,7 +100,7 @@
 		judge: &judge{observer: observer.New(s, socketSlackMS), calls: map[string]*attempt{}},
 	}
 	d.arrivals = s.Arrivals(opt.Seed, d.timeline)
-	d.frontProxy = clients.NewFront(s, des.Stream(opt.Seed, "front"))
+	d.frontProxy = clients.NewFrontProxy(s, des.Stream(opt.Seed, "front"))
 	d.discoveryRand = des.Stream(opt.Seed, "roster")
 	var err error
 	if d.network, err = loopback.Claim(); err != nil {
--- a/internal/emulator/observer/report.go
+++ b/internal/emulator/observer/report.go
@@ -60,7 +60,7 @@
 // worstWindowMS is the length of the worst window, which counts towards the service figure.
 const worstWindowMS = 10000.0
 
-// gossipUnitBytes is the number of datagram bytes that Objective.Peer is the price of.
+// gossipUnitBytes is the number of datagram bytes that Objective.Gossip is the price of.
 const gossipUnitBytes = 256
 
 // Names of the parts of the service figure, as reports have them.
@@ -116,10 +116,10 @@
 	firstTries := float64(max(totals.FirstTries, 1))
 	r.Parts[partLateFailPrice] = round(objective.LateFail * safeRatio(lateFailed, offered))
 	r.Parts[partWastePrice] = round(objective.Waste * safeRatio(totals.Wasted, totals.WorkIn))
-	r.Parts[partCrossZone] = round(objective.CrossHall * float64(totals.CrossZone) / firstTries)
+	r.Parts[partCrossZone] = round(objective.CrossZone * float64(totals.CrossZone) / firstTries)
 	r.Parts[partProbePrice] = round(objective.Probe * float64(totals.Probes) / firstTries)
 	r.Parts[partHandshake] = round(objective.Handshake * float64(totals.Handshakes) / firstTries)
-	r.Parts[partGossipPrice] = round(objective.Peer * float64(totals.GossipBytes) / gossipUnitBytes / firstTries)
+	r.Parts[partGossipPrice] = round(objective.Gossip * float64(totals.GossipBytes) / gossipUnitBytes / firstTries)
 	service := objective.Service*served + objective.WorstWindow*worstWindow + objective.WorstClass*worstClass
 	for _, price := range prices {
 		service -= r.Parts[price]
--- a/internal/emulator/scenario/default.go
+++ b/internal/emulator/scenario/default.go
@@ -21,7 +21,7 @@
 		Discovery: Discovery{DetectionMS: Range{1100, 4600}, UnresponsiveDetectionMS: Range{4100, 14000}, PropagationMS: Range{50, 400}},
 		Rules: Rules{AnswerSlackMS: 20, DrainGraceMS: 1000, OverloadMultiple: 3, OverloadMS: 2000, WarmupInitialRatio: 0.33, WarmupMS: 15000,
 			RetryWindowMS: 10000},
-		Objective: Objective{Service: 0.6, WorstWindow: 0.2, WorstClass: 0.2, CrossHall: 0.053, Waste: 0.059, Probe: 0.01, LateFail: 0.08},
+		Objective: Objective{Service: 0.6, WorstWindow: 0.2, WorstClass: 0.2, CrossZone: 0.053, Waste: 0.059, Probe: 0.01, LateFail: 0.08},
 	}
 }
 
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -218,10 +218,10 @@
 	Service     float64 `json:"whole"`
 	WorstWindow float64 `json:"worst_window"`
 	WorstClass  float64 `json:"worst_class"`
-	CrossHall   float64 `json:"cross_hall"`
+	CrossZone   float64 `json:"cross_hall"`
 	Waste       float64 `json:"waste"`
 	Probe       float64 `json:"probe"`
 	LateFail    float64 `json:"late_fail"`
 	Handshake   float64 `json:"handshake"` // per new connection to an engine and first try
-	Peer        float64 `json:"peer"`      // per 256 bytes of received datagrams and first try
+	Gossip      float64 `json:"peer"`      // per 256 bytes of received datagrams and first try
 }
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -42,7 +42,7 @@
 			"lanesCount": e.Priorities, "memoryShort": e.MemoryShort, "mostGrant": e.MaxGrantRatio, "progressMs": e.ProgressMS},
 		"clientHabits": object{"marksRetry": s.Clients.MarksRetries},
 		"lanes":        classes, "registryMode": "push", "rules": rules, "prices": object{"probe": s.Objective.Probe, "handshake": s.Objective.Handshake,
-			"peer": s.Objective.Peer},
+			"peer": s.Objective.Gossip},
 		"report": object{"via": e.Reports, "fields": e.ReportFields},
 	})
 	if err != nil {
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -104,7 +104,7 @@
 	t.ended = true
 	cl, sim := t.client, t.client.sim
 	now := sim.loop.Now()
-	wait, again := clients.RetryAfter(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
+	wait, again := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
 	sim.observer.TryEnded(now, &cl.state, result, !again)
 	if again {
 		sim.loop.After(wait, func() {
--- a/internal/emulator/simulation/engine_process.go
+++ b/internal/emulator/simulation/engine_process.go
@@ -16,7 +16,7 @@
 	place          int // index in the fleet
 	endpoint       decide.EndpointID
 	zone           int
-	config         engine.Build
+	config         engine.Config
 	model          *engine.Engine
 	incarnation    int // number of starts
 	running        bool
@@ -61,7 +61,7 @@
 	if proc.model == nil {
 		return
 	}
-	work, workLeft := proc.model.Books()
+	work, workLeft := proc.model.WorkTotals()
 	total := &proc.sim.endedWork
 	total.In += work.In
 	total.Done += work.Done
--- a/internal/emulator/simulation/settings_test.go
+++ b/internal/emulator/simulation/settings_test.go
@@ -45,7 +45,7 @@
 	if coin() {
 		e.ReportFields = []string{"inflight", "util", "x1", "x0"}
 	}
-	g.Probe, g.Peer, g.CrossHall = float64(rng.IntN(2))*0.01, float64(rng.IntN(2))*0.012, float64(rng.IntN(2))*0.05
+	g.Probe, g.Gossip, g.CrossZone = float64(rng.IntN(2))*0.01, float64(rng.IntN(2))*0.012, float64(rng.IntN(2))*0.05
 	s.Rules.WarmupInitialRatio, s.Rules.OverloadMultiple = 0.31, between(2, 3)
 	if s.Rules.RetryRatio = nil; coin() {
 		ratio := between(0.05, 0.2)
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -40,7 +40,7 @@
 	coordinators    []*coordinator
 	stepScheduled   bool
 	discovery       discovery
-	frontProxy      *clients.Front
+	frontProxy      *clients.FrontProxy
 	networkRand     *rand.Rand
 	reportNoiseRand *rand.Rand
 	errorRand       *rand.Rand
@@ -93,7 +93,7 @@
 	sim.networkRand, sim.reportNoiseRand, sim.errorRand = stream("network"), stream("report noise"), stream("errors")
 	sim.badPlanRand, sim.gossipRand = stream("bad plans"), stream("datagrams")
 	sim.engineRand, sim.endpointIDRand = stream("engines"), stream("engine ids")
-	sim.discovery.rng, sim.frontProxy = stream("roster"), clients.NewFront(s, stream("front"))
+	sim.discovery.rng, sim.frontProxy = stream("roster"), clients.NewFrontProxy(s, stream("front"))
 	if sim.options.New == nil {
 		sim.options.New = func(set decide.Settings, seed uint64) (policy.Policy, error) {
 			return policy.New(opt.Policy, set, seed)
@@ -151,7 +151,7 @@
 	for _, proc := range sim.engines {
 		if proc.model != nil {
 			proc.advance(func() {})
-			work, left := proc.model.Books()
+			work, left := proc.model.WorkTotals()
 			sum.In, sum.Done, sum.Dropped, workLeft = sum.In+work.In, sum.Done+work.Done, sum.Dropped+work.Dropped, workLeft+left
 		}
 	}
