--- a/internal/emulator/engine/draw.go
+++ b/internal/emulator/engine/draw.go
@@ -14,15 +14,15 @@
 // part of the mix's work that is done on cores.
 func Draw(s *scenario.Scenario, rng *rand.Rand, coreWorkRatio float64) Config {
 	e := s.Engines
-	k := Config{Cores: e.Cores, Disks: e.Disks, Speed: e.Speed.Draw(rng), MemoryMB: int64(e.MemoryMB),
+	config := Config{Cores: e.Cores, Disks: e.Disks, Speed: e.Speed.Draw(rng), MemoryMB: int64(e.MemoryMB),
 		SaturationThreads: e.SaturationThreads.Draw(rng), ThrashRatio: e.ThrashRatio.Draw(rng), SeekPenalty: e.SeekPenalty.Draw(rng), SpillPenalty: e.SpillPenalty.Draw(rng), MaxGrantRatio: e.MaxGrantRatio,
 		Sessions: e.Sessions, WarmSets: int(math.Round(e.WarmSets.Draw(rng))), WarmGain: e.WarmGain.Draw(rng),
 		WarmupInitialRatio: e.WarmupInitialRatio.Draw(rng), WarmupMS: e.WarmupMS.Draw(rng), OverloadMultiple: s.Rules.OverloadMultiple, OverloadMS: s.Rules.OverloadMS,
 		OverloadRatio: capacityUtilization / coreWorkRatio, ReportPeriodMS: e.ReportPeriodMS.Draw(rng), ReportDelayMS: e.ReportDelayMS.Draw(rng)}
 	if e.MemoryShort == scenario.OvercommitMemory {
-		k.Overcommit, k.PagingPenalty = true, e.PagingPenalty.Draw(rng)
+		config.Overcommit, config.PagingPenalty = true, e.PagingPenalty.Draw(rng)
 	}
-	return k
+	return config
 }
 
 // DrawPlanMultiple draws the factor by which a bad plan multiplies the work of one attempt; it
--- a/internal/emulator/engine/engine.go
+++ b/internal/emulator/engine/engine.go
@@ -81,8 +81,8 @@
 }
 
 // New returns an engine whose warm-up starts at startedAt. Below 0 the engine is warm.
-func New(k Config, now, startedAt float64) *Engine {
-	e := &Engine{config: k, now: now, startedAt: startedAt, slowdown: 1, jobs: map[uint64]*Job{}, dataSets: map[uint64]*dataSetState{}, nextSampleAt: now}
+func New(config Config, now, startedAt float64) *Engine {
+	e := &Engine{config: config, now: now, startedAt: startedAt, slowdown: 1, jobs: map[uint64]*Job{}, dataSets: map[uint64]*dataSetState{}, nextSampleAt: now}
 	for i := range e.shares {
 		e.shares[i].weight, e.shares[i].usesDisks = weights[i%4], i >= 4
 	}
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -10,15 +10,15 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// plain returns an engine that has cores and memory to share, and no other effects.
-func plain(cores float64, memoryMB int64) Config {
+// plainConfig returns the configuration of an engine that shares cores and memory, without any other effect.
+func plainConfig(cores float64, memoryMB int64) Config {
 	return Config{Cores: cores, Disks: 1e9, Speed: 1, MemoryMB: memoryMB, SaturationThreads: 1e9, ThrashRatio: 1, MaxGrantRatio: 1, Sessions: 1 << 30, WarmSets: 1}
 }
 
 // meanSojourn sends Poisson arrivals to an engine until n have ended, and returns the mean sojourn
 // time without the first tenth of them. It checks Little's law and that work is conserved.
-func meanSojourn(t *testing.T, k Config, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
-	e := New(k, 0, -1)
+func meanSojourn(t *testing.T, config Config, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
+	e := New(config, 0, -1)
 	arrivedAt := map[uint64]float64{}
 	var now, next, area, sum, all float64
 	var id uint64
@@ -75,7 +75,7 @@
 		requireWithin99(t, mean/(1-rho), func(rng *rand.Rand) float64 {
 			v := math.Log(1 + cv*cv)
 			d := distuv.LogNormal{Mu: math.Log(mean) - v/2, Sigma: math.Sqrt(v), Src: rng}
-			return meanSojourn(t, plain(1, 1<<40), rho/mean, 20000, 1, d.Rand, rng)
+			return meanSojourn(t, plainConfig(1, 1<<40), rho/mean, 20000, 1, d.Rand, rng)
 		})
 	}
 }
@@ -93,15 +93,15 @@
 	wait := term / (1 - rho) / (sum + term/(1-rho))
 	want := mean + wait*mean/(c*(1-rho))
 	requireWithin99(t, want, func(rng *rand.Rand) float64 {
-		return meanSojourn(t, plain(c, 400), a/mean, 20000, 100, func() float64 { return mean * rng.ExpFloat64() }, rng)
+		return meanSojourn(t, plainConfig(c, 400), a/mean, 20000, 100, func() float64 { return mean * rng.ExpFloat64() }, rng)
 	})
 }
 
 func TestPriorityWeightsAre1To4To8To16(t *testing.T) {
 	for _, io := range []float64{0, 1} { // cores are scarce, then disks
-		k := plain(1, 1<<40)
-		k.Disks = 1
-		e := New(k, 0, -1)
+		config := plainConfig(1, 1<<40)
+		config.Disks = 1
+		e := New(config, 0, -1)
 		jobs := make([]*Job, 4)
 		for p := range jobs {
 			jobs[p] = &Job{ID: uint64(p + 1), Work: 1000, IORatio: io, Threads: 1, Priority: p, Expires: math.Inf(1)}
@@ -115,9 +115,9 @@
 }
 
 func TestWarmDataSetsAreEvictedLeastRecentlyUsed(t *testing.T) {
-	k := plain(1, 1<<40)
-	k.WarmSets, k.WarmGain = 2, 0.5
-	e := New(k, 0, -1)
+	config := plainConfig(1, 1<<40)
+	config.WarmSets, config.WarmGain = 2, 0.5
+	e := New(config, 0, -1)
 	var hits []bool
 	for i, g := range []uint64{1, 2, 1, 3, 2, 1, 1, 3, 2, 3} {
 		j := &Job{ID: uint64(i + 1), Group: g, Work: 10, IORatio: 0.4, Threads: 1, Expires: math.Inf(1)}
@@ -132,9 +132,9 @@
 }
 
 func TestWarmupCapacityRamp(t *testing.T) {
-	k := plain(10, 1<<40)
-	k.WarmupInitialRatio, k.WarmupMS = 0.4, 1000
-	e := New(k, 0, 0)
+	config := plainConfig(10, 1<<40)
+	config.WarmupInitialRatio, config.WarmupMS = 0.4, 1000
+	e := New(config, 0, 0)
 	for i := range 20 {
 		e.Start(0, &Job{ID: uint64(i + 1), Work: 1e6, Threads: 1, Expires: math.Inf(1)})
 	}
@@ -146,7 +146,7 @@
 }
 
 func TestGrantsUseAllMemory(t *testing.T) {
-	e := New(plain(8, 1000), 0, -1)
+	e := New(plainConfig(8, 1000), 0, -1)
 	start := func(id uint64, grant int64) *Job {
 		j := &Job{ID: id, Work: 100, Threads: 1, GrantMB: grant, NeedMB: grant, Priority: 1, Expires: 50}
 		e.Start(0, j)
@@ -167,9 +167,9 @@
 }
 
 func TestSpillingTakesMoreWork(t *testing.T) {
-	k := plain(1, 1000)
-	k.SpillPenalty = 2
-	e := New(k, 0, -1)
+	config := plainConfig(1, 1000)
+	config.SpillPenalty = 2
+	e := New(config, 0, -1)
 	j := &Job{ID: 1, Work: 100, Threads: 1, GrantMB: 50, NeedMB: 200, Expires: math.Inf(1)}
 	e.Start(0, j)
 	require.InDelta(t, 100*(1+2*0.75), j.Total(), 1e-9)
@@ -178,7 +178,7 @@
 // A cancellation and a completion at the same time end the query once: the earlier event wins.
 func TestCancelAtCompletionTimeEndsOnce(t *testing.T) {
 	for _, first := range []string{"cancel", "end"} {
-		e := New(plain(1, 1000), 0, -1)
+		e := New(plainConfig(1, 1000), 0, -1)
 		e.Start(0, &Job{ID: 1, Work: 10, Threads: 1, Expires: math.Inf(1)})
 		if at := e.Next(); first == "cancel" {
 			require.True(t, e.Cancel(at, 1))
@@ -194,7 +194,7 @@
 }
 
 func TestLoadBlocksItsDataSet(t *testing.T) {
-	e := New(plain(8, 1000), 0, -1)
+	e := New(plainConfig(8, 1000), 0, -1)
 	start := func(id uint64, load, waits bool) *Job {
 		j := &Job{ID: id, Group: 7, Work: 100, Threads: 1, GrantMB: 10, LoadsDataSet: load, WaitsForLoads: waits, Expires: math.Inf(1)}
 		e.Start(0, j)
@@ -211,9 +211,9 @@
 
 func TestOnlyColdEngineIsOverloaded(t *testing.T) {
 	for _, started := range []float64{0, -1} {
-		k := plain(10, 1<<40)
-		k.WarmupInitialRatio, k.WarmupMS, k.OverloadMultiple, k.OverloadMS, k.OverloadRatio = 0.4, 10000, 3, 1000, 1
-		e := New(k, 0, started)
+		config := plainConfig(10, 1<<40)
+		config.WarmupInitialRatio, config.WarmupMS, config.OverloadMultiple, config.OverloadMS, config.OverloadRatio = 0.4, 10000, 3, 1000, 1
+		e := New(config, 0, started)
 		overloaded := false
 		for i := range 3000 {
 			overloaded = overloaded || e.Start(float64(i)/4, &Job{ID: uint64(i + 1), Work: 10, OverloadWeight: 10, Threads: 1, Coordinator: i % 2, Expires: math.Inf(1)}) == Overloaded
@@ -226,7 +226,7 @@
 }
 
 func TestAbandonedWorkCountsAsDropped(t *testing.T) {
-	e := New(plain(1, 1000), 0, -1)
+	e := New(plainConfig(1, 1000), 0, -1)
 	for id := range uint64(3) {
 		e.Start(0, &Job{ID: id + 1, Group: 5, Work: 100, Threads: 1, GrantMB: 10, LoadsDataSet: id > 0, Expires: math.Inf(1)})
 	}
@@ -244,7 +244,7 @@
 }
 
 func TestQueueOrderIsPriorityThenArrival(t *testing.T) {
-	e := New(plain(1, 100), 0, -1)
+	e := New(plainConfig(1, 100), 0, -1)
 	var order []uint64
 	for i, p := range []int{1, 0, 1, 3, 1, 3} {
 		e.Start(0, &Job{ID: uint64(i + 1), Work: 10, Threads: 1, GrantMB: 100, Priority: p, Expires: math.Inf(1)})
--- a/internal/emulator/observer/tries.go
+++ b/internal/emulator/observer/tries.go
@@ -43,7 +43,7 @@
 // TryEnded records the result of a try for its client. Last means that the client does not retry.
 func (o *Observer) TryEnded(at float64, q *ClientQuery, kind TryResult, last bool) {
 	c, w := &o.classes[q.Class], o.window(at)
-	k := o.scenario.Classes[q.Class]
+	class := o.scenario.Classes[q.Class]
 	switch kind {
 	case Served:
 		if q.ended {
@@ -52,10 +52,10 @@
 		q.ended = true
 		c.served++
 		w.served++
-		q.earnedWeight = k.Weight
+		q.earnedWeight = class.Weight
 		if at > q.ObjectiveTime {
 			c.late++
-			q.earnedWeight *= k.LateWeightRatio
+			q.earnedWeight *= class.LateWeightRatio
 		}
 		c.earnedWeight += q.earnedWeight
 		o.window(q.ArrivedAt).earnedWeight += q.earnedWeight
@@ -75,7 +75,7 @@
 		q.ended = true
 		c.neverServed++
 		if at > q.ObjectiveTime {
-			c.lateFailedWeight += k.Weight
+			c.lateFailedWeight += class.Weight
 		}
 	}
 }
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -71,23 +71,25 @@
 }
 
 var choosers = map[string]func(*basicPolicy, *request, []*endpoint) *endpoint{
-	"random": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint { return l[p.rng.IntN(len(l))] },
-	"round-robin": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint {
+	"random": func(p *basicPolicy, _ *request, candidates []*endpoint) *endpoint {
+		return candidates[p.rng.IntN(len(candidates))]
+	},
+	"round-robin": func(p *basicPolicy, _ *request, candidates []*endpoint) *endpoint {
 		p.next++
-		return l[p.next%len(l)]
+		return candidates[p.next%len(candidates)]
 	},
-	"least-outstanding": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint {
-		return leastOutstanding(l, p.rng.IntN(len(l)))
+	"least-outstanding": func(p *basicPolicy, _ *request, candidates []*endpoint) *endpoint {
+		return leastOutstanding(candidates, p.rng.IntN(len(candidates)))
 	},
-	"two-choices": func(p *basicPolicy, _ *request, l []*endpoint) *endpoint {
-		a, b := l[p.rng.IntN(len(l))], l[p.rng.IntN(len(l))]
+	"two-choices": func(p *basicPolicy, _ *request, candidates []*endpoint) *endpoint {
+		a, b := candidates[p.rng.IntN(len(candidates))], candidates[p.rng.IntN(len(candidates))]
 		if b.inFlight < a.inFlight {
 			return b
 		}
 		return a
 	},
-	"home": func(_ *basicPolicy, r *request, l []*endpoint) *endpoint {
-		return slices.MaxFunc(l, func(a, b *endpoint) int {
+	"home": func(_ *basicPolicy, r *request, candidates []*endpoint) *endpoint {
+		return slices.MaxFunc(candidates, func(a, b *endpoint) int {
 			if x, y := weight(r.Group, a.ID), weight(r.Group, b.ID); x != y {
 				if x > y {
 					return 1
@@ -101,10 +103,10 @@
 
 // leastOutstanding returns the endpoint with the fewest attempts in flight; of equal ones the first
 // from index start on, cyclically.
-func leastOutstanding(l []*endpoint, start int) *endpoint {
-	best := l[start]
-	for i := range l {
-		if m := l[(start+i)%len(l)]; m.inFlight < best.inFlight {
+func leastOutstanding(candidates []*endpoint, start int) *endpoint {
+	best := candidates[start]
+	for i := range candidates {
+		if m := candidates[(start+i)%len(candidates)]; m.inFlight < best.inFlight {
 			best = m
 		}
 	}
@@ -162,19 +164,19 @@
 
 func (p *basicPolicy) startAttempt(now decide.Millis, r *request) []decide.Action {
 	c := p.settings.Classes[r.Class]
-	var l []*endpoint
+	var candidates []*endpoint
 	for _, m := range p.order {
 		if m.State == decide.EndpointReady && m != r.lastFailed && (c.Zones == nil || slices.Contains(c.Zones, m.Zone)) {
-			l = append(l, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(l) == 0 && r.lastFailed != nil && r.lastFailed.State == decide.EndpointReady {
-		l = append(l, r.lastFailed)
+	if len(candidates) == 0 && r.lastFailed != nil && r.lastFailed.State == decide.EndpointReady {
+		candidates = append(candidates, r.lastFailed)
 	}
-	if len(l) == 0 || r.attempts >= p.settings.MaxAttempts {
+	if len(candidates) == 0 || r.attempts >= p.settings.MaxAttempts {
 		return p.giveUp(r)
 	}
-	r.current = p.choose(p, r, l)
+	r.current = p.choose(p, r, candidates)
 	r.current.inFlight++
 	r.attempts++
 	return []decide.Action{decide.StartAttempt{ID: r.ID, Endpoint: r.current.ID, Timeout: max(r.deadline-now, 0.001)}}
--- a/internal/emulator/scenario/timeline.go
+++ b/internal/emulator/scenario/timeline.go
@@ -277,19 +277,19 @@
 
 // Rate returns the arrival rate of first tries at a time, per second.
 func (t *Timeline) Rate(at float64) float64 {
-	r := t.scenario.Load.PerSecond
+	rate := t.scenario.Load.PerSecond
 	if t.scenario.Load.Shape == "wave" {
-		r *= 1 + t.swing*math.Sin(2*math.Pi*at/t.scenario.Load.PeriodMS+t.wavePhase)
+		rate *= 1 + t.swing*math.Sin(2*math.Pi*at/t.scenario.Load.PeriodMS+t.wavePhase)
 	}
 	for _, b := range t.loadBursts {
 		if at >= b.from && at < b.until {
-			r *= b.multiple
+			rate *= b.multiple
 		}
 	}
 	for _, b := range t.bursts {
 		if at >= b.from && at < b.until {
-			r *= b.multiple
+			rate *= b.multiple
 		}
 	}
-	return r
+	return rate
 }
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -37,22 +37,22 @@
 
 func (c *checker) check(s *Scenario) {
 	c.checkDuration("/duration_ms", s.DurationMS, minRunMS)
-	for i, k := range s.Classes {
+	for i, class := range s.Classes {
 		path := "/classes/" + strconv.Itoa(i)
-		c.checkDuration(path+"/deadline_ms", k.DeadlineMS, minSpanMS)
-		if k.LatencyObjectiveMS > k.DeadlineMS {
+		c.checkDuration(path+"/deadline_ms", class.DeadlineMS, minSpanMS)
+		if class.LatencyObjectiveMS > class.DeadlineMS {
 			c.add(path+"/aim_ms", "the latency objective is beyond the deadline", "set it to at most deadline_ms")
 		}
-		if k.MemoryMB > s.Engines.MemoryMB {
+		if class.MemoryMB > s.Engines.MemoryMB {
 			c.add(path+"/memory_mb", "a query needs more memory than an engine has", "set it to at most /engines/memory_mb")
 		}
-		for _, zone := range k.AllowedZones {
+		for _, zone := range class.AllowedZones {
 			if zone >= len(s.Zones) {
 				c.add(path+"/halls", fmt.Sprintf("there is no zone %d", zone), fmt.Sprintf("use indexes of /halls, from 0 to %d", len(s.Zones)-1))
 			}
 		}
-		c.checkRange(path+"/work_ms", k.WorkMS)
-		c.checkRange(path+"/io", k.IORatio)
+		c.checkRange(path+"/work_ms", class.WorkMS)
+		c.checkRange(path+"/io", class.IORatio)
 	}
 	c.checkRange("/network/cross_ms", s.Network.CrossZoneMS)
 	c.checkRange("/engines/speed", s.Engines.Speed)
--- a/internal/emulator/simulation/determinism_test.go
+++ b/internal/emulator/simulation/determinism_test.go
@@ -36,11 +36,11 @@
 			shortMS = map[string]float64{"fleet-100": 3000, "fleet-1000": 400}[name]
 		}
 		runtime.GOMAXPROCS(1)
-		one := reportJSON(t, name, 7, "module", shortMS)
+		want := reportJSON(t, name, 7, "module", shortMS)
 		runtime.GOMAXPROCS(8)
-		require.Equal(t, one, reportJSON(t, name, 7, "module", shortMS), name)
+		require.Equal(t, want, reportJSON(t, name, 7, "module", shortMS), name)
 		if shortMS == 0 {
-			require.NotEqual(t, one, reportJSON(t, name, 8, "module", shortMS), "another seed gives another report: %s", name)
+			require.NotEqual(t, want, reportJSON(t, name, 8, "module", shortMS), "another seed gives another report: %s", name)
 		}
 	}
 }
