--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -10,12 +10,12 @@
 	"aniseloft/internal/millis"
 )
 
-// maxOpenRequests is the upper limit of open requests; the settings can only lower it.
+// maxOpenRequests is the maximum number of requests that are open at once; the settings can only lower it.
 const maxOpenRequests = 12000
 
-// estimateTolerance is the factor by which a client's timeout may exceed its class's deadline, and its
-// estimates the capacity of the largest endpoint: estimates are rough, and some clients wait longer
-// than the deadline of their class.
+// estimateTolerance is the factor by which a client's timeout may exceed the deadline of its class, and by
+// which the client's estimates may exceed the capacity of the largest endpoint: estimates are rough, and
+// some clients wait longer than the deadline of their class.
 const estimateTolerance = 4
 
 // Errors of ValidateEstimates. Their texts are sent to clients.
@@ -64,7 +64,7 @@
 // follower whose leader ended without a result.
 func (d *Dispatcher) admit(ticket Ticket, query Query, responder Responder) {
 	r := &request{Ticket: ticket, query: query, responder: responder, priority: -1}
-	if d.ending {
+	if d.processEnding {
 		answer := d.unservedAnswer(r, reasonProcessEnds)
 		answer.RetryAfter = d.endingRetryAfter
 		d.answer(r, answer)
@@ -79,13 +79,13 @@
 		d.answer(r, Answer{Kind: Failed, Reason: reasonCallInUse})
 		return
 	}
-	keyed := d.settings.Classes[query.Class].Idempotency == decide.IdempotentByKey
-	follows, err := d.coalescer.join(r, keyed)
+	usesKeys := d.settings.Classes[query.Class].Idempotency == decide.IdempotentByKey
+	isFollower, err := d.coalescer.join(r, usesKeys)
 	if err != nil {
 		d.answer(r, Answer{Kind: Failed, Reason: err.Error()})
 		return
 	}
-	if follows { // an endpoint would drop it as a duplicate; it gets the result of its leader
+	if isFollower { // an endpoint would drop the request as a duplicate; the request gets the result of its leader
 		d.Counters.followers.Add(1)
 		d.startFollowerTimer(r)
 		return
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	prioritizeTimeout = time.Second
+	prioritizeTimeout = time.Second // maximum duration of a call that sets an attempt's priority
 	// progressInterval is the minimum time between two progress reports of a streamed result.
 	progressInterval = 100 * time.Millisecond
 )
 
 // attempt is one execution of a request at an endpoint. It is running or has ended.
 type attempt struct {
-	endpoint  *tableEntry // nil: it was no longer on the endpoint list
+	endpoint  *tableEntry // nil: the endpoint had left the endpoint list before the attempt started
 	startedAt time.Time
 	cancel    context.CancelFunc
 	ended     bool
 	outcome   decide.Outcome // valid once ended is true
 }
 
-// endpointName returns the endpoint's name for the log.
+// endpointName returns the name of the attempt's endpoint for the log, or "gone" if the attempt has no endpoint.
 func (a *attempt) endpointName() string {
 	if a.endpoint == nil {
 		return "gone"
@@ -45,7 +45,7 @@
 	a := &attempt{endpoint: e, startedAt: time.Now(), cancel: cancel}
 	index := len(r.attempts)
 	r.attempts = append(r.attempts, a)
-	r.running++
+	r.runningAttempts++
 	d.Counters.attemptStarted(r.query.Class)
 	d.log.Debug("attempt started", "call", r.query.CallID, "class", r.query.Class, "attempt", index,
 		"endpoint", a.endpointName(), "timeout_ms", timeout.Milliseconds())
@@ -112,8 +112,8 @@
 // stream, and its endpoint must not be mistaken for an unresponsive one.
 type progressSink struct {
 	ResultSink
-	report     func()
-	reportedAt time.Time
+	report     func()    // reports progress to the balancer
+	reportedAt time.Time // time of the latest progress report
 }
 
 // WritePage reports progress, at most once per progressInterval, and writes the page.
@@ -191,7 +191,7 @@
 func (d *Dispatcher) recordOutcome(r *request, a *attempt, outcome decide.Outcome) {
 	a.ended, a.outcome = true, outcome
 	a.cancel()
-	r.running--
+	r.runningAttempts--
 	if a.neverRan() {
 		d.runHistory.forget(r.key(), millis.FromTime(a.startedAt))
 	}
@@ -209,7 +209,7 @@
 	} else if r.clientLeft.Load() {
 		d.answer(r, d.unservedAnswer(r, reasonClientLeft))
 	}
-	if r.closed() { // also the followers of a request whose own client has left
+	if r.closed() { // answered above, or the request's own client left earlier and only its followers wait
 		d.releaseFollowers(r, answer)
 	}
 }
--- a/internal/routing/coalescing.go
+++ b/internal/routing/coalescing.go
@@ -41,9 +41,10 @@
 	return &coalescer{leaders: map[requestKey]*request{}, followers: map[decide.RequestID]*request{}}
 }
 
-// join makes a request a follower of the leader of its key, or the leader if there is none.
-func (c *coalescer) join(r *request, keyed bool) (follows bool, err error) {
-	if !keyed || r.query.IdempotencyKey == "" {
+// join makes a request a follower of the leader of its key, or the leader if there is none. usesKeys
+// reports whether the request's class has idempotency keys; otherwise join does nothing.
+func (c *coalescer) join(r *request, usesKeys bool) (isFollower bool, err error) {
+	if !usesKeys || r.query.IdempotencyKey == "" {
 		return false, nil
 	}
 	leader := c.leaders[r.key()]
@@ -109,7 +110,7 @@
 			continue
 		}
 		responder := follower.responder
-		follower.timer.Stop()
+		follower.deadlineTimer.Stop()
 		d.afterEvent(func() { d.admit(follower.Ticket, follower.query, responder) })
 	}
 }
@@ -136,7 +137,7 @@
 // startFollowerTimer limits the wait of a follower to its own deadline.
 func (d *Dispatcher) startFollowerTimer(r *request) {
 	wait := max(time.Until(r.query.Deadline), 0)
-	r.timer = time.AfterFunc(wait, func() { d.post(func() { d.followerDeadlineExceeded(r) }) })
+	r.deadlineTimer = time.AfterFunc(wait, func() { d.post(func() { d.followerDeadlineExceeded(r) }) })
 }
 
 // followerDeadlineExceeded answers a follower whose leader has not ended by the follower's deadline.
--- a/internal/routing/coalescing_test.go
+++ b/internal/routing/coalescing_test.go
@@ -12,10 +12,10 @@
 // A follower must not be sent under its withdrawn leader's call ID: that would run a request whose client has left.
 func TestFollowerOfWithdrawnUnsentLeaderUsesOwnCallID(t *testing.T) {
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
-	_, first := submit(d, "one", keyedClass, "k") // no endpoint is listed, so the request is queued
+	_, leaderTicket := submit(d, "one", keyedClass, "k") // no endpoint is listed, so the request is queued
 	second, _ := submit(d, "two", keyedClass, "k")
 	third, _ := submit(d, "three", keyedClass, "k")
-	d.Withdraw(first)
+	d.Withdraw(leaderTicket)
 	flush(t, d)
 	listEndpoint()
 	attempt := upstream.next(t)
@@ -32,18 +32,18 @@
 func TestRetryAfterWithdrawnLeaderUsesFollowerCallID(t *testing.T) {
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	listEndpoint()
-	first, one := submit(d, "one", keyedClass, "k")
+	first, firstTicket := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
 	second, _ := submit(d, "two", keyedClass, "k")
-	third, three := submit(d, "three", keyedClass, "k")
-	d.Withdraw(one)
-	d.Withdraw(three)
+	third, thirdTicket := submit(d, "three", keyedClass, "k")
+	d.Withdraw(firstTicket)
+	d.Withdraw(thirdTicket)
 	flush(t, d)
 	require.NoError(t, attempt.ctx.Err(), "not cancelled: the second request follows it")
 	attempt.end(decide.OutcomeError)
-	again := upstream.next(t)
-	require.Equal(t, "two", again.CallID)
-	again.end(decide.OutcomeSucceeded)
+	retry := upstream.next(t)
+	require.Equal(t, "two", retry.CallID)
+	retry.end(decide.OutcomeSucceeded)
 	require.Equal(t, Succeeded, receive(t, second.answers).Kind)
 	flush(t, d)
 	require.Empty(t, first.answers)
@@ -56,36 +56,36 @@
 func TestRunIsCancelledWhenLastFollowerLeaves(t *testing.T) {
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	listEndpoint()
-	_, one := submit(d, "one", keyedClass, "k")
+	_, leaderTicket := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
-	_, two := submit(d, "two", keyedClass, "k")
-	d.Withdraw(one)
+	_, followerTicket := submit(d, "two", keyedClass, "k")
+	d.Withdraw(leaderTicket)
 	flush(t, d)
 	require.NoError(t, attempt.ctx.Err())
-	d.Withdraw(two)
+	d.Withdraw(followerTicket)
 	flush(t, d)
 	require.Error(t, attempt.ctx.Err())
 	attempt.end(decide.OutcomeCancelled)
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
 	require.Zero(t, d.OpenRequests())
-	served, _ := submit(d, "three", keyedClass, "k")
-	last := upstream.next(t)
-	require.Equal(t, "three", last.CallID, "the key is available again")
-	last.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, served.answers).Kind)
+	third, _ := submit(d, "three", keyedClass, "k")
+	thirdAttempt := upstream.next(t)
+	require.Equal(t, "three", thirdAttempt.CallID, "the key is available again")
+	thirdAttempt.end(decide.OutcomeSucceeded)
+	require.Equal(t, Succeeded, receive(t, third.answers).Kind)
 }
 
 // The endpoints' deduplication window begins with the first attempt. A retry that is ordered within the window must not
 // start after it, when a slow dial completes: the query would run twice.
 func TestRetryDoesNotStartAfterDedupWindow(t *testing.T) {
-	const window = 300 * time.Millisecond
-	d, upstream, listEndpoint := startDispatcher(t, true, float64(window.Milliseconds()))
+	const dedupWindow = 300 * time.Millisecond
+	d, upstream, listEndpoint := startDispatcher(t, true, float64(dedupWindow.Milliseconds()))
 	listEndpoint()
 	recorder, _ := submit(d, "one", keyedClass, "k")
 	first := upstream.next(t)
 	require.True(t, first.StillReady())
-	sent := time.Now() // the window began earlier
+	afterSend := time.Now() // the deduplication window began earlier
 	first.end(decide.OutcomeAnswerLost)
 	var second *fakeAttempt
 	select {
@@ -95,7 +95,7 @@
 		return
 	}
 	require.Equal(t, "one", second.CallID)
-	for time.Since(sent) < window { // simulates a slow dial
+	for time.Since(afterSend) < dedupWindow { // simulates a slow dial
 		time.Sleep(time.Millisecond)
 	}
 	require.False(t, second.StillReady())
@@ -108,21 +108,21 @@
 // A run that ended without a result still counts under its key after its request has ended. Once the deduplication window
 // is over, endpoints would no longer drop duplicates, so a follower or a later request under the key must not run.
 func TestRequestAfterDedupWindowOfEarlierRunFails(t *testing.T) {
-	const window = 300 * time.Millisecond
-	d, upstream, listEndpoint := startDispatcher(t, true, float64(window.Milliseconds()))
+	const dedupWindow = 300 * time.Millisecond
+	d, upstream, listEndpoint := startDispatcher(t, true, float64(dedupWindow.Milliseconds()))
 	listEndpoint()
 	first, _ := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
 	follower, _ := submit(d, "two", keyedClass, "k")
 	flush(t, d)
-	for startedAt := time.Now(); time.Since(startedAt) < window; { // the endpoint is still working
+	for startedAt := time.Now(); time.Since(startedAt) < dedupWindow; { // the endpoint is still working
 		time.Sleep(time.Millisecond)
 	}
 	attempt.end(decide.OutcomeError)
 	require.Equal(t, Failed, receive(t, first.answers).Kind)
 	require.Equal(t, Failed, receive(t, follower.answers).Kind, "a follower")
-	late, _ := submit(d, "three", keyedClass, "k")
-	require.Equal(t, Failed, receive(t, late.answers).Kind, "a later request")
+	later, _ := submit(d, "three", keyedClass, "k")
+	require.Equal(t, Failed, receive(t, later.answers).Kind, "a later request")
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
 	other, _ := submit(d, "four", keyedClass, "another")
@@ -141,13 +141,13 @@
 			{Name: "b", Address: "127.0.0.1:2", EndpointInfo: decide.EndpointInfo{ID: 2, Zone: 1, State: b}}})
 	}
 	setStates(decide.EndpointReady, decide.EndpointDraining)
-	_, one := submit(d, "one", keyedClass, "k")
+	_, ticket := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
-	d.Withdraw(one)
+	d.Withdraw(ticket)
 	attempt.end(decide.OutcomeCancelled)
 	require.Eventually(t, func() bool { return attemptCount(t, d, "one") < 0 }, waitTimeout, time.Millisecond, "the request has ended")
 	setStates(decide.EndpointDraining, decide.EndpointReady)
-	again, _ := submit(d, "two", keyedClass, "k")
+	retry, _ := submit(d, "two", keyedClass, "k")
 	_, _ = submit(d, "three", keyedClass, "new")
 	require.Equal(t, 1, attemptCount(t, d, "three"))
 	require.Zero(t, attemptCount(t, d, "two"), "the retry waits for an endpoint of its zone")
@@ -156,5 +156,5 @@
 	attempt = upstream.next(t)
 	require.Equal(t, "two", attempt.CallID)
 	attempt.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, again.answers).Kind)
+	require.Equal(t, Succeeded, receive(t, retry.answers).Kind)
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -12,9 +12,9 @@
 // and package fleetlog rely on the names that String prints.
 type Counters struct {
 	classes        []classCounters
-	cancellations  atomic.Int64
-	probes         atomic.Int64
-	panics         atomic.Int64 // of the decision module
+	cancellations  atomic.Int64 // attempts cancelled by order of the balancer
+	probes         atomic.Int64 // load reports requested from endpoints
+	panics         atomic.Int64 // panics of the decision module
 	followers      atomic.Int64 // requests that waited for a leader with the same key
 	answeredAtExit atomic.Int64 // requests answered by AnswerAllOpen
 }
@@ -27,13 +27,13 @@
 type classCounters struct {
 	name            string
 	submitted       atomic.Int64
-	withdrawn       atomic.Int64
+	withdrawn       atomic.Int64 // requests whose client left before the answer
 	attemptsStarted atomic.Int64
 	answers         [answerKinds]atomic.Int64
 	attemptsEnded   [outcomeKinds]atomic.Int64
 }
 
-// outcomeNames are the names of the outcomes in counters and logs.
+// outcomeNames are the names of the outcomes in counters and logs, indexed by decide.Outcome.
 var outcomeNames = [outcomeKinds]string{"served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "lost"}
 
 func newCounters(settings decide.Settings) *Counters {
--- a/internal/routing/describe.go
+++ b/internal/routing/describe.go
@@ -16,7 +16,7 @@
 	d.post(func() {
 		var b strings.Builder
 		for _, status := range d.balancer.EndpointStatuses(millis.Now()) {
-			d.describe(&b, status)
+			d.describeEndpoint(&b, status)
 		}
 		text <- b.String()
 	})
@@ -28,7 +28,8 @@
 	}
 }
 
-func (d *Dispatcher) describe(b *strings.Builder, status decide.EndpointStatus) {
+// describeEndpoint writes the line of one endpoint.
+func (d *Dispatcher) describeEndpoint(b *strings.Builder, status decide.EndpointStatus) {
 	name, address, busy, idle := "gone", "", 0, 0
 	if e := d.endpoints[status.ID]; e != nil {
 		name, address = e.Name, e.Address
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -12,7 +12,7 @@
 	"aniseloft/internal/millis"
 )
 
-const inboxSize = 4096 // events
+const inboxSize = 4096 // maximum number of queued events
 
 // Dispatcher owns the balancer and all open requests.
 //
@@ -30,9 +30,9 @@
 	upstreams UpstreamFactory
 	log       *slog.Logger
 
-	inbox    chan func()
-	done     chan struct{} // closed when Run ends
-	deferred []func()      // events that Run handles right after the current one
+	inbox          chan func()   // queued events, handled by Run
+	done           chan struct{} // closed when Run ends
+	deferredEvents []func()      // events that Run handles right after the current one
 
 	requests           map[decide.RequestID]*request
 	callIDs            map[string]struct{} // call IDs of the open requests, by which endpoints identify them
@@ -42,8 +42,8 @@
 	maxOpen            int // maximum number of open requests
 	freeStatementBytes int // bytes left for the statements of further requests
 
-	ending           bool // AnswerAllOpen was called: further requests are rejected
-	endingRetryAfter time.Duration
+	processEnding    bool          // AnswerAllOpen was called: further requests are rejected
+	endingRetryAfter time.Duration // retry delay of these rejections
 
 	lastID        atomic.Uint64
 	openCount     atomic.Int64
@@ -119,12 +119,12 @@
 
 // afterEvent defers an event until the current one has been handled. Run's goroutine uses it instead
 // of post, as it must never wait for its own inbox.
-func (d *Dispatcher) afterEvent(event func()) { d.deferred = append(d.deferred, event) }
+func (d *Dispatcher) afterEvent(event func()) { d.deferredEvents = append(d.deferredEvents, event) }
 
 func (d *Dispatcher) runDeferred() {
-	for len(d.deferred) > 0 {
+	for len(d.deferredEvents) > 0 {
 		var event func()
-		event, d.deferred = d.deferred[0], d.deferred[1:]
+		event, d.deferredEvents = d.deferredEvents[0], d.deferredEvents[1:]
 		event()
 	}
 }
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -6,12 +6,12 @@
 	"aniseloft/decide"
 )
 
-// tableEntry is an endpoint of the endpoint list together with its client.
+// tableEntry is an endpoint of the endpoint list together with the client that sends attempts to it.
 type tableEntry struct {
-	Endpoint          // as passed to the balancer: the list entry with the admin override applied
-	listed   Endpoint // the list entry without the override
-	upstream Upstream
-	ready    atomic.Bool // attempts check it before they send their first byte
+	Endpoint           // as passed to the balancer: the list entry with the admin override applied
+	listEntry Endpoint // the list entry without the override
+	upstream  Upstream
+	ready     atomic.Bool // whether attempts may start; checked before the first byte of an attempt is sent
 }
 
 // UpdateEndpoints queues an update of the endpoint list.
@@ -22,22 +22,22 @@
 // applyUpdate updates the endpoint table and then passes the update to the balancer.
 func (d *Dispatcher) applyUpdate(kind decide.UpdateKind, entries []Endpoint) {
 	event := decide.EndpointUpdate{Kind: kind}
-	present := map[decide.EndpointID]bool{}
+	listedIDs := map[decide.EndpointID]bool{}
 	for _, entry := range entries {
 		d.log.Debug("endpoint listed", "endpoint", entry.Name, "state", int(entry.State), "started_ms", entry.StartedAt, "zone", entry.Zone)
 		event.Entries = append(event.Entries, d.updateEndpoint(entry))
-		present[entry.ID] = true
+		listedIDs[entry.ID] = true
 	}
 	if kind != decide.UpdateIncremental {
-		d.removeAbsent(present)
+		d.removeAbsent(listedIDs)
 	}
 	d.handle(event)
 }
 
 // removeAbsent removes the endpoints that are not part of a complete list.
-func (d *Dispatcher) removeAbsent(present map[decide.EndpointID]bool) {
+func (d *Dispatcher) removeAbsent(listedIDs map[decide.EndpointID]bool) {
 	for id, e := range d.endpoints {
-		if !present[id] {
+		if !listedIDs[id] {
 			d.removeEndpoint(id)
 			d.overrides.setUnlisted(e.Name)
 		}
@@ -47,7 +47,7 @@
 // updateEndpoint applies one list entry to the table and returns it with the admin override applied, for the balancer.
 func (d *Dispatcher) updateEndpoint(entry Endpoint) decide.EndpointInfo {
 	e := d.endpoints[entry.ID]
-	listed := entry
+	listEntry := entry
 	entry.EndpointInfo = d.overrides.apply(entry)
 	if entry.State == decide.EndpointRemoved {
 		d.removeEndpoint(entry.ID)
@@ -56,7 +56,7 @@
 	// A new address or a later start time means a new process, so the connections to the old one are closed.
 	if e != nil && (entry.Address != "" && e.Address != entry.Address || entry.StartedAt > e.StartedAt) {
 		if entry.Address == "" {
-			entry.Address, listed.Address = e.Address, e.Address
+			entry.Address, listEntry.Address = e.Address, e.Address
 		}
 		d.removeEndpoint(entry.ID)
 		e = nil
@@ -65,7 +65,7 @@
 		e = &tableEntry{Endpoint: entry, upstream: d.upstreams.Upstream(entry)}
 		d.endpoints[entry.ID] = e
 	}
-	e.listed = listed
+	e.listEntry = listEntry
 	e.State, e.StartedAt = entry.State, max(e.StartedAt, entry.StartedAt)
 	e.ready.Store(entry.State == decide.EndpointReady)
 	return entry.EndpointInfo
@@ -83,7 +83,7 @@
 func (d *Dispatcher) reapplyOverrides() {
 	var entries []Endpoint
 	for _, e := range d.endpoints {
-		entries = append(entries, e.listed)
+		entries = append(entries, e.listEntry)
 	}
 	if len(entries) > 0 {
 		d.applyUpdate(decide.UpdateIncremental, entries)
--- a/internal/routing/finalanswer.go
+++ b/internal/routing/finalanswer.go
@@ -26,9 +26,9 @@
 func (d *Dispatcher) retryable(r *request) (retryable, keyUsed bool) {
 	windowStart := math.Inf(1) // the deduplication window of the key has not begun
 	now := millis.Now()
-	earlier := d.runHistory.earlierRun(r.key(), now)
-	if earlier != nil {
-		windowStart = earlier.StartedAt
+	earlierRun := d.runHistory.earlierRun(r.key(), now)
+	if earlierRun != nil {
+		windowStart = earlierRun.StartedAt
 	}
-	return d.settings.Classes[r.query.Class].ClientMayRetry(windowStart, now), earlier != nil
+	return d.settings.Classes[r.query.Class].ClientMayRetry(windowStart, now), earlierRun != nil
 }
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -14,7 +14,7 @@
 // waitTimeout limits every wait for an expected event. No test result depends on how soon the event occurs.
 const waitTimeout = 20 * time.Second
 
-// fakeAttempt is an attempt at a fakeUpstream. Its first byte has not been sent.
+// fakeAttempt is an attempt at a fakeUpstream. It sends nothing; the test ends it with end.
 type fakeAttempt struct {
 	AttemptSpec
 	ctx     context.Context
@@ -25,7 +25,7 @@
 	a.results <- Result{Outcome: outcome, Body: []byte("a\tb\tc\n")}
 }
 
-// fakeUpstream passes its attempts to the test, which ends them with end.
+// fakeUpstream is the Upstream of all endpoints. It passes the attempts to the test.
 type fakeUpstream struct{ attempts chan *fakeAttempt }
 
 func (u *fakeUpstream) Run(ctx context.Context, a AttemptSpec) Result {
@@ -68,20 +68,20 @@
 )
 
 // testSettings returns settings with an idempotent class and one with idempotency keys and the given deduplication window.
-func testSettings(cancellation bool, window decide.Millis) decide.Settings {
+func testSettings(cancellation bool, dedupWindow decide.Millis) decide.Settings {
 	return decide.Settings{
 		Balancers: 1, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: cancellation, MaxRetryAfter: 100,
 		Kinds: []decide.EndpointKind{{Cores: 16}}, KindNames: []string{"std"}, ZoneNames: []string{"a"},
 		Classes: []decide.Class{
 			{Name: "look", LatencyObjective: 8000, Deadline: 10000, Threads: 1, PriorityWeight: 1},
-			{Name: "load", LatencyObjective: 8000, Deadline: 10000, Threads: 1, PriorityWeight: 1, Idempotency: decide.IdempotentByKey, DedupWindow: window},
+			{Name: "load", LatencyObjective: 8000, Deadline: 10000, Threads: 1, PriorityWeight: 1, Idempotency: decide.IdempotentByKey, DedupWindow: dedupWindow},
 		},
 	}
 }
 
 // startDispatcher runs a dispatcher with testSettings and one fake endpoint, which listEndpoint adds to the endpoint list.
-func startDispatcher(t *testing.T, cancellation bool, window decide.Millis) (d *Dispatcher, upstream *fakeUpstream, listEndpoint func()) {
-	d, upstream = startDispatcherWith(t, testSettings(cancellation, window))
+func startDispatcher(t *testing.T, cancellation bool, dedupWindow decide.Millis) (d *Dispatcher, upstream *fakeUpstream, listEndpoint func()) {
+	d, upstream = startDispatcherWith(t, testSettings(cancellation, dedupWindow))
 	return d, upstream, func() {
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, State: decide.EndpointReady}}})
 	}
@@ -128,6 +128,7 @@
 	return ""
 }
 
+// submit submits a request and returns the recorder of its answers and its ticket.
 func submit(d *Dispatcher, call string, class int, key string) (*answerRecorder, Ticket) {
 	a := &answerRecorder{make(chan Answer, 2)}
 	return a, d.Submit(Query{CallID: call, Class: class, Statement: []byte("x"), Deadline: time.Now().Add(waitTimeout), IdempotencyKey: key}, a)
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -17,12 +17,13 @@
 	Ticket
 	query     Query
 	responder Responder // nil once the request is answered or withdrawn
-	gate      sendGate  // closed with the final answer
-	timer     *time.Timer
-	grantMB   float64
-	priority  int // -1: not set
-	attempts  []*attempt
-	running   int // attempts without an outcome
+	gate      sendGate  // prevents attempts from starting after the final answer
+	// deadlineTimer answers the request if nothing else has by its deadline, see startDeadlineTimer and startFollowerTimer.
+	deadlineTimer   *time.Timer
+	grantMB         float64 // memory grant of the request's later attempts
+	priority        int     // of the request's attempts; -1: not set
+	attempts        []*attempt
+	runningAttempts int // number of attempts that have not ended
 	// Coalescing: the request whose result this one waits for, and the requests that wait for this one.
 	leader    *request
 	followers []*request
@@ -68,7 +69,7 @@
 	d.Counters.withdrawn(r.query.Class)
 	d.close(r)
 	d.handle(decide.ClientDisconnected{ID: r.requestID})
-	if r.running == 0 { // no running attempt can produce a result for the followers
+	if r.runningAttempts == 0 { // no running attempt can produce a result for the followers
 		d.releaseFollowers(r, Answer{Kind: Failed})
 	}
 	d.removeIfDone(r)
@@ -85,7 +86,7 @@
 // checks whether its client has left.
 func (d *Dispatcher) detach(id decide.RequestID) {
 	r := d.requests[id]
-	if r == nil || r.closed() || r.running > 0 {
+	if r == nil || r.closed() || r.runningAttempts > 0 {
 		return
 	}
 	d.answer(r, d.unservedAnswer(r, reasonClientLeft))
@@ -100,7 +101,7 @@
 // listener may have received one just before.
 func (d *Dispatcher) AnswerAllOpen(retryAfter time.Duration) {
 	d.post(func() {
-		d.ending, d.endingRetryAfter = true, retryAfter
+		d.processEnding, d.endingRetryAfter = true, retryAfter
 		for _, r := range d.requests {
 			if r.closed() && len(r.followers) == 0 {
 				continue
@@ -127,7 +128,7 @@
 // not done so by the deadline plus deadlineGrace.
 func (d *Dispatcher) startDeadlineTimer(r *request) {
 	wait := max(time.Until(r.query.Deadline), 0) + deadlineGrace
-	r.timer = time.AfterFunc(wait, func() { d.post(func() { d.deadlineExceeded(r) }) })
+	r.deadlineTimer = time.AfterFunc(wait, func() { d.post(func() { d.deadlineExceeded(r) }) })
 }
 
 func (d *Dispatcher) deadlineExceeded(r *request) {
@@ -170,14 +171,14 @@
 func (d *Dispatcher) close(r *request) {
 	r.responder = nil
 	d.openCount.Add(-1)
-	if r.timer != nil {
-		r.timer.Stop()
+	if r.deadlineTimer != nil {
+		r.deadlineTimer.Stop()
 	}
 }
 
 // removeIfDone removes a request that is closed and has no running attempt.
 func (d *Dispatcher) removeIfDone(r *request) {
-	if r.closed() && r.running == 0 && d.requests[r.requestID] == r {
+	if r.closed() && r.runningAttempts == 0 && d.requests[r.requestID] == r {
 		d.freeStatementBytes += len(r.query.Statement)
 		delete(d.requests, r.requestID)
 		delete(d.callIDs, r.query.CallID)
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -92,9 +92,9 @@
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, State: decide.EndpointReady}}})
 		var a *answerRecorder
 		var attempt *fakeAttempt
-		for left := 200 * time.Millisecond; attempt == nil; left *= 2 { // on a stalled machine the deadline may pass before the attempt starts
+		for timeLeft := 200 * time.Millisecond; attempt == nil; timeLeft *= 2 { // on a stalled machine the deadline may pass before the attempt starts
 			a = &answerRecorder{make(chan Answer, 2)}
-			d.Submit(Query{CallID: left.String(), Class: class, Statement: []byte("x"), Deadline: time.Now().Add(left)}, a)
+			d.Submit(Query{CallID: timeLeft.String(), Class: class, Statement: []byte("x"), Deadline: time.Now().Add(timeLeft)}, a)
 			select {
 			case attempt = <-upstream.attempts:
 			case <-a.answers:
--- a/internal/routing/sendgate.go
+++ b/internal/routing/sendgate.go
@@ -7,9 +7,9 @@
 // the dispatcher calls close; neither call blocks.
 type sendGate struct {
 	mu      sync.Mutex // guards the fields below
-	closed  bool
-	sending int    // number of attempts whose first byte is being written
-	onIdle  func() // set by close while sending is above 0; called when it becomes 0
+	closed  bool       // set with the final answer: no further attempt may start
+	sending int        // number of attempts whose first byte is being written
+	onIdle  func()     // set by close while sending is above 0; called when sending becomes 0
 }
 
 // begin reports whether an attempt may send its first byte. If so, the caller must call sent as soon as the byte has been
--- a/internal/routing/tablegroup.go
+++ b/internal/routing/tablegroup.go
@@ -33,8 +33,8 @@
 	if i > 0 && tokens[i-1].text == "." && i+2 == len(tokens) {
 		return false
 	}
-	threeNames := i+3 < len(tokens) && tokens[i+2].isIdentifier && tokens[i+3].text == "."
-	return !threeNames
+	hasThreeNames := i+3 < len(tokens) && tokens[i+2].isIdentifier && tokens[i+3].text == "."
+	return !hasThreeNames
 }
 
 // schemaNumber returns the number after the last underscore of a schema name, if that is a group number.
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -13,11 +13,11 @@
 	Class          string
 	Statement      []byte
 	Timeout        time.Duration
-	GrantMB        float64
-	Priority       int    // -1: not set
-	IdempotencyKey string // empty: none
-	Sink           ResultSink
-	// Exclusive is set if the query must not have another attempt while this one may run: Run then
+	GrantMB        float64    // memory granted to the attempt
+	Priority       int        // -1: not set
+	IdempotencyKey string     // empty: none
+	Sink           ResultSink // receives a streamed result; nil: the result is one body
+	// Exclusive is set if the query must not have another attempt while this attempt may run: Run then
 	// returns only once the endpoint can no longer be working on the attempt.
 	Exclusive bool
 	// OnProgress receives the progress that the endpoint reports while the attempt runs.
@@ -52,7 +52,7 @@
 	Prioritize(ctx context.Context, call string, priority int) error
 	// Probe requests a load report from the endpoint.
 	Probe(ctx context.Context) (decide.Outcome, *decide.LoadReport)
-	// Connections returns the number of connections that carry a call and of idle ones.
+	// Connections returns how many of the endpoint's connections carry a call and how many are idle.
 	Connections() (busy, idle int)
 	// Close releases the endpoint's connections.
 	Close()
