--- a/internal/program/budget.go
+++ b/internal/program/budget.go
@@ -39,9 +39,9 @@
 	// connection, store, files in $TMPDIR, reservedAdminConnections and some spare ones.
 	reservedDescriptors      = 24
 	reservedAdminConnections = 4
-	clientDivisor            = 3 // clients get a third of the descriptors
-	restClientDivisor        = 4 // REST clients get a fourth of the clients' connections
-	adminDivisor             = 48
+	clientDivisor            = 3  // clients get a third of the descriptors
+	restClientDivisor        = 4  // REST clients get a fourth of the clients' connections
+	adminDivisor             = 48 // connections for operators' commands get 1/48 of the descriptors
 	// nonRequestConnections is the number of upstream connections for cancellations, priorities and probes.
 	nonRequestConnections = 16
 	// inFlightFraction is the fraction of upstream connections that attempts may use. The others stay
@@ -58,22 +58,22 @@
 
 // connectionBudget is the maximum number of connections of each kind.
 type connectionBudget struct {
-	clients     int // JSON-RPC clients
-	restClients int
-	admin       int
-	upstream    int
+	clients     int // from JSON-RPC clients
+	restClients int // from clients of the paged REST protocol
+	admin       int // for operators' commands
+	upstream    int // to endpoints
 }
 
 // divideSockets divides the descriptor limit among the kinds of connections.
-func divideSockets(sockets int, gossip, rest bool) connectionBudget {
+func divideSockets(sockets int, hasGossip, hasREST bool) connectionBudget {
 	clientSockets := sockets / clientDivisor
 	admin := min(max(sockets/adminDivisor, 1), clients.MaxAdminConnections)
 	reserved := reservedDescriptors + max(admin-reservedAdminConnections, 0)
-	if gossip {
+	if hasGossip {
 		reserved++
 	}
 	b := connectionBudget{clients: clientSockets, admin: admin, upstream: sockets - clientSockets - reserved}
-	if rest {
+	if hasREST {
 		b.restClients = clientSockets / restClientDivisor
 		b.clients -= b.restClients
 	}
@@ -102,15 +102,15 @@
 }
 
 // upstreamTimeouts returns the connect timeout and the idle timeout of upstream connections.
-func upstreamTimeouts(settings decide.Settings) (connect, idle time.Duration) {
-	connect, idle = defaultConnectTimeout, defaultIdleTimeout
+func upstreamTimeouts(settings decide.Settings) (connectTimeout, idleTimeout time.Duration) {
+	connectTimeout, idleTimeout = defaultConnectTimeout, defaultIdleTimeout
 	if settings.ConnectTimeout > 0 {
-		connect = millis.Duration(settings.ConnectTimeout)
+		connectTimeout = millis.Duration(settings.ConnectTimeout)
 	}
 	if settings.IdleConnectionTimeout > 0 {
-		idle = millis.Duration(settings.IdleConnectionTimeout * idleTimeoutFraction)
+		idleTimeout = millis.Duration(settings.IdleConnectionTimeout * idleTimeoutFraction)
 	}
-	return connect, idle
+	return connectTimeout, idleTimeout
 }
 
 // gossipEnabled reports whether this coordinator exchanges gossip with others.
--- a/internal/program/budget_test.go
+++ b/internal/program/budget_test.go
@@ -13,9 +13,9 @@
 
 func TestDivideSockets(t *testing.T) {
 	for _, c := range []struct {
-		sockets      int
-		gossip, rest bool
-		want         connectionBudget
+		sockets            int
+		hasGossip, hasREST bool
+		want               connectionBudget
 	}{
 		{64, false, false, connectionBudget{clients: 21, admin: 1, upstream: 19}},
 		{384, false, false, connectionBudget{clients: 128, admin: 8, upstream: 228}},
@@ -23,7 +23,7 @@
 		{1024, true, false, connectionBudget{clients: 341, admin: 16, upstream: 646}},
 		{1024, true, true, connectionBudget{clients: 256, restClients: 85, admin: 16, upstream: 646}},
 	} {
-		require.Equal(t, c.want, divideSockets(c.sockets, c.gossip, c.rest), c)
+		require.Equal(t, c.want, divideSockets(c.sockets, c.hasGossip, c.hasREST), c)
 	}
 }
 
@@ -36,10 +36,10 @@
 }
 
 func TestUpstreamIdleTimeoutIsShorterThanEndpoints(t *testing.T) {
-	connect, idle := upstreamTimeouts(decide.Settings{})
-	require.Equal(t, defaultConnectTimeout, connect)
-	require.Equal(t, defaultIdleTimeout, idle)
-	connect, idle = upstreamTimeouts(decide.Settings{ConnectTimeout: 100, IdleConnectionTimeout: 15000})
-	require.Equal(t, millis.Duration(100), connect)
-	require.Equal(t, millis.Duration(12000), idle)
+	connectTimeout, idleTimeout := upstreamTimeouts(decide.Settings{})
+	require.Equal(t, defaultConnectTimeout, connectTimeout)
+	require.Equal(t, defaultIdleTimeout, idleTimeout)
+	connectTimeout, idleTimeout = upstreamTimeouts(decide.Settings{ConnectTimeout: 100, IdleConnectionTimeout: 15000})
+	require.Equal(t, millis.Duration(100), connectTimeout)
+	require.Equal(t, millis.Duration(12000), idleTimeout)
 }
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -19,7 +19,7 @@
   TMPDIR      directory of the state and lock files shared with the next process at an upgrade
 
 Optional files, relative to the working directory:
-  deploy/rest.json   paged REST protocol, its record and its spool
+  deploy/rest.json   paged REST protocol, its record (SQL store of queries) and its spool (results on disk)
   deploy/log.json    log settings
 
 Signals:
--- a/internal/program/drainstate.go
+++ b/internal/program/drainstate.go
@@ -31,8 +31,8 @@
 	return d.state.Paused()
 }
 
-// setLongestDeadline sets the longest deadline of all classes, which determines the time of the kill. It must be
-// called before the drain starts.
+// setLongestDeadline sets the longest deadline of all classes, which determines when the platform kills the process
+// after SIGTERM. It must be called before the drain starts.
 func (d *drainState) setLongestDeadline(deadline time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/program/drillfaults.go
+++ b/internal/program/drillfaults.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// drillClockVariable is the environment variable by which a drill gives this process a wrong clock. The
+	// drillClockVariable is the environment variable by which a drill (a fault injection test) gives this process a
+	// wrong clock. The
 	// value is the clock's rate, followed by jumps in milliseconds, each with the time since the start, in
 	// milliseconds: "1.1 3600000@5000". It is not set in a normal run.
 	drillClockVariable = "ANISELOFT_DRILL_CLOCK"
@@ -31,11 +32,11 @@
 type clockJump struct{ atMS, byMS float64 }
 
 // fleetClock returns the clock for leases, in milliseconds. It starts at 0 when fleetClock is called and is
-// monotonic, apart from the rate and the jumps that the drill configures.
-func fleetClock(drill string) (func() lease.Millis, error) {
+// monotonic, apart from the rate and the jumps in setting, the value of drillClockVariable.
+func fleetClock(setting string) (func() lease.Millis, error) {
 	start, rate := time.Now(), 1.0
 	var jumps []clockJump
-	for i, field := range strings.Fields(drill) {
+	for i, field := range strings.Fields(setting) {
 		jump, isJump, err := parseClockSetting(field)
 		switch {
 		case err != nil:
@@ -71,19 +72,20 @@
 	return jump, isJump, err
 }
 
-// diskFault is a disk that is full for some time, or a single slow save.
+// diskFault is a simulated disk that is full for some time, or a single slow save.
 type diskFault struct {
-	full     bool
-	startsAt time.Duration // time since the start
+	full     bool          // true: the disk is full; false: one save is slow
+	startsAt time.Duration // time since the start of the process
 	duration time.Duration
 	done     bool // set after the slow save, which happens once
 }
 
-// drillDiskFaults returns a function that injects the drill's faults into a save of a consensus replica.
-// It is to be called before each save, by one goroutine only. It is nil if there are no faults.
-func drillDiskFaults(drill string) (func() error, error) {
+// drillDiskFaults returns a function that injects the faults in setting, the value of drillDiskVariable, into the
+// saves of a consensus replica. The function is to be called before each save, by one goroutine only. It is nil if
+// there are no faults.
+func drillDiskFaults(setting string) (func() error, error) {
 	var faults []diskFault
-	for _, field := range strings.Fields(drill) {
+	for _, field := range strings.Fields(setting) {
 		fault, err := parseDiskFault(field)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %q: %w", drillDiskVariable, field, err)
@@ -106,10 +108,10 @@
 
 func parseDiskFault(field string) (diskFault, error) {
 	kind, times, _ := strings.Cut(field, ":")
-	duration, at, timed := strings.Cut(times, "@")
+	duration, at, hasStart := strings.Cut(times, "@")
 	durationMS, durationErr := strconv.ParseFloat(duration, 64)
 	atMS, atErr := strconv.ParseFloat(at, 64)
-	if durationErr != nil || atErr != nil || !timed || kind != "slow" && kind != "full" {
+	if durationErr != nil || atErr != nil || !hasStart || kind != "slow" && kind != "full" {
 		return diskFault{}, errDiskSyntax
 	}
 	return diskFault{
--- a/internal/program/filelock.go
+++ b/internal/program/filelock.go
@@ -34,7 +34,7 @@
 	}, err == nil
 }
 
-// replaceFile replaces a file atomically: a process that is killed meanwhile leaves the old file and a temporary one
+// replaceFile replaces a file atomically: a process that is killed meanwhile leaves the old file and a temporary file
 // that is never read. It does not sync, as the file need not survive a crash of the machine.
 func replaceFile(path string, content []byte) error {
 	temporary := path + ".tmp-" + strconv.Itoa(os.Getpid())
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -10,7 +10,8 @@
 )
 
 // fleetMember coordinates this coordinator with the others through leases. It is a member of the consensus
-// group, which a lean build does not support, or a client of the record.
+// group, which a lean build does not support, or a client of the record (the SQL store of REST queries), in
+// whose rows leases are granted.
 type fleetMember interface {
 	leasebackend.Backend
 	// Reload applies a new fleet file as far as this is possible at run time.
--- a/internal/program/instancelock.go
+++ b/internal/program/instancelock.go
@@ -50,14 +50,14 @@
 	if err != nil {
 		return false
 	}
-	found := false
+	otherRunning := false
 	for _, entry := range entries {
 		path := filepath.Join(l.dir, entry.Name())
 		if strings.HasPrefix(entry.Name(), instanceFilePrefix) && path != l.path() && probeInstance(path) {
-			found = true
+			otherRunning = true
 		}
 	}
-	return found
+	return otherRunning
 }
 
 // probeInstance reports whether the process of an instance file is running, and removes the file otherwise.
--- a/internal/program/overridestore.go
+++ b/internal/program/overridestore.go
@@ -18,7 +18,7 @@
 const (
 	// stateFileName is the name of the state file in $TMPDIR, which the old and the new process of an upgrade share.
 	stateFileName = "aniseloft-state.json"
-	// statePollInterval is how often a process checks the file for changes by the other process.
+	// statePollInterval is how often a process checks the state file for changes by the other process of an upgrade.
 	statePollInterval = 100 * time.Millisecond
 	// stateLockTries limits the wait for the file lock, as an operator's call must be answered in time.
 	stateLockTries = 20
@@ -37,10 +37,10 @@
 	update func(func(*overrides.Set) (changed bool)) // runs on the dispatcher's overrides, under their lock
 	log    *slog.Logger
 
-	mu       sync.Mutex
-	modTime  time.Time          // modification time of the file when it was last read or written
-	size     int64              // size of the file at that time, in bytes
-	unsynced []overrides.Change // made without the file lock, so the file may lack them
+	mu              sync.Mutex
+	modTime         time.Time          // modification time of the file when it was last read or written
+	size            int64              // size of the file at that time, in bytes
+	unsyncedChanges []overrides.Change // changes made without the file lock, so the file may lack them
 }
 
 func newOverrideStore(dir string, update func(func(*overrides.Set) (changed bool)), log *slog.Logger) *overrideStore {
@@ -74,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	locked := false
-	if len(s.unsynced) > 0 {
+	if len(s.unsyncedChanges) > 0 {
 		var unlock func()
 		unlock, locked = lockFile(s.lockPath(), 1)
 		defer unlock()
@@ -100,7 +100,7 @@
 		return nil
 	}
 	if !locked {
-		s.unsynced = append(s.unsynced, change)
+		s.unsyncedChanges = append(s.unsyncedChanges, change)
 	}
 	s.writeFile(content)
 	return nil
@@ -115,10 +115,10 @@
 	return sequence, content
 }
 
-// synchronize adopts what the other process wrote. If the file may lack changes of this process, it
-// instead reconciles them with the file, or does nothing unless the file lock is held.
+// synchronize adopts what the other process wrote. If the file may lack changes of this process, it instead
+// reconciles these changes with the file, provided that the file lock is held (locked); otherwise it does nothing.
 func (s *overrideStore) synchronize(locked bool) {
-	if len(s.unsynced) == 0 {
+	if len(s.unsyncedChanges) == 0 {
 		s.readFile()
 		return
 	}
@@ -138,12 +138,12 @@
 	s.update(func(set *overrides.Set) bool {
 		now := millis.Now()
 		if err == nil {
-			fileOutdated = set.Reconcile(state, s.unsynced, now)
+			fileOutdated = set.Reconcile(state, s.unsyncedChanges, now)
 		}
 		content = set.Encode(now)
 		return true
 	})
-	s.unsynced = nil
+	s.unsyncedChanges = nil
 	if fileOutdated {
 		s.log.Info("state file reconciled", "path", s.path)
 		s.writeFile(content)
--- a/internal/program/phase.go
+++ b/internal/program/phase.go
@@ -13,8 +13,8 @@
 const (
 	Starting Phase = iota
 	Serving
-	Draining // after SIGTERM
-	Stopped
+	Draining // after SIGTERM: open requests are finished
+	Stopped  // all components are closed; the process exits
 )
 
 // String returns the name of the phase in the log and in answers to operators.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -27,8 +27,7 @@
 const drainCheckInterval = 10 * time.Millisecond
 
 // Program is one coordinator process. Run's goroutine owns it; fields that listeners and operators'
-// calls read are atomic or have their own lock. stop ends the goroutines of the components, except
-// those of the listeners, which end with Close.
+// calls read are atomic or have their own lock.
 type Program struct {
 	phase        atomic.Int32
 	phaseEntered time.Time
@@ -37,7 +36,7 @@
 	log          *slog.Logger
 	logLevel     *slog.LevelVar
 	errOut       io.Writer
-	stop         context.CancelFunc
+	stop         context.CancelFunc // ends the goroutines of the components, except those of the listeners
 
 	dispatcher *routing.Dispatcher
 	discovery  *discovery.Watcher
@@ -49,12 +48,12 @@
 
 	drain     drainState
 	overrides *overrideStore
-	instance  *instanceLock
+	instance  *instanceLock // lets other processes of this coordinator detect this one
 
 	// Components of the paged REST protocol; nil if it is off.
 	rest        *clients.RESTServer
 	restClients *listener.Listener
-	store       *store.Store
+	store       *store.Store // the record: the SQL store of REST queries
 	spool       *spool.Store // also nil if the spool is off
 }
 
@@ -90,7 +89,7 @@
 	return c
 }
 
-// serve handles signals and timers until the program is stopped.
+// serve handles signals and timers until the program has shut down.
 func (p *Program) serve(signals signalChannels) {
 	drainCheck := time.NewTicker(drainCheckInterval)
 	defer drainCheck.Stop()
--- a/internal/program/rest.go
+++ b/internal/program/rest.go
@@ -13,7 +13,8 @@
 
 const storeOpenTimeout = 10 * time.Second
 
-// openRest opens the record, the spool and the listener of the paged REST protocol. Queries that an
+// openRest opens the record (the SQL store of queries), the spool (results on disk or in memory) and the
+// listener of the paged REST protocol. Queries that an
 // earlier process left unfinished are ended before the listener opens, so that no client can read them
 // in that state.
 func (p *Program) openRest(ctx context.Context, settings config.REST, connections int, fleet fleetconf.Config) error {
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -13,7 +13,7 @@
 	// up to 0.4 s, and requests on open connections for another 0.2 s. Drain.Admit rejects requests that would end
 	// too late.
 	minDrainDuration = 900 * time.Millisecond
-	// quietPeriod is how long no request must have been submitted before the program may end.
+	// quietPeriod is the minimum time from the latest submitted request until a draining program may end.
 	quietPeriod = 300 * time.Millisecond
 	// secondWakeDelay is the time after which listeners are woken a second time, for connections that were between two
 	// reads the first time.
@@ -96,7 +96,8 @@
 	return p.Phase() == Draining && time.Since(p.phaseEntered) >= minDrainDuration && p.idle() && p.noNewRequests() && p.leasesReleased()
 }
 
-// idle reports whether no request is open and the end of every REST query is in the record.
+// idle reports whether no request is open and the end of every REST query has been written to the record (the SQL
+// store of queries).
 func (p *Program) idle() bool {
 	return p.dispatcher.OpenRequests() == 0 && (p.rest == nil || p.rest.Live() == 0)
 }
--- a/internal/program/spool.go
+++ b/internal/program/spool.go
@@ -25,12 +25,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", config.RESTFile, err)
 	}
-	opened, found, err := spool.Open(medium, options)
+	opened, recovery, err := spool.Open(medium, options)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", config.RESTFile, err)
 	}
-	p.log.Info("spool opened", "sealed", found.Sealed, "cleared", found.Discarded, "damaged", len(found.Damage))
-	for _, damage := range found.Damage {
+	p.log.Info("spool opened", "sealed", recovery.Sealed, "cleared", recovery.Discarded, "damaged", len(recovery.Damage))
+	for _, damage := range recovery.Damage {
 		p.log.Error("spool damaged", "at", damage.String())
 	}
 	return opened, nil
--- a/internal/program/start.go
+++ b/internal/program/start.go
@@ -82,8 +82,8 @@
 	if err != nil {
 		return err
 	}
-	connect, idle := upstreamTimeouts(settings)
-	p.pool = upstream.NewPool(budget.upstream, connect, idle, p.log)
+	connectTimeout, idleTimeout := upstreamTimeouts(settings)
+	p.pool = upstream.NewPool(budget.upstream, connectTimeout, idleTimeout, p.log)
 	settings.MaxInFlight = p.maxInFlight(budget.upstream)
 	p.drain.setLongestDeadline(longestDeadline(settings.Classes))
 	upstreams := upstream.Factory{Pool: p.pool, KindNames: settings.KindNames, RESTKinds: restKinds(rest), User: p.config.Name}
@@ -149,7 +149,8 @@
 	return nil
 }
 
-// startRest starts the paged REST protocol if it is configured. Leases that the record grants require it.
+// startRest starts the paged REST protocol if it is configured. It fails if the fleet file selects leases that the
+// record (the SQL store of REST queries) grants but no record is configured.
 func (p *Program) startRest(ctx context.Context, rest config.REST, connections int, fleet fleetconf.Config) error {
 	if rest.Listen != "" {
 		return p.openRest(ctx, rest, connections, fleet)
@@ -160,7 +161,8 @@
 	return nil
 }
 
-// startGoroutines starts the goroutines of the components. They end with ctx, those of the listeners with Close.
+// startGoroutines starts the goroutines of the components. Those of the listeners end when the listener is closed, all
+// others when ctx is cancelled.
 func (p *Program) startGoroutines(ctx context.Context) {
 	if p.fleet != nil {
 		go p.fleet.Run(ctx)
--- a/internal/program/status.go
+++ b/internal/program/status.go
@@ -30,7 +30,8 @@
 	_, _ = io.WriteString(p.errOut, text)
 }
 
-// describeOverrides returns a line with the pause and the suspended endpoints, each with its number of SUSPEND calls.
+// describeOverrides returns a line that says whether an operator has paused this coordinator, and lists the suspended
+// endpoints, each with its number of SUSPEND calls.
 func (p *Program) describeOverrides() string {
 	var suspended []string
 	p.dispatcher.UpdateOverrides(func(set *overrides.Set) bool {
