--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -34,23 +34,23 @@
 
 // heldLease is the holder's own state of a granted lease.
 type heldLease struct {
-	fence            Fence
-	expiresAt        Millis
-	reclaimed        bool // the leader has asked for its release: no new operation begins
-	activeOperations int
+	fence            Fence  // fencing token of the grant
+	expiresAt        Millis // by this client's clock
+	releaseRequested bool   // the leader has asked this client to release the lease: no new operation begins
+	activeOperations int    // number of operations between Begin and End
 }
 
 // Client holds the leases of one coordinator and tracks who holds the other jobs. It is not safe for concurrent use.
 // All times are readings of the coordinator's monotonic clock.
 type Client struct {
-	self                 Holder
-	jobs                 []string
-	driftBound           float64
-	capacity             float64
-	draining             bool
-	held                 map[string]*heldLease
+	self                 Holder                // name and incarnation of this client
+	jobs                 []string              // jobs that this client can do
+	driftBound           float64               // upper bound on how far the rate of a clock differs from 1
+	capacity             float64               // relative capacity for jobs, usually 1
+	draining             bool                  // Drain was called: no new operation begins
+	heldLeases           map[string]*heldLease // by job
 	assignments          map[string]Assignment // newest assignment seen, by job
-	released             []GrantID             // released leases, kept until a response no longer grants them
+	releasedGrants       []GrantID             // released leases, kept until a response no longer grants them
 	higherFences         map[string]Fence      // highest fence that a target has reported, by job
 	newestResponseSentAt Millis                // send time of the request that the newest response answers, or noTime
 	events               []Event
@@ -61,7 +61,7 @@
 func NewClient(self Holder, jobs []string, capacity, driftBound float64) *Client {
 	return &Client{
 		self: self, jobs: jobs, capacity: capacity, driftBound: driftBound, newestResponseSentAt: noTime,
-		held: map[string]*heldLease{}, assignments: map[string]Assignment{}, higherFences: map[string]Fence{},
+		heldLeases: map[string]*heldLease{}, assignments: map[string]Assignment{}, higherFences: map[string]Fence{},
 	}
 }
 
@@ -71,7 +71,7 @@
 // KeepAlive returns the request that renews all leases.
 func (c *Client) KeepAlive(now Millis) KeepAliveRequest {
 	c.expire(now)
-	request := KeepAliveRequest{Holder: c.self, SentAt: now, Capacity: c.capacity, Draining: c.draining, Jobs: c.jobs, Released: slices.Clone(c.released)}
+	request := KeepAliveRequest{Holder: c.self, SentAt: now, Capacity: c.capacity, Draining: c.draining, Jobs: c.jobs, Released: slices.Clone(c.releasedGrants)}
 	for _, job := range c.jobs {
 		if fence := c.higherFences[job]; fence > 0 {
 			request.HigherFences = append(request.HigherFences, GrantID{job, fence})
@@ -97,7 +97,7 @@
 		c.renew(now, response.SentAt, grant)
 	}
 	c.dropRevoked(response.Grants)
-	c.released = slices.DeleteFunc(c.released, func(id GrantID) bool { return !containsGrant(response.Grants, id) })
+	c.releasedGrants = slices.DeleteFunc(c.releasedGrants, func(id GrantID) bool { return !containsGrant(response.Grants, id) })
 	c.expire(now)
 }
 
@@ -105,23 +105,23 @@
 // received it. A response that was in flight when a target refused the fence does not restore the lease: the target
 // would refuse all further operations too.
 func (c *Client) renew(now, sentAt Millis, grant Grant) {
-	if slices.Contains(c.released, grant.GrantID) {
+	if slices.Contains(c.releasedGrants, grant.GrantID) {
 		return // the response was sent before the leader knew of the release
 	}
 	if grant.Fence <= c.higherFences[grant.Job] {
 		return // the response was sent before the leader knew of the refusal
 	}
 	expiresAt := sentAt + c.localTTL(grant.TTL)
-	held := c.held[grant.Job]
+	held := c.heldLeases[grant.Job]
 	switch {
 	case held == nil || held.fence < grant.Fence:
 		if expiresAt <= now || grant.Fence < c.assignments[grant.Job].Fence {
 			return
 		}
-		c.held[grant.Job] = &heldLease{fence: grant.Fence, expiresAt: expiresAt, reclaimed: grant.Reclaim}
+		c.heldLeases[grant.Job] = &heldLease{fence: grant.Fence, expiresAt: expiresAt, releaseRequested: grant.Reclaim}
 		c.emit(Event{Kind: EventGranted, GrantID: grant.GrantID, ExpiresAt: expiresAt})
 	case held.fence == grant.Fence:
-		held.expiresAt, held.reclaimed = max(held.expiresAt, expiresAt), held.reclaimed || grant.Reclaim
+		held.expiresAt, held.releaseRequested = max(held.expiresAt, expiresAt), held.releaseRequested || grant.Reclaim
 	}
 }
 
@@ -130,7 +130,7 @@
 
 func (c *Client) dropRevoked(grants []Grant) {
 	for _, job := range c.jobs {
-		held := c.held[job]
+		held := c.heldLeases[job]
 		if held != nil && !slices.ContainsFunc(grants, func(g Grant) bool { return g.Job == job }) {
 			c.dropLease(job, held, reasonRevoked)
 		}
@@ -146,8 +146,8 @@
 // End.
 func (c *Client) Begin(now Millis, job string) (Fence, bool) {
 	c.expire(now)
-	held := c.held[job]
-	if held == nil || held.reclaimed || c.draining {
+	held := c.heldLeases[job]
+	if held == nil || held.releaseRequested || c.draining {
 		return 0, false
 	}
 	held.activeOperations++
@@ -156,7 +156,7 @@
 
 // End marks an operation that Begin has allowed as finished.
 func (c *Client) End(now Millis, job string, fence Fence) {
-	if held := c.held[job]; held != nil && held.fence == fence {
+	if held := c.heldLeases[job]; held != nil && held.fence == fence {
 		held.activeOperations--
 	}
 	c.expire(now)
@@ -166,7 +166,7 @@
 // fence from another holder. It drops the lease and reports the fence to the leader, so that the next grant is above
 // it. A refused operation of an earlier grant is ignored if the accepted later fence is this client's own.
 func (c *Client) ObserveHigherFence(job string, refusal StaleFenceError) {
-	held := c.held[job]
+	held := c.heldLeases[job]
 	if held != nil && held.fence == refusal.Highest && refusal.Fence < refusal.Highest {
 		return
 	}
@@ -183,13 +183,13 @@
 }
 
 // Idle reports whether no lease is held and the leader knows of all releases.
-func (c *Client) Idle() bool { return len(c.held) == 0 && len(c.released) == 0 }
+func (c *Client) Idle() bool { return len(c.heldLeases) == 0 && len(c.releasedGrants) == 0 }
 
 // Held reports whether this client holds the job, and under which fence. It is for display: use Begin before an
 // operation.
 func (c *Client) Held(now Millis, job string) (Fence, bool) {
 	c.expire(now)
-	if held := c.held[job]; held != nil {
+	if held := c.heldLeases[job]; held != nil {
 		return held.fence, true
 	}
 	return 0, false
@@ -210,7 +210,7 @@
 	return true
 }
 
-// TakeEvents returns the events since the last call.
+// TakeEvents returns the events since the last call of TakeEvents.
 func (c *Client) TakeEvents() []Event {
 	events := c.events
 	c.events = nil
@@ -221,20 +221,20 @@
 // once they have no active operation.
 func (c *Client) expire(now Millis) {
 	for _, job := range c.jobs {
-		held := c.held[job]
+		held := c.heldLeases[job]
 		switch {
 		case held == nil:
 		case now >= held.expiresAt:
 			c.dropLease(job, held, reasonExpired)
-		case (held.reclaimed || c.draining) && held.activeOperations == 0:
-			c.released = append(c.released, GrantID{job, held.fence})
+		case (held.releaseRequested || c.draining) && held.activeOperations == 0:
+			c.releasedGrants = append(c.releasedGrants, GrantID{job, held.fence})
 			c.dropLease(job, held, reasonReleased)
 		}
 	}
 }
 
 func (c *Client) dropLease(job string, held *heldLease, reason Reason) {
-	delete(c.held, job)
+	delete(c.heldLeases, job)
 	c.emit(Event{Kind: EventLost, GrantID: GrantID{job, held.fence}, Reason: reason})
 }
 
--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -26,10 +26,12 @@
 	return c
 }
 
+// response returns the leader's response to a request, with the given grants.
 func response(request KeepAliveRequest, grants ...Grant) KeepAliveResponse {
 	return KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt, Grants: grants}
 }
 
+// renewal returns a grant that renews the lease of clientWithLease.
 func renewal() Grant { return Grant{GrantID: GrantID{testJob, 3}, TTL: testTTL} }
 
 func TestLeaseIsCountedFromTheSendTimeOfTheRequest(t *testing.T) {
@@ -176,13 +178,13 @@
 		holder  string
 		refused bool
 	}{
-		"the same grant":             {5, "n1/7", false},
-		"a later grant":              {6, "n2/1", false},
-		"an earlier grant":           {4, "n2/1", true},
-		"one fence, another holder":  {5, "n2/1", true},
-		"no grant":                   {0, "n1/7", true},
-		"an earlier grant, its own":  {4, "n1/7", true},
-		"a later grant, much higher": {1000, "n1/8", false},
+		"the same grant":                      {5, "n1/7", false},
+		"a later grant":                       {6, "n2/1", false},
+		"an earlier grant":                    {4, "n2/1", true},
+		"one fence, another holder":           {5, "n2/1", true},
+		"no grant":                            {0, "n1/7", true},
+		"an earlier grant of the same holder": {4, "n1/7", true},
+		"a later grant, much higher":          {1000, "n1/8", false},
 	} {
 		next, err := record.Admit(testJob, c.fence, c.holder)
 		if c.refused {
--- a/internal/lease/jobs.go
+++ b/internal/lease/jobs.go
@@ -10,7 +10,7 @@
 	OverlapSafety string `json:"Harmless"`
 }
 
-// Jobs of this release.
+// Names of the jobs of this release. Jobs describes them.
 const (
 	JobPruneRecord  = "prune-record"
 	JobReadJournal  = "read-journal"
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,12 +1,12 @@
 // Package lease defines leases on jobs that one coordinator does for the whole fleet, and the client that holds them.
 //
-// A job has at most one holder at a time. Each grant carries a fencing token, [Fence], that only grows; the target of
+// A job has at most one holder at a time. Each grant carries a fencing token, [Fence], higher than those of all earlier grants; the target of
 // the job's operations refuses a token below the highest that it has accepted ([FenceRecord]). A [Client] renews its
 // leases with the leader that [LeaderResolver] selects and decides which operations may begin.
 //
 // The package is deterministic and does no I/O: callers pass in messages and times. Grants come from the consensus
-// group (internal/consensus) or from rows of a shared record (internal/transport/leasetable). docs/leases.md argues why
-// this is safe.
+// group (internal/consensus) or from rows of a shared SQL store, the record (internal/transport/leasetable).
+// docs/leases.md argues why this is safe.
 package lease
 
 import "fmt"
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -15,7 +15,7 @@
 // Grants does not contain.
 type KeepAliveResponse struct {
 	Holder      Holder       `json:"holder"`
-	SentAt      Millis       `json:"stamp"`
+	SentAt      Millis       `json:"stamp"`            // copied from the request
 	RedirectTo  string       `json:"leader,omitempty"` // replica to ask instead; empty: the response comes from the leader
 	Grants      []Grant      `json:"grants,omitempty"`
 	Assignments []Assignment `json:"owners,omitempty"`
@@ -34,8 +34,8 @@
 
 // Operations of an AdminRequest.
 const (
-	AdminStatus   Operation = "status"
-	AdminHistory  Operation = "history"
+	AdminStatus   Operation = "status"    // return the group's Status
+	AdminHistory  Operation = "history"   // return the newest changes of leases
 	AdminMove     Operation = "move"      // prefer Target as the holder of Job; an empty target clears the preference
 	AdminStepDown Operation = "step-down" // transfer leadership to another replica
 )
@@ -44,8 +44,8 @@
 type AdminRequest struct {
 	ID        uint64    `json:"seq"` // set by the replica that receives it
 	Operation Operation `json:"op"`
-	Job       string    `json:"job,omitempty"`
-	Target    string    `json:"name,omitempty"`
+	Job       string    `json:"job,omitempty"`  // used by AdminMove
+	Target    string    `json:"name,omitempty"` // used by AdminMove: name of the client
 }
 
 // AdminResponse is the answer to an AdminRequest.
--- a/internal/lease/resolver.go
+++ b/internal/lease/resolver.go
@@ -14,29 +14,29 @@
 type LeaderResolver struct {
 	replicas           []string
 	current            int    // index of the replica that is assumed to lead
-	interval           Millis // between two keep-alive requests
-	nextAt             Millis // when the next request is due
+	interval           Millis // time between two keep-alive requests
+	nextRequestAt      Millis // when the next request is due
 	oldestUnansweredAt Millis // when the oldest unanswered request was sent, or noTime
-	redirects          int    // consecutive responses that named another leader
+	redirects          int    // number of consecutive redirects that were followed
 }
 
-// NewLeaderResolver returns a resolver that begins with replicas[first%len(replicas)]. Clients should differ in first,
+// NewLeaderResolver returns a resolver that begins with replicas[firstIndex%len(replicas)]. Clients should differ in firstIndex,
 // so that they do not all begin with the same replica. There must be at least one replica.
-func NewLeaderResolver(replicas []string, first int, leaseTTL Millis) *LeaderResolver {
-	return &LeaderResolver{replicas: replicas, current: first % len(replicas), interval: leaseTTL / KeepAlivesPerLease, oldestUnansweredAt: noTime}
+func NewLeaderResolver(replicas []string, firstIndex int, leaseTTL Millis) *LeaderResolver {
+	return &LeaderResolver{replicas: replicas, current: firstIndex % len(replicas), interval: leaseTTL / KeepAlivesPerLease, oldestUnansweredAt: noTime}
 }
 
 // Due reports whether a keep-alive request is to be sent now, and to which replica. After more than two intervals
 // without a response it moves on to the next replica.
 func (r *LeaderResolver) Due(now Millis) (replica string, due bool) {
-	if now < r.nextAt {
+	if now < r.nextRequestAt {
 		return "", false
 	}
 	if r.oldestUnansweredAt >= 0 && now-r.oldestUnansweredAt > 2*r.interval {
 		r.tryNextReplica()
 		r.oldestUnansweredAt = noTime
 	}
-	r.nextAt = now + r.interval
+	r.nextRequestAt = now + r.interval
 	if r.oldestUnansweredAt < 0 {
 		r.oldestUnansweredAt = now
 	}
@@ -56,7 +56,7 @@
 	}
 	leader := slices.Index(r.replicas, response.RedirectTo)
 	if leader >= 0 && leader != r.current && r.redirects < len(r.replicas) {
-		r.current, r.nextAt = leader, now
+		r.current, r.nextRequestAt = leader, now
 		r.redirects++
 		return
 	}
@@ -65,6 +65,6 @@
 }
 
 // SendNow makes the next request due at once.
-func (r *LeaderResolver) SendNow(now Millis) { r.nextAt = now }
+func (r *LeaderResolver) SendNow(now Millis) { r.nextRequestAt = now }
 
 func (r *LeaderResolver) tryNextReplica() { r.current = (r.current + 1) % len(r.replicas) }
--- a/internal/overrides/set.go
+++ b/internal/overrides/set.go
@@ -40,27 +40,27 @@
 type Set struct {
 	suspensions  map[string]*Suspension
 	restorations map[string]Restoration
-	listed       map[string]bool // names on the endpoint list
+	listedNames  map[string]bool // names of the endpoints on the endpoint list
 	sequence     uint64          // counts changes across processes; the state with the higher sequence is the newer one
 }
 
 // New returns an empty Set.
 func New() *Set {
-	return &Set{suspensions: map[string]*Suspension{}, restorations: map[string]Restoration{}, listed: map[string]bool{}}
+	return &Set{suspensions: map[string]*Suspension{}, restorations: map[string]Restoration{}, listedNames: map[string]bool{}}
 }
 
 // SetListed records whether an endpoint is on the endpoint list.
-func (s *Set) SetListed(endpointName string, listed bool) {
-	if listed {
-		s.listed[endpointName] = true
+func (s *Set) SetListed(endpointName string, isListed bool) {
+	if isListed {
+		s.listedNames[endpointName] = true
 	} else {
-		delete(s.listed, endpointName)
+		delete(s.listedNames, endpointName)
 	}
 }
 
 // Known reports whether an endpoint is listed or suspended.
 func (s *Set) Known(endpointName string) bool {
-	return s.listed[endpointName] || s.Suspended(endpointName)
+	return s.listedNames[endpointName] || s.Suspended(endpointName)
 }
 
 // Suspended reports whether an endpoint is suspended.
@@ -121,15 +121,15 @@
 // Apply returns an entry of the endpoint list with the overrides applied: a suspended endpoint is
 // draining, and a restored endpoint started no earlier than its restoration. A removed endpoint stays
 // removed.
-func (s *Set) Apply(endpointName string, listed decide.EndpointInfo) decide.EndpointInfo {
-	if listed.State == decide.EndpointRemoved {
-		return listed
+func (s *Set) Apply(endpointName string, entry decide.EndpointInfo) decide.EndpointInfo {
+	if entry.State == decide.EndpointRemoved {
+		return entry
 	}
 	if s.Suspended(endpointName) {
-		listed.State = decide.EndpointDraining
+		entry.State = decide.EndpointDraining
 	}
 	if restoration, ok := s.restorations[endpointName]; ok {
-		listed.StartedAt = max(listed.StartedAt, restoration.RestoredAt)
+		entry.StartedAt = max(entry.StartedAt, restoration.RestoredAt)
 	}
-	return listed
+	return entry
 }
--- a/internal/overrides/set_test.go
+++ b/internal/overrides/set_test.go
@@ -34,12 +34,12 @@
 func TestUnknownEndpointIsRejected(t *testing.T) {
 	set := New()
 	set.SetListed("s-1", true)
-	seq := set.Sequence()
+	sequence := set.Sequence()
 	_, err := set.Suspend("s-2", 1)
 	require.ErrorIs(t, err, ErrUnknownEndpoint)
 	_, err = set.Restore("s-2", 1)
 	require.ErrorIs(t, err, ErrUnknownEndpoint)
-	require.Equal(t, seq, set.Sequence())
+	require.Equal(t, sequence, set.Sequence())
 	require.Empty(t, set.Suspensions())
 }
 
@@ -50,51 +50,51 @@
 	set.SetListed("s-1", false) // the endpoint may return to the list under the same name
 	require.True(t, set.Known("s-1"))
 	require.Equal(t, decide.EndpointDraining, set.Apply("s-1", readyEndpoint).State)
-	gone := decide.EndpointInfo{ID: 1, State: decide.EndpointRemoved}
-	require.Equal(t, decide.EndpointRemoved, set.Apply("s-1", gone).State, "a removed endpoint stays removed")
+	removedEntry := decide.EndpointInfo{ID: 1, State: decide.EndpointRemoved}
+	require.Equal(t, decide.EndpointRemoved, set.Apply("s-1", removedEntry).State, "a removed endpoint stays removed")
 	wasSuspended, err := set.Restore("s-1", 2)
 	require.NoError(t, err)
 	require.True(t, wasSuspended)
 }
 
 func TestStateRoundTripAndNewerStateWins(t *testing.T) {
-	old := New()
-	old.SetListed("s-1", true)
-	old.SetListed("s-2", true)
-	_, _ = old.Suspend("s-1", 10)
-	_, _ = old.Suspend("s-2", 20)
-	_, _ = old.Restore("s-2", 30)
-	s, err := Decode(old.Encode(40))
+	predecessor := New()
+	predecessor.SetListed("s-1", true)
+	predecessor.SetListed("s-2", true)
+	_, _ = predecessor.Suspend("s-1", 10)
+	_, _ = predecessor.Suspend("s-2", 20)
+	_, _ = predecessor.Restore("s-2", 30)
+	s, err := Decode(predecessor.Encode(40))
 	require.NoError(t, err)
-	fresh := New()
-	require.True(t, fresh.Adopt(s))
-	require.True(t, fresh.Suspended("s-1"))
-	require.Equal(t, decide.Millis(30), fresh.Apply("s-2", readyEndpoint).StartedAt)
-	require.False(t, fresh.Adopt(s), "the same state has no effect the second time")
+	successor := New()
+	require.True(t, successor.Adopt(s))
+	require.True(t, successor.Suspended("s-1"))
+	require.Equal(t, decide.Millis(30), successor.Apply("s-2", readyEndpoint).StartedAt)
+	require.False(t, successor.Adopt(s), "the same state has no effect the second time")
 
 	// An older state must not undo a later change.
-	fresh.SetListed("s-2", true)
-	_, _ = fresh.Suspend("s-2", 50)
-	require.False(t, fresh.Adopt(s))
-	require.True(t, fresh.Suspended("s-2"))
+	successor.SetListed("s-2", true)
+	_, _ = successor.Suspend("s-2", 50)
+	require.False(t, successor.Adopt(s))
+	require.True(t, successor.Suspended("s-2"))
 }
 
 // Two processes change the overrides while neither holds the file lock. Whichever process wrote the
 // file last, both changes are in effect once each process has reconciled its own with the file.
 func TestReconcileKeepsChangesOfBothProcesses(t *testing.T) {
 	for _, lastWriter := range []int{0, 1} {
-		for _, first := range []int{0, 1} {
+		for _, firstReconciler := range []int{0, 1} {
 			sets, changes := newDivergedSets()
 			file := sets[lastWriter].Encode(4)
-			for _, i := range []int{first, 1 - first} {
+			for _, i := range []int{firstReconciler, 1 - firstReconciler} {
 				file = reconcileFile(t, sets[i], changes[i], file)
 			}
 			s, err := Decode(file)
 			require.NoError(t, err)
-			sets[first].Adopt(s)
+			sets[firstReconciler].Adopt(s)
 			for _, set := range sets {
 				require.True(t, set.Suspended("s-1") && set.Suspended("s-2") && !set.Suspended("s-3"),
-					"last %d, first %d: %v", lastWriter, first, set.Suspensions())
+					"last %d, first %d: %v", lastWriter, firstReconciler, set.Suspensions())
 			}
 		}
 	}
@@ -124,11 +124,11 @@
 func reconcileFile(t *testing.T, set *Set, changes []Change, file []byte) []byte {
 	s, err := Decode(file)
 	require.NoError(t, err)
-	previous := set.Sequence()
+	previousSequence := set.Sequence()
 	if !set.Reconcile(s, changes, 5) {
 		return file
 	}
-	require.Greater(t, set.Sequence(), max(previous, s.Sequence), "newer than the previous states of the set and the file")
+	require.Greater(t, set.Sequence(), max(previousSequence, s.Sequence), "newer than the previous states of the set and the file")
 	return set.Encode(5)
 }
 
--- a/internal/overrides/state.go
+++ b/internal/overrides/state.go
@@ -101,7 +101,7 @@
 // reapplies the changes that this process made without the file lock. This way the changes of neither
 // process are lost. It reports whether the file lacks any of the reapplied changes.
 func (s *Set) Reconcile(state State, changes []Change, now decide.Millis) (fileOutdated bool) {
-	previous := s.sequence
+	previousSequence := s.sequence
 	s.replace(state)
 	for _, change := range changes {
 		switch suspended := s.Suspended(change.EndpointName); {
@@ -113,9 +113,9 @@
 			fileOutdated = fileOutdated || err == nil
 		}
 	}
-	s.sequence = max(s.sequence, previous)
+	s.sequence = max(s.sequence, previousSequence)
 	if fileOutdated {
-		s.sequence = max(s.sequence, previous+1)
+		s.sequence = max(s.sequence, previousSequence+1)
 	}
 	return fileOutdated
 }
--- a/internal/overrides/state_test.go
+++ b/internal/overrides/state_test.go
@@ -9,9 +9,9 @@
 
 // The old and the new process of an upgrade both use the state file, so its encoding must stay that of commit d9ce9f6.
 func TestStateFileEncodingIsStable(t *testing.T) {
-	raw, err := os.ReadFile("testdata/aniseloft-state.json")
+	content, err := os.ReadFile("testdata/aniseloft-state.json")
 	require.NoError(t, err)
-	s, err := Decode(raw)
+	s, err := Decode(content)
 	require.NoError(t, err)
 	require.Equal(t, State{
 		Version: 1, Sequence: 5, WrittenAt: 1500.5,
@@ -20,5 +20,5 @@
 	}, s)
 	set := New()
 	require.True(t, set.Adopt(s))
-	require.Equal(t, string(raw), string(set.Encode(1500.5)))
+	require.Equal(t, string(content), string(set.Encode(1500.5)))
 }
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -209,7 +209,7 @@
 	} else if r.clientLeft.Load() {
 		d.answer(r, d.unservedAnswer(r, reasonClientLeft))
 	}
-	if r.closed() { // answered above, or the request's own client left earlier and only its followers wait
+	if r.closed() { // answered above or closed earlier; its followers may still wait
 		d.releaseFollowers(r, answer)
 	}
 }
