--- a/internal/consensus/expiry.go
+++ b/internal/consensus/expiry.go
@@ -2,8 +2,9 @@
 
 import "aniseloft/internal/lease"
 
-// forgetAfterLeases is a time in lease durations: after that long without a lapse the leader resets a client's lapse
-// count, and after that long without a keep-alive request it forgets the client.
+// forgetAfterLeases is a time in lease durations. A lapse is a lease that its client let expire. After this time without
+// a lapse the leader resets a client's lapse count, and after this time without a keep-alive request it forgets the
+// client.
 const forgetAfterLeases = 64
 
 // manageLeases expires leases that were not renewed in time and grants free jobs.
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -121,9 +121,11 @@
 	}
 }
 
-func (g *testGroup) job() lease.JobStatus { return g.replicas[g.leader()].Status().Jobs[0] }
+// jobStatus returns the leader's status of testJob.
+func (g *testGroup) jobStatus() lease.JobStatus { return g.replicas[g.leader()].Status().Jobs[0] }
 
-func (g *testGroup) count(kind EventKind) (n int) {
+// eventCount returns the number of events of a kind that the replicas have emitted.
+func (g *testGroup) eventCount(kind EventKind) (n int) {
 	for _, e := range g.events {
 		if e.Kind == kind {
 			n++
@@ -135,7 +137,7 @@
 func TestFirstReplicaBootstrapsAndTheOthersAreAdded(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.runUntilLeader()
-	require.Equal(t, 1, g.count(EventBootstrapped))
+	require.Equal(t, 1, g.eventCount(EventBootstrapped))
 	require.Equal(t, g.names, g.replicas[g.leader()].Status().Replicas)
 }
 
@@ -143,7 +145,7 @@
 	g := newTestGroup(t, 3)
 	g.partitioned["r2"] = true
 	g.run(10*lease.DefaultTiming().LeaseTTL, nil)
-	require.Zero(t, g.count(EventBootstrapped))
+	require.Zero(t, g.eventCount(EventBootstrapped))
 }
 
 func TestLeaseThatIsNotRenewedIsReleased(t *testing.T) {
@@ -151,30 +153,30 @@
 	g := newTestGroup(t, 3)
 	g.runUntilLeader()
 	g.run(3*ttl, g.keepAlive(holder1))
-	require.Equal(t, lease.JobStatus{Job: testJob, Fence: 1, Holder: "n1/7"}, g.job())
+	require.Equal(t, lease.JobStatus{Job: testJob, Fence: 1, Holder: "n1/7"}, g.jobStatus())
 	g.run(ttl-2*lease.DefaultTiming().Tick, nil)
-	require.Equal(t, "n1/7", g.job().Holder, "the lease is not released before its TTL has passed")
+	require.Equal(t, "n1/7", g.jobStatus().Holder, "the lease is not released before its TTL has passed")
 	g.run(3*lease.DefaultTiming().Tick, nil)
-	require.Empty(t, g.job().Holder)
+	require.Empty(t, g.jobStatus().Holder)
 	g.run(ttl, g.keepAlive(holder2))
-	require.Equal(t, "n2/8", g.job().Holder)
-	require.Equal(t, lease.Fence(2), g.job().Fence)
+	require.Equal(t, "n2/8", g.jobStatus().Holder)
+	require.Equal(t, lease.Fence(2), g.jobStatus().Fence)
 }
 
 func TestPartitionedLeaderRenewsNothing(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.runUntilLeader()
 	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder1))
-	old := g.leader()
-	g.partitioned[old] = true
+	oldLeader := g.leader()
+	g.partitioned[oldLeader] = true
 	g.responses = nil
-	g.call(old, func(r *Replica) {
+	g.call(oldLeader, func(r *Replica) {
 		r.HandleKeepAlive(g.now, lease.KeepAliveRequest{Holder: holder1, SentAt: g.now, Capacity: 1, Jobs: []string{testJob}})
 	})
 	require.Empty(t, g.responses, "a leader without a quorum does not respond")
 	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder2))
-	require.NotEqual(t, old, g.leader())
-	require.Equal(t, "n2/8", g.job().Holder)
+	require.NotEqual(t, oldLeader, g.leader())
+	require.Equal(t, "n2/8", g.jobStatus().Holder)
 	for _, r := range g.responses {
 		require.False(t, r.Holder == holder1 && len(r.Grants) > 0)
 	}
@@ -200,7 +202,7 @@
 	g := newTestGroup(t, 1)
 	g.runUntilLeader()
 	g.run(ttl, g.keepAlive(holder1))
-	require.Equal(t, "n1/7", g.job().Holder)
+	require.Equal(t, "n1/7", g.jobStatus().Holder)
 	g.run(ttl, g.keepAlive(holder1, holder2))
 	g.call(g.leader(), func(r *Replica) {
 		r.HandleAdmin(g.now, lease.AdminRequest{ID: 5, Operation: lease.AdminMove, Job: testJob, Target: "n2"})
@@ -212,7 +214,7 @@
 	g.call(g.leader(), func(r *Replica) {
 		r.HandleKeepAlive(g.now, lease.KeepAliveRequest{Holder: holder1, SentAt: g.now, Capacity: 1, Jobs: []string{testJob}, Released: []lease.GrantID{{Job: testJob, Fence: 1}}})
 	})
-	require.Equal(t, "n2/8", g.job().Holder)
+	require.Equal(t, "n2/8", g.jobStatus().Holder)
 }
 
 func TestReplicaStopsOnceItsDiskHasRegressed(t *testing.T) {
@@ -222,10 +224,10 @@
 	if follower == g.leader() {
 		follower = g.names[1]
 	}
-	old := g.disks[follower]
+	oldDisk := g.disks[follower]
 	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder1)) // entries that the follower acknowledges
-	require.Greater(t, len(g.disks[follower].Entries), len(old.Entries))
-	g.disks[follower] = old
+	require.Greater(t, len(g.disks[follower].Entries), len(oldDisk.Entries))
+	g.disks[follower] = oldDisk
 	g.start(follower)
 	g.run(lease.DefaultTiming().LeaseTTL, nil)
 	require.True(t, g.stopped[follower].DiskRegressed)
@@ -259,16 +261,16 @@
 	g.runUntilLeader()
 	holder := lease.Holder{Name: "c0", Incarnation: 1}
 	g.run(lease.DefaultTiming().LeaseTTL, g.keepAlive(holder))
-	before := g.job()
+	before := g.jobStatus()
 	require.Equal(t, holder.String(), before.Holder)
-	refused := lease.KeepAliveRequest{Holder: holder, SentAt: g.now, Capacity: 1, Jobs: []string{testJob},
+	holderReport := lease.KeepAliveRequest{Holder: holder, SentAt: g.now, Capacity: 1, Jobs: []string{testJob},
 		HigherFences: []lease.GrantID{{Job: testJob, Fence: before.Fence}}}
-	other := refused
-	other.Holder = lease.Holder{Name: "c1", Incarnation: 1}
-	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, other) })
+	otherReport := holderReport
+	otherReport.Holder = lease.Holder{Name: "c1", Incarnation: 1}
+	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, otherReport) })
 	g.run(lease.DefaultTiming().Tick, nil)
-	require.Equal(t, before.Holder, g.job().Holder, "a report of the current fence by another client changes nothing")
-	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, refused) })
+	require.Equal(t, before.Holder, g.jobStatus().Holder, "a report of the current fence by another client changes nothing")
+	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, holderReport) })
 	g.run(lease.DefaultTiming().LeaseTTL/4, nil)
-	require.Greater(t, g.job().Fence, before.Fence)
+	require.Greater(t, g.jobStatus().Fence, before.Fence)
 }
--- a/internal/consensus/keepalive.go
+++ b/internal/consensus/keepalive.go
@@ -26,7 +26,7 @@
 			Error: fmt.Sprintf("the name %s is in use; it is free once nothing was heard of it for %.0f ms", request.Holder.Name, r.config.Timing.LeaseTTL)})
 		return
 	}
-	r.leader.waiting = append(r.leader.waiting, pendingKeepAlive{request, now})
+	r.leader.waitingRequests = append(r.leader.waitingRequests, pendingKeepAlive{request, now})
 	r.confirmLeadership()
 	r.advance()
 }
@@ -48,11 +48,11 @@
 // confirmLeadership sends a read index request, by which a quorum confirms that this replica still leads. Without it, a
 // leader that was partitioned away would renew leases that the next leader has granted to others.
 func (r *Replica) confirmLeadership() {
-	inFlight := len(r.leader.confirming) > 0 && r.now-r.confirmationStartedAt < r.config.Timing.LeaseTTL/4
-	if len(r.leader.waiting) == 0 || inFlight {
+	inFlight := len(r.leader.confirmingRequests) > 0 && r.now-r.confirmationStartedAt < r.config.Timing.LeaseTTL/4
+	if len(r.leader.waitingRequests) == 0 || inFlight {
 		return
 	}
-	r.leader.confirming, r.leader.waiting = append(r.leader.confirming, r.leader.waiting...), nil
+	r.leader.confirmingRequests, r.leader.waitingRequests = append(r.leader.confirmingRequests, r.leader.waitingRequests...), nil
 	r.readIndexID++
 	r.confirmationStartedAt = r.now
 	r.node.ReadIndex([]byte(strconv.FormatUint(r.readIndexID, 10)))
@@ -60,9 +60,9 @@
 
 // handleLeadershipConfirmed processes the keep-alive requests that waited for the confirmation, and responds to them.
 func (r *Replica) handleLeadershipConfirmed() {
-	confirmed := r.leader.confirming
-	r.leader.confirming = nil
-	for _, p := range confirmed {
+	confirmedRequests := r.leader.confirmingRequests
+	r.leader.confirmingRequests = nil
+	for _, p := range confirmedRequests {
 		c := r.recordClient(p)
 		r.renewLeases(p)
 		r.raiseFences(p.request)
@@ -92,8 +92,8 @@
 }
 
 // raiseFences proposes to raise jobs' fences to those that targets have reported, so that the targets accept the next
-// grant. If the reported fence is the client's own, the target has accepted it from another holder, which a former
-// group granted it to. Freeing the job is then enough, as the next grant is one above.
+// grant. If the reported fence is the client's own, the target has accepted that fence from another holder, to which a
+// former consensus group had granted it. Freeing the job is then enough, as the fence of the next grant is higher by one.
 func (r *Replica) raiseFences(request lease.KeepAliveRequest) {
 	for _, id := range request.HigherFences {
 		if !slices.Contains(r.config.Jobs, id.Job) {
@@ -131,7 +131,7 @@
 			assignment.HolderName = l.Holder.Name
 		}
 		// A command in flight may change the holder of the job, so the lease is not renewed.
-		if _, changing := r.leader.proposedAt[job]; l.isHolder(c.request.Holder) && !changing {
+		if _, changeInFlight := r.leader.proposedAt[job]; l.isHolder(c.request.Holder) && !changeInFlight {
 			response.Grants = append(response.Grants, lease.Grant{GrantID: id, TTL: r.config.Timing.LeaseTTL, Reclaim: r.isReclaimed(job, l)})
 		}
 		response.Assignments = append(response.Assignments, assignment)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -52,15 +52,15 @@
 // hasLostDisk reports whether the replica of that name now announces an ID other than the voter's, as it does after it
 // has lost its disk.
 func (r *Replica) hasLostDisk(id uint64, name string) bool {
-	a, fresh := r.freshAnnouncement(name)
-	return fresh && name != r.config.Name && a.ReplicaID != id
+	a, isFresh := r.freshAnnouncement(name)
+	return isFresh && name != r.config.Name && a.ReplicaID != id
 }
 
 // addReplica proposes to add a configured replica that announces itself and is not a voter yet.
 func (r *Replica) addReplica() (proposed bool) {
 	for _, name := range r.config.Replicas {
-		a, fresh := r.freshAnnouncement(name)
-		if fresh && !r.isVoter(a.ReplicaID) {
+		a, isFresh := r.freshAnnouncement(name)
+		if isFresh && !r.isVoter(a.ReplicaID) {
 			r.proposeMembershipChange(raftpb.ConfChangeAddNode, a.ReplicaID, name)
 			return true
 		}
@@ -101,6 +101,6 @@
 		r.emit(Event{Kind: EventReplicaAdded, Replica: name})
 	}
 	// A joining replica accepts only a snapshot whose configuration contains it.
-	_, _ = r.storage.CreateSnapshot(r.applied, r.confState, r.state.encode())
+	_, _ = r.storage.CreateSnapshot(r.appliedIndex, r.confState, r.state.encode())
 	return nil
 }
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -12,11 +12,11 @@
 type PersistentState struct {
 	HardState *raftpb.HardState // nil: none, or unchanged
 	Snapshot  *raftpb.Snapshot  // nil: none, or unchanged
-	Entries   []*raftpb.Entry
+	Entries   []*raftpb.Entry   // entries of the log; in an update, those that are new
 }
 
-// Merge returns s with an update from Ready applied, which is the content of the disk after the update is written.
-// Neither argument is changed.
+// Merge returns s with an update from Ready applied, which is the content of the disk after the update is written. The
+// parameter compactIndex is the CompactIndex of the same Ready. Neither argument is changed.
 func (s PersistentState) Merge(update PersistentState, compactIndex uint64) PersistentState {
 	if update.HardState != nil {
 		s.HardState = update.HardState
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -13,8 +13,8 @@
 type clientState struct {
 	request     lease.KeepAliveRequest // newest keep-alive request
 	receivedAt  lease.Millis           // when the leader received the request, which is no earlier than the client sent it
-	lapses      int                    // number of leases that the client recently let expire
-	lastLapseAt lease.Millis
+	lapses      int                    // number of lapses: leases that the client recently let expire
+	lastLapseAt lease.Millis           // time of the client's latest lapse
 }
 
 // maxCountedLapses is the number of lapses from which the hold-down no longer grows.
--- a/internal/consensus/placement_test.go
+++ b/internal/consensus/placement_test.go
@@ -15,6 +15,7 @@
 	return r
 }
 
+// addTestClient adds a client with capacity 1 that can do testJob, after change, unless nil, has modified it.
 func (r *Replica) addTestClient(name string, change func(*clientState)) *clientState {
 	c := &clientState{request: lease.KeepAliveRequest{Holder: lease.Holder{Name: name}, Capacity: 1, Jobs: []string{testJob}}, receivedAt: r.now}
 	if change != nil {
@@ -27,10 +28,10 @@
 func TestIneligibleClientsAreNotChosen(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
 	for name, change := range map[string]func(*clientState){
-		"draining":               func(c *clientState) { c.request.Draining = true },
-		"does not know the job":  func(c *clientState) { c.request.Jobs = []string{lease.JobReadJournal} },
-		"silent for half a TTL":  func(c *clientState) { c.receivedAt -= ttl / 2 },
-		"has just let one lapse": func(c *clientState) { c.lapses, c.lastLapseAt = 1, c.receivedAt },
+		"draining":                    func(c *clientState) { c.request.Draining = true },
+		"does not know the job":       func(c *clientState) { c.request.Jobs = []string{lease.JobReadJournal} },
+		"silent for half a TTL":       func(c *clientState) { c.receivedAt -= ttl / 2 },
+		"has just let a lease expire": func(c *clientState) { c.lapses, c.lastLapseAt = 1, c.receivedAt },
 	} {
 		r := newTestLeader(100 * ttl)
 		r.addTestClient("n1", change)
@@ -52,32 +53,32 @@
 }
 
 func TestJobsSpreadInProportionToCapacity(t *testing.T) {
-	const jobs = 4000
+	const jobCount = 4000
 	r := newTestLeader(0)
 	chosen := map[string]int{}
 	for n, capacity := range []float64{1, 1, 2} {
 		r.addTestClient(fmt.Sprint("n", n), func(c *clientState) { c.request.Capacity = capacity })
 	}
-	for n := range jobs {
+	for n := range jobCount {
 		job := fmt.Sprint("job-", n)
 		for _, c := range r.leader.clients {
 			c.request.Jobs = []string{job}
 		}
 		chosen[r.chooseHolder(job, JobLease{}).request.Holder.Name]++
 	}
-	require.InDelta(t, jobs/4, chosen["n0"], jobs/20)
-	require.InDelta(t, jobs/4, chosen["n1"], jobs/20)
-	require.InDelta(t, jobs/2, chosen["n2"], jobs/20)
+	require.InDelta(t, jobCount/4, chosen["n0"], jobCount/20)
+	require.InDelta(t, jobCount/4, chosen["n1"], jobCount/20)
+	require.InDelta(t, jobCount/2, chosen["n2"], jobCount/20)
 }
 
 func TestHoldDownDoublesWithEachLapseUpToABound(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
-	for lapses, leases := range map[int]float64{1: 1, 2: 2, 3: 4, 6: 32, 7: 32, 50: 32} {
+	for lapses, leaseDurations := range map[int]float64{1: 1, 2: 2, 3: 4, 6: 32, 7: 32, 50: 32} {
 		r := newTestLeader(0)
 		c := r.addTestClient("n1", func(c *clientState) { c.lapses = lapses })
-		r.now = leases*ttl - 1
+		r.now = leaseDurations*ttl - 1
 		require.True(t, r.isHeldDown(c), "%d lapses", lapses)
-		r.now = leases * ttl
+		r.now = leaseDurations * ttl
 		require.False(t, r.isHeldDown(c), "%d lapses", lapses)
 	}
 }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -13,8 +13,8 @@
 
 // Message is a raft message to another replica.
 type Message struct {
-	GroupID   uint64
-	Recipient string
+	GroupID   uint64 // consensus group of the sender
+	Recipient string // name of the replica to send the message to
 	Raft      *raftpb.Message
 }
 
@@ -116,7 +116,7 @@
 }
 
 func (r *Replica) applyEntry(e *raftpb.Entry) {
-	r.applied = e.GetIndex()
+	r.appliedIndex = e.GetIndex()
 	switch e.GetType() {
 	case raftpb.EntryConfChange:
 		if r.applyConfChange(e) != nil {
@@ -180,14 +180,14 @@
 // compact replaces the applied part of the log with a snapshot once it has compactionThreshold entries.
 func (r *Replica) compact() {
 	first, _ := r.storage.FirstIndex()
-	if r.applied < first+compactionThreshold {
+	if r.appliedIndex < first+compactionThreshold {
 		return
 	}
-	snapshot, err := r.storage.CreateSnapshot(r.applied, r.confState, r.state.encode())
-	if err != nil || r.storage.Compact(r.applied) != nil {
+	snapshot, err := r.storage.CreateSnapshot(r.appliedIndex, r.confState, r.state.encode())
+	if err != nil || r.storage.Compact(r.appliedIndex) != nil {
 		return
 	}
 	pending := r.pendingPersist()
-	pending.Snapshot, r.ready.CompactIndex = snapshot, r.applied
-	pending.Entries = slices.DeleteFunc(pending.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= r.applied })
+	pending.Snapshot, r.ready.CompactIndex = snapshot, r.appliedIndex
+	pending.Entries = slices.DeleteFunc(pending.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= r.appliedIndex })
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -40,42 +40,42 @@
 // A Replica is owned by one goroutine and is not safe for concurrent use. Every method that takes a time expects the
 // caller's monotonic clock in milliseconds. After each call the caller carries out the work that Ready returns.
 type Replica struct {
-	config    Config
-	now       lease.Millis
-	lastTick  lease.Millis
-	node      *raft.RawNode
-	storage   *raft.MemoryStorage // in-memory copy of the state that the caller persists as Ready requests
-	state     *StateMachine
-	confState *raftpb.ConfState
-	applied   uint64 // index of the last applied entry
-	ready     Ready
-	stopped   bool // the disk regressed or raft panicked, and the replica does nothing further
+	config       Config
+	now          lease.Millis // time of the caller's latest call
+	lastTick     lease.Millis // time of the latest tick
+	node         *raft.RawNode
+	storage      *raft.MemoryStorage // in-memory copy of the state that the caller persists as Ready requests
+	state        *StateMachine
+	confState    *raftpb.ConfState
+	appliedIndex uint64 // index of the last applied log entry
+	ready        Ready
+	stopped      bool // the disk regressed or raft panicked, and the replica does nothing further
 
 	ticksWithoutLeader int
 	campaignAfter      int // ticks without a leader after which this replica campaigns
 
-	acceptedGroupID  uint64 // ID of the group that the last accepted raft message came from; 0: none yet
-	announcements    map[string]receivedAnnouncement
-	nextAnnouncement lease.Millis
+	acceptedGroupID  uint64                          // ID of the group that the last accepted raft message came from; 0: none yet
+	announcements    map[string]receivedAnnouncement // newest announcement of each other replica, by name
+	nextAnnouncement lease.Millis                    // when the next announcement is due
 
 	term                  uint64 // term that the leader state belongs to
 	leader                leaderState
-	readIndexID           uint64 // ID of the newest read index request, which confirms leadership
-	confirmationStartedAt lease.Millis
-	lastAdminID           uint64
+	readIndexID           uint64       // ID of the newest read index request, which confirms leadership
+	confirmationStartedAt lease.Millis // when the newest read index request was sent
+	lastAdminID           uint64       // key of the newest request in leader.adminRequests
 }
 
 // leaderState is state that only the leader has. It is not replicated and starts empty in each term.
 type leaderState struct {
-	serving            bool // an entry of the leader's own term has been applied, so its state machine is up to date
-	servingSince       lease.Millis
-	clients            map[string]*clientState       // by name
+	serving            bool                          // an entry of the leader's own term has been applied, so its state machine is up to date
+	servingSince       lease.Millis                  // when serving became true
+	clients            map[string]*clientState       // by client name
 	renewedAt          map[string]lease.Millis       // receipt of the holder's newest keep-alive request, by job
 	proposedAt         map[string]lease.Millis       // when the command in flight was proposed, by job
-	waiting            []pendingKeepAlive            // requests for the next confirmation of leadership
-	confirming         []pendingKeepAlive            // requests for the confirmation in flight
+	waitingRequests    []pendingKeepAlive            // requests for the next confirmation of leadership
+	confirmingRequests []pendingKeepAlive            // requests for the confirmation in flight
 	membershipChangeAt lease.Millis                  // when the membership change in flight was proposed; 0: none
-	adminRequests      map[uint64]lease.AdminRequest // moves in flight, by lastAdminID when they were proposed
+	adminRequests      map[uint64]lease.AdminRequest // move requests in flight, by the value of lastAdminID when each was proposed
 }
 
 func newLeaderState() leaderState {
@@ -147,7 +147,7 @@
 		ElectionTick:              r.config.Timing.ElectionTicks,
 		HeartbeatTick:             r.config.Timing.HeartbeatTicks,
 		Storage:                   r.storage,
-		Applied:                   r.applied,
+		Applied:                   r.appliedIndex,
 		MaxSizePerMsg:             maxBytesPerMessage,
 		MaxInflightMsgs:           maxInflightMessages,
 		CheckQuorum:               true,
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	r.state, r.applied, r.confState = m, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	r.state, r.appliedIndex, r.confState = m, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	return nil
 }
 
@@ -298,11 +298,12 @@
 	r.term = term
 }
 
-// resetLeaderState clears the leader state, redirects waiting keep-alive requests and rejects waiting admin requests.
+// resetLeaderState clears the leader state, redirects the keep-alive requests that wait for a response, and rejects the
+// admin requests in flight.
 func (r *Replica) resetLeaderState() {
 	old := r.leader
 	r.leader = newLeaderState()
-	for _, pending := range append(old.confirming, old.waiting...) {
+	for _, pending := range append(old.confirmingRequests, old.waitingRequests...) {
 		r.redirect(pending.request)
 	}
 	for _, id := range slices.Sorted(maps.Keys(old.adminRequests)) {
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -22,9 +22,9 @@
 // StateMachine is the replicated state. Replicas that apply the same commands in the same order have equal state
 // machines.
 type StateMachine struct {
-	GroupID    uint64               `json:"council"` // replica ID of the replica that bootstrapped the group
-	Generation uint64               `json:"generation"`
-	Replicas   map[uint64]string    `json:"seats"` // names by replica ID
+	GroupID    uint64               `json:"council"`    // replica ID of the replica that bootstrapped the group
+	Generation uint64               `json:"generation"` // highest committed generation of the fleet configuration
+	Replicas   map[uint64]string    `json:"seats"`      // names by replica ID
 	Jobs       map[string]*JobLease `json:"jobs"`
 	History    []lease.HistoryEntry `json:"history"`
 }
@@ -70,10 +70,10 @@
 	Kind       commandKind   `json:"k"`
 	Job        string        `json:"j,omitempty"`
 	Fence      lease.Fence   `json:"f,omitempty"` // fence that the job must have; for commandRaiseFence, its new fence
-	Holder     *lease.Holder `json:"h,omitempty"`
-	Preferred  string        `json:"n,omitempty"`
+	Holder     *lease.Holder `json:"h,omitempty"` // used by commandGrant
+	Preferred  string        `json:"n,omitempty"` // used by commandPrefer; empty: clears the preference
 	Reason     lease.Reason  `json:"w,omitempty"`
-	Generation uint64        `json:"g,omitempty"`
+	Generation uint64        `json:"g,omitempty"` // used by commandSetGeneration
 }
 
 // Errors of apply. After either error the state machine is unchanged, except that a previously
--- a/internal/consensus/statemachine_test.go
+++ b/internal/consensus/statemachine_test.go
@@ -16,25 +16,25 @@
 )
 
 func TestApplyRejectsOutdatedAndUnknownCommands(t *testing.T) {
-	free, held := JobLease{Fence: 3}, JobLease{Fence: 3, Holder: &holder1}
+	freeLease, heldLease := JobLease{Fence: 3}, JobLease{Fence: 3, Holder: &holder1}
 	for name, c := range map[string]struct {
 		before  JobLease
 		command command
 		after   JobLease
 		err     error
 	}{
-		"grant":                        {free, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, JobLease{Fence: 4, Holder: &holder2}, nil},
-		"grant of a held job":          {held, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, held, errOutdatedCommand},
-		"grant under an old fence":     {free, command{Kind: commandGrant, Fence: 2, Holder: &holder2}, free, errOutdatedCommand},
-		"grant without a holder":       {free, command{Kind: commandGrant, Fence: 3}, free, errOutdatedCommand},
-		"release":                      {held, command{Kind: commandRelease, Fence: 3}, free, nil},
-		"release of a free job":        {free, command{Kind: commandRelease, Fence: 3}, free, errOutdatedCommand},
-		"release of an earlier grant":  {held, command{Kind: commandRelease, Fence: 2}, held, errOutdatedCommand},
-		"raise frees the job":          {held, command{Kind: commandRaiseFence, Fence: 9}, JobLease{Fence: 9}, nil},
-		"raise to the current fence":   {held, command{Kind: commandRaiseFence, Fence: 3}, held, errOutdatedCommand},
-		"preference leaves the holder": {held, command{Kind: commandPrefer, Preferred: "n2"}, JobLease{Fence: 3, Holder: &holder1, Preferred: "n2"}, nil},
-		"a command of a later release": {held, command{Kind: "split"}, held, errUnknownCommand},
-		"a command without a kind":     {free, command{Kind: ""}, free, errUnknownCommand},
+		"grant":                        {freeLease, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, JobLease{Fence: 4, Holder: &holder2}, nil},
+		"grant of a held job":          {heldLease, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, heldLease, errOutdatedCommand},
+		"grant under an old fence":     {freeLease, command{Kind: commandGrant, Fence: 2, Holder: &holder2}, freeLease, errOutdatedCommand},
+		"grant without a holder":       {freeLease, command{Kind: commandGrant, Fence: 3}, freeLease, errOutdatedCommand},
+		"release":                      {heldLease, command{Kind: commandRelease, Fence: 3}, freeLease, nil},
+		"release of a free job":        {freeLease, command{Kind: commandRelease, Fence: 3}, freeLease, errOutdatedCommand},
+		"release of an earlier grant":  {heldLease, command{Kind: commandRelease, Fence: 2}, heldLease, errOutdatedCommand},
+		"raise frees the job":          {heldLease, command{Kind: commandRaiseFence, Fence: 9}, JobLease{Fence: 9}, nil},
+		"raise to the current fence":   {heldLease, command{Kind: commandRaiseFence, Fence: 3}, heldLease, errOutdatedCommand},
+		"preference leaves the holder": {heldLease, command{Kind: commandPrefer, Preferred: "n2"}, JobLease{Fence: 3, Holder: &holder1, Preferred: "n2"}, nil},
+		"a command of a later release": {heldLease, command{Kind: "split"}, heldLease, errUnknownCommand},
+		"a command without a kind":     {freeLease, command{Kind: ""}, freeLease, errUnknownCommand},
 	} {
 		m := newStateMachine()
 		m.Jobs[testJob] = &c.before
--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -12,14 +12,14 @@
 
 // allocation assigns offered work to zones. All amounts are core-ms per second.
 type allocation struct {
-	settings    Settings
-	capacities  []float64                            // by zone
-	usableRatio func(entry, destination int) float64 // part of the destination's capacity that a link may use
-	classes     []int                                // class indexes by descending weight per work
-	routes      []route                              // by ascending latency
-	remaining   []float64                            // unassigned capacity, by zone
-	unplaced    [][]float64                          // offered work that is not assigned to a zone, by entry and class
-	assigned    [][][]float64                        // assigned work, by entry, class and destination
+	settings          Settings
+	capacities        []float64                            // by zone
+	usableRatio       func(entry, destination int) float64 // part of the destination's capacity that the link from entry may use
+	classes           []int                                // class indexes by descending weight per work
+	routes            []route                              // by ascending latency
+	remainingCapacity []float64                            // capacity that no work is assigned to, by zone
+	unplacedWork      [][]float64                          // offered work that is not assigned to a zone, by entry and class
+	assignedWork      [][][]float64                        // assigned work, by entry, class and destination
 }
 
 // allocate splits offered work in three steps. It assigns work locally as far as there is capacity; then, by descending
@@ -29,10 +29,10 @@
 	a := &allocation{
 		settings: s, capacities: capacities, usableRatio: usableRatio,
 		classes: s.classesByWeight(), routes: s.routesByLatency(),
-		remaining: slices.Clone(capacities), assigned: s.newSplit(),
+		remainingCapacity: slices.Clone(capacities), assignedWork: s.newSplit(),
 	}
 	for _, byClass := range offered {
-		a.unplaced = append(a.unplaced, slices.Clone(byClass))
+		a.unplacedWork = append(a.unplacedWork, slices.Clone(byClass))
 	}
 	a.assignLocally()
 	a.assignRemotely()
@@ -66,15 +66,15 @@
 		return
 	}
 	linkWork := 0.0
-	for _, byZone := range a.assigned[r.entry] {
+	for _, byZone := range a.assignedWork[r.entry] {
 		linkWork += byZone[r.destination]
 	}
 	linkLimit := a.usableRatio(r.entry, r.destination)*a.capacities[r.destination] - linkWork
-	available := math.Max(math.Min(a.remaining[r.destination]-reserve, linkLimit), 0)
-	work := math.Min(a.unplaced[r.entry][class], available)
-	a.assigned[r.entry][class][r.destination] += work
-	a.unplaced[r.entry][class] -= work
-	a.remaining[r.destination] -= work
+	available := math.Max(math.Min(a.remainingCapacity[r.destination]-reserve, linkLimit), 0)
+	work := math.Min(a.unplacedWork[r.entry][class], available)
+	a.assignedWork[r.entry][class][r.destination] += work
+	a.unplacedWork[r.entry][class] -= work
+	a.remainingCapacity[r.destination] -= work
 }
 
 // displace assigns the remaining work, by descending weight per work, in place of local work with less weight per work.
@@ -90,26 +90,26 @@
 // first, as far as the destination's capacity for remote work allows. The replaced work is rejected. Work on a link
 // that has not fully recovered displaces nothing.
 func (a *allocation) displaceLighter(class int, r route) {
-	if a.unplaced[r.entry][class] <= 0 || a.usableRatio(r.entry, r.destination) < 1 {
+	if a.unplacedWork[r.entry][class] <= 0 || a.usableRatio(r.entry, r.destination) < 1 {
 		return
 	}
 	if !a.settings.permitted(a.settings.Classes[class], r.entry, r.destination) {
 		return
 	}
 	limit := math.Max((1-localReserveRatio)*a.capacities[r.destination]-a.remoteWork(r.destination), 0)
-	for _, lighter := range slices.Backward(a.classes) {
-		if limit <= 0 || a.unplaced[r.entry][class] <= 0 {
+	for _, lighterClass := range slices.Backward(a.classes) {
+		if limit <= 0 || a.unplacedWork[r.entry][class] <= 0 {
 			return
 		}
-		if a.settings.Classes[lighter].weightPerWork() >= a.settings.Classes[class].weightPerWork() {
+		if a.settings.Classes[lighterClass].weightPerWork() >= a.settings.Classes[class].weightPerWork() {
 			return
 		}
-		local := a.assigned[r.destination][lighter][r.destination]
-		work := math.Min(math.Min(local, a.unplaced[r.entry][class]), limit)
-		a.assigned[r.destination][lighter][r.destination] -= work
-		a.unplaced[r.destination][lighter] += work
-		a.assigned[r.entry][class][r.destination] += work
-		a.unplaced[r.entry][class] -= work
+		local := a.assignedWork[r.destination][lighterClass][r.destination]
+		work := math.Min(math.Min(local, a.unplacedWork[r.entry][class]), limit)
+		a.assignedWork[r.destination][lighterClass][r.destination] -= work
+		a.unplacedWork[r.destination][lighterClass] += work
+		a.assignedWork[r.entry][class][r.destination] += work
+		a.unplacedWork[r.entry][class] -= work
 		limit -= work
 	}
 }
@@ -117,7 +117,7 @@
 // remoteWork returns the work that is assigned to a zone from other zones.
 func (a *allocation) remoteWork(zone int) float64 {
 	total := 0.0
-	for entry, byClass := range a.assigned {
+	for entry, byClass := range a.assignedWork {
 		if entry == zone {
 			continue
 		}
@@ -141,7 +141,7 @@
 				continue
 			}
 			for zone := range ratios {
-				ratios[zone] = a.assigned[entry][class][zone] / offered[entry][class]
+				ratios[zone] = a.assignedWork[entry][class][zone] / offered[entry][class]
 			}
 		}
 	}
--- a/internal/failover/allocation_test.go
+++ b/internal/failover/allocation_test.go
@@ -22,7 +22,7 @@
 func TestAllocationsStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawAllocationProblem(t)
-		split := p.settings.allocate(p.offered, p.capacities, func(entry, zone int) float64 { return p.usable[entry][zone] })
+		split := p.settings.allocate(p.offered, p.capacities, func(entry, zone int) float64 { return p.usableRatios[entry][zone] })
 		if err := p.settings.ValidatePlacement(Placement{TTL: 1, Split: split}); err != nil {
 			t.Fatal(err)
 		}
@@ -33,17 +33,17 @@
 }
 
 type allocationProblem struct {
-	settings   Settings
-	capacities []float64   // by zone
-	offered    [][]float64 // by entry and class
-	usable     [][]float64 // usable ratio of each link, by entry and zone
+	settings     Settings
+	capacities   []float64   // by zone
+	offered      [][]float64 // by entry and class
+	usableRatios [][]float64 // usable ratio of each link, by entry and zone
 }
 
 func drawAllocationProblem(t *rapid.T) allocationProblem {
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
 	p := allocationProblem{
 		settings: testSettings(zones), capacities: make([]float64, zones),
-		offered: make([][]float64, zones), usable: make([][]float64, zones),
+		offered: make([][]float64, zones), usableRatios: make([][]float64, zones),
 	}
 	classes := p.settings.Classes
 	if rapid.Bool().Draw(t, "class 1 is restricted") {
@@ -51,12 +51,12 @@
 	}
 	for entry := range zones {
 		p.capacities[entry] = rapid.Float64Range(0, 100).Draw(t, "capacity")
-		p.offered[entry], p.usable[entry] = make([]float64, len(classes)), make([]float64, zones)
+		p.offered[entry], p.usableRatios[entry] = make([]float64, len(classes)), make([]float64, zones)
 		for class := range classes {
 			p.offered[entry][class] = rapid.SampledFrom([]float64{0, 0, 1, 10, 50, 200}).Draw(t, "offered")
 		}
 		for zone := range zones {
-			p.usable[entry][zone] = rapid.SampledFrom([]float64{0, 0.3, 1, 1, 1}).Draw(t, "usable")
+			p.usableRatios[entry][zone] = rapid.SampledFrom([]float64{0, 0.3, 1, 1, 1}).Draw(t, "usable")
 		}
 	}
 	return p
@@ -65,16 +65,16 @@
 // checkZone checks the work that a zone gets over each link, from other zones and in total.
 func (p allocationProblem) checkZone(t *rapid.T, split Split, zone int) {
 	capacity := p.capacities[zone]
-	load, remote := 0.0, 0.0
+	totalWork, remote := 0.0, 0.0
 	for entry := range p.settings.Zones {
 		linkWork := p.checkLink(t, split, entry, zone)
-		load += linkWork
+		totalWork += linkWork
 		if entry != zone {
 			remote += linkWork
 		}
 	}
-	if load > capacity+1e-6 {
-		t.Fatalf("zone %d gets work of %f, capacity %f", zone, load, capacity)
+	if totalWork > capacity+1e-6 {
+		t.Fatalf("zone %d gets work of %f, capacity %f", zone, totalWork, capacity)
 	}
 	if remote > (1-localReserveRatio)*capacity+1e-6 {
 		t.Fatalf("zone %d gets work of %f from other zones, capacity %f", zone, remote, capacity)
@@ -90,7 +90,7 @@
 			t.Fatalf("work of class %d from zone %d is sent to zone %d, which is not permitted", class, entry, zone)
 		}
 	}
-	if limit := p.usable[entry][zone] * p.capacities[zone]; linkWork > limit+1e-6 {
+	if limit := p.usableRatios[entry][zone] * p.capacities[zone]; linkWork > limit+1e-6 {
 		t.Fatalf("work of %f is sent from zone %d to zone %d, limit %f", linkWork, entry, zone, limit)
 	}
 	return linkWork
--- a/internal/failover/capacity.go
+++ b/internal/failover/capacity.go
@@ -17,7 +17,7 @@
 // WarmingEndpoint is an endpoint that is warming up.
 type WarmingEndpoint struct {
 	Cores float64
-	Age   Millis // time since it became ready
+	Age   Millis // time since the endpoint became ready
 }
 
 // capacity returns the work that a zone can do, in core-ms per second. The capacity of a warming-up endpoint grows
@@ -39,7 +39,7 @@
 func (d *Decider) usableCapacities(now Millis, reports []receivedReport) []float64 {
 	capacities := make([]float64, len(d.settings.Zones))
 	for zone := range capacities {
-		capacities[zone] = d.settings.capacity(d.listed[zone])
+		capacities[zone] = d.settings.capacity(d.listedCapacities[zone])
 		excess := medianLatencyLogRatio(zone, reports) - math.Log(slowLatencyRatio)
 		if excess > 0 {
 			capacities[zone] *= math.Exp(-excess)
--- a/internal/failover/decider.go
+++ b/internal/failover/decider.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// minPeriodRatio is the part of a period after which Decide counts votes again. It is below 1 so that no period is
-// skipped if a timer fires slightly early.
+// minPeriodRatio is the part of Settings.Period after which Decide counts the votes of reports again. It is below 1 so
+// that no period is skipped if a timer fires slightly early.
 const minPeriodRatio = 0.9
 
 // Decider makes placements. The lease holder creates one for each lease and discards it when the lease ends.
 type Decider struct {
-	settings      Settings
-	fence         uint64
-	epoch         uint64
-	reports       map[string]receivedReport // newest report of each coordinator, by name
-	listed        []ListedCapacity          // by zone
-	links         [][]link                  // by zone of entry and destination zone
-	overrides     overrideSet
-	lastPlacement Placement
-	countedAt     Millis // when votes were last counted; below 0: never
+	settings         Settings
+	fence            uint64                    // fencing token of the lease
+	epoch            uint64                    // number of decisions so far
+	reports          map[string]receivedReport // newest report of each coordinator, by name
+	listedCapacities []ListedCapacity          // by zone
+	links            [][]link                  // by zone of entry and destination zone
+	overrides        overrideSet
+	lastPlacement    Placement // latest decision, or else the adopted placement; the zero value if there is neither
+	votesCountedAt   Millis    // when votes were last counted; below 0: never
 }
 
 // NewDecider returns a decider whose placements carry the fencing token of a lease. It starts without evidence and with
@@ -30,14 +30,14 @@
 	}
 	zones := len(settings.Zones)
 	d := &Decider{
-		settings: settings, fence: fence, countedAt: -1,
-		reports: map[string]receivedReport{},
-		listed:  make([]ListedCapacity, zones),
+		settings: settings, fence: fence, votesCountedAt: -1,
+		reports:          map[string]receivedReport{},
+		listedCapacities: make([]ListedCapacity, zones),
 	}
 	for range zones {
 		row := make([]link, zones)
 		for zone := range row {
-			row[zone].recovered = 1
+			row[zone].recoveredRatio = 1
 		}
 		d.links = append(d.links, row)
 	}
@@ -53,8 +53,8 @@
 }
 
 // ReceiveReport stores a coordinator's report. For an invalid report it returns an error of kind ErrInvalidReport and
-// keeps the last one. A report that is not newer than the last is ignored unless the last has expired, because a
-// restarted coordinator starts its sequence numbers again.
+// keeps the coordinator's last report. A report that is not newer than the last one is ignored unless the last one has
+// expired, because a restarted coordinator starts its sequence numbers again.
 func (d *Decider) ReceiveReport(now Millis, r Report) error {
 	if err := d.settings.validateReport(r); err != nil {
 		return err
@@ -68,7 +68,7 @@
 }
 
 // UpdateEndpoints sets the capacity of each zone according to the endpoint list.
-func (d *Decider) UpdateEndpoints(listed []ListedCapacity) { d.listed = slices.Clone(listed) }
+func (d *Decider) UpdateEndpoints(byZone []ListedCapacity) { d.listedCapacities = slices.Clone(byZone) }
 
 // SetOverride applies an operator's override. The error is of kind ErrInvalidOverride.
 func (d *Decider) SetOverride(now Millis, o Override) error {
@@ -78,7 +78,7 @@
 	d.overrides.set(now, o)
 	if o.Kind == Return {
 		for entry := range d.links {
-			d.links[entry][o.Zone].recovered = 0
+			d.links[entry][o.Zone].recoveredRatio = 0
 		}
 	}
 	return nil
@@ -96,9 +96,9 @@
 	d.overrides.expire(now)
 	reports := d.freshReports(now)
 	votes := d.settings.countVotes(reports)
-	if d.countedAt < 0 || now-d.countedAt >= d.settings.Period*minPeriodRatio {
+	if d.votesCountedAt < 0 || now-d.votesCountedAt >= d.settings.Period*minPeriodRatio {
 		d.updateLinks(now, votes)
-		d.countedAt = now
+		d.votesCountedAt = now
 	}
 	d.epoch++
 	placement := Placement{Fence: d.fence, Epoch: d.epoch, TTL: d.settings.PlacementTTL}
@@ -127,7 +127,7 @@
 }
 
 // split returns the traffic split and whether it is a panic split.
-func (d *Decider) split(now Millis, a assessment) (split Split, panics bool) {
+func (d *Decider) split(now Millis, a assessment) (split Split, isPanic bool) {
 	capacities := d.usableCapacities(now, a.reports)
 	if d.inPanic(a.health) {
 		return d.settings.panicSplit(capacities), true
@@ -162,16 +162,16 @@
 // freshReports deletes expired reports and returns the others, ordered by the coordinators' names so that
 // floating-point sums do not depend on the iteration order of the map.
 func (d *Decider) freshReports(now Millis) []receivedReport {
-	var fresh []receivedReport
+	var unexpired []receivedReport
 	for coordinator, report := range d.reports {
 		if now-report.receivedAt > d.settings.PlacementTTL {
 			delete(d.reports, coordinator)
 			continue
 		}
-		fresh = append(fresh, report)
+		unexpired = append(unexpired, report)
 	}
-	slices.SortFunc(fresh, func(a, b receivedReport) int { return cmp.Compare(a.Coordinator, b.Coordinator) })
-	return fresh
+	slices.SortFunc(unexpired, func(a, b receivedReport) int { return cmp.Compare(a.Coordinator, b.Coordinator) })
+	return unexpired
 }
 
 // rejectedWeightRatio returns the part of the offered priority weight that a split rejects.
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -65,12 +65,12 @@
 // countVotes returns the votes by zone of the voters and zone voted on. Each coordinator has one vote, so that a single
 // wrong report does not decide. Isolated coordinators have no vote while others of their zone are not isolated.
 func (s Settings) countVotes(reports []receivedReport) [][]tally {
-	connected := make([]bool, len(s.Zones))
-	isolated := make([]bool, len(reports))
+	hasConnected := make([]bool, len(s.Zones)) // by zone: whether any coordinator of the zone is not isolated
+	isolated := make([]bool, len(reports))     // by report
 	for i, report := range reports {
 		isolated[i] = report.isolated()
 		if !isolated[i] {
-			connected[report.Zone] = true
+			hasConnected[report.Zone] = true
 		}
 	}
 	votes := make([][]tally, len(s.Zones))
@@ -78,7 +78,7 @@
 		votes[zone] = make([]tally, len(s.Zones))
 	}
 	for i, report := range reports {
-		if isolated[i] && connected[report.Zone] {
+		if isolated[i] && hasConnected[report.Zone] {
 			continue
 		}
 		for zone, observation := range report.Observations {
--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const period = 500.0
+const period = 500.0 // ms
 
 // testSettings returns settings with 3 zones per region. Zones of a region are 2 ms apart, zones of different
 // regions 60 ms.
@@ -49,6 +49,7 @@
 	distort             func(coordinator int, report Report) *Report // changes reports, if set; a nil result is not sent
 }
 
+// newFleet returns a fleet whose zones each are offered the ratio load of their capacity.
 func newFleet(t *testing.T, zones int, load float64) *fleet {
 	t.Helper()
 	f := &fleet{t: t, settings: testSettings(zones), coordinatorsPerZone: 3, listed: make([]ListedCapacity, zones)}
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -10,14 +10,14 @@
 type Follower struct {
 	settings  Settings
 	entryZone int
-	placement Placement
-	expiresAt Millis
+	placement Placement // newest applied placement; after a restart only its fence and epoch
+	expiresAt Millis    // when the placement's TTL ends; below 0: no placement was applied in this run
 }
 
-// NewFollower returns a follower for the zone where a coordinator's clients enter. The parameter applied is the newest
-// placement that an earlier run of the coordinator applied; only its fence and epoch are used, so that a restarted
-// coordinator applies no older placement. The error is of kind ErrInvalidSettings.
-func NewFollower(settings Settings, entryZone int, applied Placement) (*Follower, error) {
+// NewFollower returns a follower for the zone where a coordinator's clients enter. The parameter lastApplied is the
+// newest placement that an earlier run of the coordinator applied; only its fence and epoch are used, so that a
+// restarted coordinator applies no older placement. The error is of kind ErrInvalidSettings.
+func NewFollower(settings Settings, entryZone int, lastApplied Placement) (*Follower, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 	}
 	return &Follower{
 		settings: settings, entryZone: entryZone, expiresAt: -1,
-		placement: Placement{Fence: applied.Fence, Epoch: applied.Epoch},
+		placement: Placement{Fence: lastApplied.Fence, Epoch: lastApplied.Epoch},
 	}, nil
 }
 
@@ -50,10 +50,10 @@
 func (f *Follower) Applied() (fence, epoch uint64) { return f.placement.Fence, f.placement.Epoch }
 
 // Split returns, by class, the ratios of the destination zones for work that enters at this coordinator. The result
-// decided reports whether they come from a placement. While no placement is in effect they come from the local rule,
+// isDecided reports whether they come from a placement. While no placement is in effect they come from the local rule,
 // for which the caller passes the endpoint list, the work offered to this coordinator by class in core-ms per second,
 // and the number of coordinators.
-func (f *Follower) Split(now Millis, listed []ListedCapacity, offered []float64, coordinators int) (byClass [][]float64, decided bool) {
+func (f *Follower) Split(now Millis, listed []ListedCapacity, offered []float64, coordinators int) (byClass [][]float64, isDecided bool) {
 	if now < f.expiresAt {
 		return f.placement.Split[f.entryZone], true
 	}
@@ -65,9 +65,9 @@
 func (f *Follower) localSplit(listed []ListedCapacity, offered float64, coordinators int) [][]float64 {
 	capacities := f.capacities(listed)
 	total := sum(capacities)
-	admitted := 1.0
+	admittedRatio := 1.0
 	if offered > 0 {
-		admitted = math.Min(localReserveRatio*total/float64(max(coordinators, 1))/offered, 1)
+		admittedRatio = math.Min(localReserveRatio*total/float64(max(coordinators, 1))/offered, 1)
 	}
 	byClass := make([][]float64, len(f.settings.Classes))
 	for i, class := range f.settings.Classes {
@@ -78,7 +78,7 @@
 		}
 		for zone, capacity := range capacities {
 			if total > 0 && f.settings.permitted(class, f.entryZone, zone) {
-				byClass[i][zone] = admitted * capacity / total
+				byClass[i][zone] = admittedRatio * capacity / total
 			}
 		}
 	}
--- a/internal/failover/follower_test.go
+++ b/internal/failover/follower_test.go
@@ -29,17 +29,17 @@
 	overfullSplit := [][][]float64{remote[0], remote[1], {{1, 0.5, 0}, {1, 0, 0}, {1, 0, 0}}}
 	require.ErrorIs(t, f.Apply(1, Placement{Fence: 4, Epoch: 1, TTL: 3000, Split: overfullSplit}), ErrInvalidPlacement)
 	listed := []ListedCapacity{{WarmCores: 10}, {WarmCores: 10}, {WarmCores: 20}}
-	split, decided := f.Split(2999, listed, []float64{1, 1, 1}, 12)
-	require.True(t, decided)
+	split, isDecided := f.Split(2999, listed, []float64{1, 1, 1}, 12)
+	require.True(t, isDecided)
 	require.Equal(t, 1.0, split[0][1])
-	split, decided = f.Split(3000, listed, []float64{1, 1, 1}, 12)
-	require.False(t, decided, "the placement's TTL has ended")
+	split, isDecided = f.Split(3000, listed, []float64{1, 1, 1}, 12)
+	require.False(t, isDecided, "the placement's TTL has ended")
 	require.Equal(t, []float64{1, 0, 0}, split[0])
 	listed[0].WarmCores = 0
 	offered := s.capacity(listed[2]) // offered work of one coordinator
 	split, _ = f.Split(3000, listed, []float64{offered, 0, 0}, 12)
-	admitted := split[0][1] + split[0][2]
-	require.LessOrEqual(t, admitted*offered*12, localReserveRatio*(s.capacity(listed[1])+s.capacity(listed[2]))+1e-6, "all coordinators together stay within the reserve")
+	admittedRatio := split[0][1] + split[0][2]
+	require.LessOrEqual(t, admittedRatio*offered*12, localReserveRatio*(s.capacity(listed[1])+s.capacity(listed[2]))+1e-6, "all coordinators together stay within the reserve")
 	fence, epoch := f.Applied()
 	restarted, err := NewFollower(s, 0, Placement{Fence: fence, Epoch: epoch})
 	require.NoError(t, err)
--- a/internal/failover/health.go
+++ b/internal/failover/health.go
@@ -7,16 +7,16 @@
 const slowLatencyRatio = 2.0
 
 // HealthState is the state of a zone as the fleet sees it. A zone that only some zones can reach is not unreachable:
-// only the links from the others fail over.
+// only the links from the zones that cannot reach it fail over.
 type HealthState string
 
 // Health states. Their values are part of messages.
 const (
 	Healthy     HealthState = "well"
-	Slow        HealthState = "slow"   // answers slowly; its capacity is reduced
-	Unreachable HealthState = "dead"   // all zones with evidence about it have failed over from it
-	NoEndpoints HealthState = "empty"  // the endpoint list has no capacity there
-	Unknown     HealthState = "unsure" // there is no recent evidence
+	Slow        HealthState = "slow"   // the zone answers slowly, so its capacity is reduced
+	Unreachable HealthState = "dead"   // all zones with evidence about the zone have failed over from it
+	NoEndpoints HealthState = "empty"  // the endpoint list has no capacity in the zone
+	Unknown     HealthState = "unsure" // there is no recent evidence about the zone
 )
 
 // assessment holds the evidence at one time and the health states that follow from it.
@@ -36,13 +36,13 @@
 }
 
 func (d *Decider) healthOf(zone int, reports []receivedReport, votes [][]tally) HealthState {
-	if d.settings.capacity(d.listed[zone]) <= 0 {
+	if d.settings.capacity(d.listedCapacities[zone]) <= 0 {
 		return NoEndpoints
 	}
 	zonesWithEvidence, failedOver := 0, 0
-	for from := range d.links {
-		linkFailedOver := d.links[from][zone].failedOver
-		if votes[from][zone].empty() && !linkFailedOver {
+	for entry := range d.links {
+		linkFailedOver := d.links[entry][zone].failedOver
+		if votes[entry][zone].empty() && !linkFailedOver {
 			continue
 		}
 		zonesWithEvidence++
--- a/internal/failover/link.go
+++ b/internal/failover/link.go
@@ -6,7 +6,7 @@
 const (
 	failoverPeriods      = 2   // consecutive unreachable periods before failover
 	initialReturnPeriods = 6   // consecutive reachable periods before the return; doubles with each further failure
-	maxReturnDoublings   = 6   // limits the wait for a flapping zone
+	maxReturnDoublings   = 6   // limits the wait for the return to a flapping zone
 	failureMemoryPeriods = 120 // periods without a failure after which earlier failures no longer count
 	rampPeriods          = 10  // periods over which work returns
 )
@@ -14,12 +14,12 @@
 // link is the state of the traffic from one zone to another, or from a zone to itself. It fails over after
 // failoverPeriods, returns with hysteresis, and then carries more work with each period (recovery ramp).
 type link struct {
-	unreachablePeriods int  // consecutive periods in which most votes were unreachable
-	reachablePeriods   int  // consecutive periods in which most votes were reachable
-	failedOver         bool // the link carries no work but trial traffic
-	failures           int  // failovers that still count
-	lastFailureAt      Millis
-	recovered          float64 // part of the destination's capacity that the recovery ramp allows; 1: all
+	unreachablePeriods int     // consecutive periods in which most votes were unreachable
+	reachablePeriods   int     // consecutive periods in which most votes were reachable
+	failedOver         bool    // the link carries no work except trial traffic (see trialRatio)
+	failures           int     // number of recent failovers; each after the first doubles the wait for the return
+	lastFailureAt      Millis  // time of the latest period in which most votes were unreachable
+	recoveredRatio     float64 // part of the destination's capacity that the recovery ramp allows; 1: all
 }
 
 // update counts the votes of one period and updates the link's state.
@@ -30,14 +30,14 @@
 	}
 	if !l.failedOver && l.unreachablePeriods >= failoverPeriods {
 		l.failedOver = true
-		l.recovered = 0
+		l.recoveredRatio = 0
 		l.failures++
 	}
 	if l.failedOver && float64(l.reachablePeriods) >= l.returnPeriods() {
 		l.failedOver = false
 	}
-	if !l.failedOver && l.recovered < 1 {
-		l.recovered = math.Min(l.recovered+1.0/rampPeriods, 1)
+	if !l.failedOver && l.recoveredRatio < 1 {
+		l.recoveredRatio = math.Min(l.recoveredRatio+1.0/rampPeriods, 1)
 	}
 }
 
@@ -66,5 +66,5 @@
 	if l.failedOver {
 		return 0
 	}
-	return l.recovered
+	return l.recoveredRatio
 }
--- a/internal/failover/link_test.go
+++ b/internal/failover/link_test.go
@@ -9,7 +9,7 @@
 // A zone that flaps every few seconds fails over rarely, because each return takes twice as long as the one before.
 func TestFlappingZoneFailsOverRarely(t *testing.T) {
 	f := newFleet(t, 3, 0.6)
-	changes, wasFailedOver := 0, false
+	failoverChanges, wasFailedOver := 0, false
 	const periods = 400
 	for i := range periods {
 		f.reachable = nil
@@ -18,10 +18,10 @@
 		}
 		f.step()
 		if isFailedOver := f.decider.links[0][1].failedOver; isFailedOver != wasFailedOver {
-			changes, wasFailedOver = changes+1, isFailedOver
+			failoverChanges, wasFailedOver = failoverChanges+1, isFailedOver
 		}
 	}
-	require.LessOrEqual(t, changes, 6, "the zone flapped 25 times in %d periods", periods)
+	require.LessOrEqual(t, failoverChanges, 6, "the zone flapped 25 times in %d periods", periods)
 }
 
 // The return after a failure takes twice as long as after the one before, until earlier failures no longer count.
--- a/internal/failover/override.go
+++ b/internal/failover/override.go
@@ -49,7 +49,7 @@
 // activeOverride is an evacuation or a freeze that is in effect.
 type activeOverride struct {
 	Override
-	since Millis
+	startedAt Millis // when the override was set
 }
 
 // overrideSet holds at most one freeze and one evacuation for each zone.
@@ -64,7 +64,7 @@
 }
 
 func (s *overrideSet) expire(now Millis) {
-	*s = slices.DeleteFunc(*s, func(active activeOverride) bool { return active.TTL > 0 && now-active.since >= active.TTL })
+	*s = slices.DeleteFunc(*s, func(active activeOverride) bool { return active.TTL > 0 && now-active.startedAt >= active.TTL })
 }
 
 func (s overrideSet) frozen() bool {
@@ -80,7 +80,7 @@
 		if active.RampDown <= 0 {
 			return 0
 		}
-		return math.Max(1-(now-active.since)/active.RampDown, 0)
+		return math.Max(1-(now-active.startedAt)/active.RampDown, 0)
 	}
 	return 1
 }
--- a/internal/failover/panic.go
+++ b/internal/failover/panic.go
@@ -6,15 +6,15 @@
 
 // inPanic reports whether the reachable part of the listed capacity is below the panic threshold.
 func (d *Decider) inPanic(health []HealthState) bool {
-	listed, usable := 0.0, 0.0
+	listedCapacity, reachableCapacity := 0.0, 0.0
 	for zone, state := range health {
-		capacity := d.settings.capacity(d.listed[zone])
-		listed += capacity
+		capacity := d.settings.capacity(d.listedCapacities[zone])
+		listedCapacity += capacity
 		if state != Unreachable {
-			usable += capacity
+			reachableCapacity += capacity
 		}
 	}
-	return listed > 0 && usable < panicCapacityRatio*listed
+	return listedCapacity > 0 && reachableCapacity < panicCapacityRatio*listedCapacity
 }
 
 // panicSplit splits all work in proportion to the zones' capacities, regardless of their health.
@@ -31,18 +31,18 @@
 // splitByCapacity sets the ratios of one zone of entry and class in proportion to the capacities of the permitted
 // zones.
 func (s Settings) splitByCapacity(ratios []float64, class Class, entry int, capacities []float64) {
-	permitted := 0.0
+	permittedCapacity := 0.0
 	for zone, capacity := range capacities {
 		if s.permitted(class, entry, zone) {
-			permitted += capacity
+			permittedCapacity += capacity
 		}
 	}
-	if permitted <= 0 {
+	if permittedCapacity <= 0 {
 		return
 	}
 	for zone, capacity := range capacities {
 		if s.permitted(class, entry, zone) {
-			ratios[zone] = capacity / permitted
+			ratios[zone] = capacity / permittedCapacity
 		}
 	}
 }
--- a/internal/failover/report.go
+++ b/internal/failover/report.go
@@ -7,8 +7,8 @@
 
 // Observation holds one coordinator's measurements of one zone since its last report.
 type Observation struct {
-	Answers            int     `json:"answers"` // attempts that were answered with a result or an error
-	Failures           int     `json:"fails"`   // refused or lost connections, and attempts without an answer
+	Answers            int     `json:"answers"` // number of attempts that were answered with a result or an error
+	Failures           int     `json:"fails"`   // number of refused or lost connections and of attempts without an answer
 	CapacityRejections int     `json:"full"`    // number of the answers that rejected the attempt for lack of capacity
 	LatencyLogRatio    float64 `json:"stretch"` // mean of ln(latency / the zone's best latency)
 }
--- a/internal/failover/settings.go
+++ b/internal/failover/settings.go
@@ -25,7 +25,7 @@
 	Name             string
 	Weight           float64 // priority weight of one query
 	MeanWork         Millis  // mean work of one query, in ms on one core
-	LatencyObjective Millis  // an answer that takes longer is worth little
+	LatencyObjective Millis  // in ms; an answer that takes longer is worth little
 	AllowedZones     []int   // zones that may run the class; nil: all
 }
 
--- a/internal/failover/trial.go
+++ b/internal/failover/trial.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// trialRatio is the part of the lightest class's work that is sent over a failed-over link: enough requests to detect a
+// trialRatio is the part of the lightest class's work that is sent over a failed-over link as trial traffic: enough requests to detect a
 // recovery within a few periods, and few enough that their loss is acceptable.
 const trialRatio = 0.01
 
