--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -261,16 +261,16 @@
 	g.runUntilLeader()
 	holder := lease.Holder{Name: "c0", Incarnation: 1}
 	g.run(lease.DefaultTiming().LeaseTTL, g.keepAlive(holder))
-	before := g.jobStatus()
-	require.Equal(t, holder.String(), before.Holder)
+	statusBefore := g.jobStatus()
+	require.Equal(t, holder.String(), statusBefore.Holder)
 	holderReport := lease.KeepAliveRequest{Holder: holder, SentAt: g.now, Capacity: 1, Jobs: []string{testJob},
-		HigherFences: []lease.GrantID{{Job: testJob, Fence: before.Fence}}}
+		HigherFences: []lease.GrantID{{Job: testJob, Fence: statusBefore.Fence}}}
 	otherReport := holderReport
 	otherReport.Holder = lease.Holder{Name: "c1", Incarnation: 1}
 	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, otherReport) })
 	g.run(lease.DefaultTiming().Tick, nil)
-	require.Equal(t, before.Holder, g.jobStatus().Holder, "a report of the current fence by another client changes nothing")
+	require.Equal(t, statusBefore.Holder, g.jobStatus().Holder, "a report of the current fence by another client changes nothing")
 	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, holderReport) })
 	g.run(lease.DefaultTiming().LeaseTTL/4, nil)
-	require.Greater(t, g.jobStatus().Fence, before.Fence)
+	require.Greater(t, g.jobStatus().Fence, statusBefore.Fence)
 }
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -12,7 +12,7 @@
 // clientState is the leader's state of one lease client.
 type clientState struct {
 	request     lease.KeepAliveRequest // newest keep-alive request
-	receivedAt  lease.Millis           // when the leader received the request, which is no earlier than the client sent it
+	receivedAt  lease.Millis           // when the leader received that keep-alive request; no earlier than the client sent it
 	lapses      int                    // number of lapses: leases that the client recently let expire
 	lastLapseAt lease.Millis           // time of the client's latest lapse
 }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -22,7 +22,7 @@
 // else that Ready contains.
 type Ready struct {
 	Persist      *PersistentState // changes to persist; nil: none
-	CompactIndex uint64           // log entries up to here may be deleted; 0: none
+	CompactIndex uint64           // index up to which log entries may be deleted; 0: none
 	Messages     []Message
 	Announce     bool // send Announcement to all other replicas
 	// DiskRegressed means that the disk lacks entries that this replica has acknowledged, for example because it was
@@ -31,7 +31,7 @@
 	// Failure is the error that has stopped the replica and wraps ErrRaftPanic; nil: none.
 	Failure            error
 	KeepAliveResponses []lease.KeepAliveResponse
-	AdminResults       []AdminResult
+	AdminResults       []AdminResult // outcomes of operators' requests
 	Events             []Event
 }
 
@@ -91,7 +91,7 @@
 
 func (r *Replica) send(m *raftpb.Message) {
 	if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() {
-		r.resetElectionTimeout() // the candidate that received the vote may become leader
+		r.resetElectionTimeout() // gives the candidate that receives the vote time to become leader
 	}
 	if name, known := r.replicaName(m.GetTo()); known {
 		r.ready.Messages = append(r.ready.Messages, Message{GroupID: r.groupID(), Recipient: name, Raft: m})
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -26,7 +26,7 @@
 // Config configures a replica and holds the state that it continues from.
 type Config struct {
 	Name       string
-	ReplicaID  uint64   // drawn when the disk was first used, so a replica that lost its disk returns with another ID
+	ReplicaID  uint64   // ID drawn when the replica's disk was first used, so a replica that lost its disk returns with another ID
 	Replicas   []string // names of all replicas, in the order of the configuration file; only the first may bootstrap
 	Generation uint64   // generation of the configuration file
 	Jobs       []string // jobs whose leases the group grants
@@ -52,13 +52,13 @@
 	stopped      bool // the disk regressed or raft panicked, and the replica does nothing further
 
 	ticksWithoutLeader int
-	campaignAfter      int // ticks without a leader after which this replica campaigns
+	campaignAfter      int // number of ticks without a leader after which this replica starts an election
 
 	acceptedGroupID  uint64                          // ID of the group that the last accepted raft message came from; 0: none yet
 	announcements    map[string]receivedAnnouncement // newest announcement of each other replica, by name
 	nextAnnouncement lease.Millis                    // when the next announcement is due
 
-	term                  uint64 // term that the leader state belongs to
+	term                  uint64 // raft term that the leader state belongs to
 	leader                leaderState
 	readIndexID           uint64       // ID of the newest read index request, which confirms leadership
 	confirmationStartedAt lease.Millis // when the newest read index request was sent
@@ -70,10 +70,10 @@
 	serving            bool                          // an entry of the leader's own term has been applied, so its state machine is up to date
 	servingSince       lease.Millis                  // when serving became true
 	clients            map[string]*clientState       // by client name
-	renewedAt          map[string]lease.Millis       // receipt of the holder's newest keep-alive request, by job
+	renewedAt          map[string]lease.Millis       // when the leader received the holder's newest keep-alive request, by job
 	proposedAt         map[string]lease.Millis       // when the command in flight was proposed, by job
-	waitingRequests    []pendingKeepAlive            // requests for the next confirmation of leadership
-	confirmingRequests []pendingKeepAlive            // requests for the confirmation in flight
+	waitingRequests    []pendingKeepAlive            // keep-alive requests that wait for the next confirmation of leadership
+	confirmingRequests []pendingKeepAlive            // keep-alive requests that wait for the confirmation in flight
 	membershipChangeAt lease.Millis                  // when the membership change in flight was proposed; 0: none
 	adminRequests      map[uint64]lease.AdminRequest // move requests in flight, by the value of lastAdminID when each was proposed
 }
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -24,7 +24,7 @@
 type StateMachine struct {
 	GroupID    uint64               `json:"council"`    // replica ID of the replica that bootstrapped the group
 	Generation uint64               `json:"generation"` // highest committed generation of the fleet configuration
-	Replicas   map[uint64]string    `json:"seats"`      // names by replica ID
+	Replicas   map[uint64]string    `json:"seats"`      // names of the group's members, by replica ID
 	Jobs       map[string]*JobLease `json:"jobs"`
 	History    []lease.HistoryEntry `json:"history"`
 }
--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -13,10 +13,10 @@
 // allocation assigns offered work to zones. All amounts are core-ms per second.
 type allocation struct {
 	settings          Settings
-	capacities        []float64                            // by zone
+	capacities        []float64                            // work that each zone can do
 	usableRatio       func(entry, destination int) float64 // part of the destination's capacity that the link from entry may use
 	classes           []int                                // class indexes by descending weight per work
-	routes            []route                              // by ascending latency
+	routes            []route                              // pairs of different zones, by ascending latency
 	remainingCapacity []float64                            // capacity that no work is assigned to, by zone
 	unplacedWork      [][]float64                          // offered work that is not assigned to a zone, by entry and class
 	assignedWork      [][][]float64                        // assigned work, by entry, class and destination
--- a/internal/failover/decider.go
+++ b/internal/failover/decider.go
@@ -15,8 +15,8 @@
 	fence            uint64                    // fencing token of the lease
 	epoch            uint64                    // number of decisions so far
 	reports          map[string]receivedReport // newest report of each coordinator, by name
-	listedCapacities []ListedCapacity          // by zone
-	links            [][]link                  // by zone of entry and destination zone
+	listedCapacities []ListedCapacity          // capacity of each zone according to the endpoint list
+	links            [][]link                  // state of each link, by zone of entry and destination zone
 	overrides        overrideSet
 	lastPlacement    Placement // latest decision, or else the adopted placement; the zero value if there is neither
 	votesCountedAt   Millis    // when votes were last counted; below 0: never
--- a/internal/failover/decisions_test.go
+++ b/internal/failover/decisions_test.go
@@ -49,14 +49,14 @@
 	require.NoError(t, err)
 	faults := newZoneFaults(zones)
 	f.reachable = func(entry, zone int) bool {
-		flappedDown := faults.flapping == zone && f.sequence/9%2 == 1
+		flappedDown := faults.flappingZone == zone && f.sequence/9%2 == 1
 		return !faults.cut[entry][zone] && !flappedDown
 	}
 	f.distort = func(_ int, report Report) *Report {
-		if zone := faults.lossy; zone >= 0 {
+		if zone := faults.lossyZone; zone >= 0 {
 			report.Observations[zone] = faults.lossyObservation
 		}
-		if zone := faults.slow; zone >= 0 && report.Observations[zone].Answers > 0 {
+		if zone := faults.slowZone; zone >= 0 && report.Observations[zone].Answers > 0 {
 			report.Observations[zone].LatencyLogRatio = faults.latencyLogRatio
 			report.Observations[zone].CapacityRejections = 0
 		}
@@ -87,18 +87,18 @@
 	return lines
 }
 
-// zoneFaults holds the faults that are active in a seeded run; a zone of -1 means no such fault.
+// zoneFaults holds the faults that are active in a seeded run; a zone index of -1 means no such fault.
 type zoneFaults struct {
-	cut              [][]bool // by zone of entry and the zone that it cannot reach
-	flapping         int
-	lossy            int
+	cut              [][]bool // true for each pair of a zone of entry and a zone that it cannot reach
+	flappingZone     int
+	lossyZone        int
 	lossyObservation Observation // observation that all reports contain for the lossy zone
-	slow             int
+	slowZone         int
 	latencyLogRatio  float64
 }
 
 func newZoneFaults(zones int) *zoneFaults {
-	faults := &zoneFaults{flapping: -1, lossy: -1, slow: -1}
+	faults := &zoneFaults{flappingZone: -1, lossyZone: -1, slowZone: -1}
 	for range zones {
 		faults.cut = append(faults.cut, make([]bool, zones))
 	}
@@ -136,10 +136,10 @@
 			f.decider = next
 		}
 	case 10:
-		faults.flapping = rng.IntN(zones+1) - 1
+		faults.flappingZone = rng.IntN(zones+1) - 1
 	case 11:
-		faults.lossy, faults.lossyObservation = rng.IntN(2*zones)-zones, []Observation{{Answers: 2, Failures: 7}, {Failures: 2}}[rng.IntN(2)]
+		faults.lossyZone, faults.lossyObservation = rng.IntN(2*zones)-zones, []Observation{{Answers: 2, Failures: 7}, {Failures: 2}}[rng.IntN(2)]
 	case 12:
-		faults.slow, faults.latencyLogRatio = rng.IntN(2*zones)-zones, []float64{0.38, 0.44, 0.72, 0.9}[rng.IntN(4)]
+		faults.slowZone, faults.latencyLogRatio = rng.IntN(2*zones)-zones, []float64{0.38, 0.44, 0.72, 0.9}[rng.IntN(4)]
 	}
 }
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -4,8 +4,8 @@
 
 // Thresholds from which a zone counts as unreachable to one coordinator in one period.
 const (
-	minFailures          = 2   // a single failure may be coincidence
-	minFailuresPerAnswer = 4.0 // a zone that still answers some attempts is overloaded rather than unreachable
+	minFailures          = 2   // minimum number of failures; a single failure may be coincidence
+	minFailuresPerAnswer = 4.0 // minimum ratio of failures to answers; a zone that answers more often is overloaded rather than unreachable
 )
 
 // vote is the verdict of one report on one zone.
@@ -66,7 +66,7 @@
 // wrong report does not decide. Isolated coordinators have no vote while others of their zone are not isolated.
 func (s Settings) countVotes(reports []receivedReport) [][]tally {
 	hasConnected := make([]bool, len(s.Zones)) // by zone: whether any coordinator of the zone is not isolated
-	isolated := make([]bool, len(reports))     // by report
+	isolated := make([]bool, len(reports))     // by report: whether the report's coordinator is isolated
 	for i, report := range reports {
 		isolated[i] = report.isolated()
 		if !isolated[i] {
--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -43,8 +43,8 @@
 	now                 Millis
 	sequence            uint64
 	coordinatorsPerZone int
-	offered             []float64                                    // by class, work offered to one coordinator, in core-ms per second
-	listed              []ListedCapacity                             // by zone
+	offered             []float64                                    // work offered to one coordinator, by class, in core-ms per second
+	listed              []ListedCapacity                             // capacity of each zone according to the endpoint list
 	reachable           func(entry, zone int) bool                   // nil: all zones are reachable
 	distort             func(coordinator int, report Report) *Report // changes reports, if set; a nil result is not sent
 }
--- a/internal/failover/health.go
+++ b/internal/failover/health.go
@@ -22,8 +22,8 @@
 // assessment holds the evidence at one time and the health states that follow from it.
 type assessment struct {
 	reports []receivedReport
-	votes   [][]tally     // by zone of the voters and zone voted on
-	health  []HealthState // by zone
+	votes   [][]tally     // number of votes, by zone of the voting coordinators and zone voted on
+	health  []HealthState // health state of each zone
 }
 
 // assess derives the zones' health states from reports and votes. It does not change the decider.
--- a/internal/failover/link.go
+++ b/internal/failover/link.go
@@ -4,11 +4,11 @@
 
 // Thresholds of a link's failover and recovery, in periods (see Settings.Period).
 const (
-	failoverPeriods      = 2   // consecutive unreachable periods before failover
-	initialReturnPeriods = 6   // consecutive reachable periods before the return; doubles with each further failure
-	maxReturnDoublings   = 6   // limits the wait for the return to a flapping zone
+	failoverPeriods      = 2   // consecutive unreachable periods before a link fails over
+	initialReturnPeriods = 6   // consecutive reachable periods before work returns to a link; doubles with each further failure
+	maxReturnDoublings   = 6   // maximum doublings of initialReturnPeriods; limits the wait for the return to a flapping zone
 	failureMemoryPeriods = 120 // periods without a failure after which earlier failures no longer count
-	rampPeriods          = 10  // periods over which work returns
+	rampPeriods          = 10  // periods over which the usable ratio of a recovered link grows to 1
 )
 
 // link is the state of the traffic from one zone to another, or from a zone to itself. It fails over after
--- a/internal/failover/override.go
+++ b/internal/failover/override.go
@@ -12,7 +12,7 @@
 const (
 	Evacuate OverrideKind = "evacuate" // reduces a zone's capacity to 0 over RampDown
 	Return   OverrideKind = "return"   // ends an evacuation; work returns along the recovery ramp
-	Freeze   OverrideKind = "freeze"   // keeps the last split
+	Freeze   OverrideKind = "freeze"   // keeps the last traffic split in effect
 	Thaw     OverrideKind = "thaw"     // ends a freeze
 )
 
@@ -20,7 +20,7 @@
 type Override struct {
 	Kind     OverrideKind `json:"kind"`
 	Zone     int          `json:"zone"`           // used by Evacuate and Return
-	RampDown Millis       `json:"over,omitempty"` // used by Evacuate, in ms; 0: at once
+	RampDown Millis       `json:"over,omitempty"` // used by Evacuate: time in ms over which the capacity falls to 0; 0: at once
 	TTL      Millis       `json:"for,omitempty"`  // time in ms after which the override ends; 0: no limit
 }
 
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -25,7 +25,7 @@
 // Announcement tells the other replicas the name, the ID and the group of the replica that sends it.
 type Announcement struct {
 	Name      string `json:"name"`
-	ReplicaID uint64 `json:"number"`  // drawn when the replica's disk was first used
+	ReplicaID uint64 `json:"number"`  // ID drawn when the replica's disk was first used
 	GroupID   uint64 `json:"council"` // consensus group of the replica; 0: none
 }
 
@@ -42,7 +42,7 @@
 
 // AdminRequest is an operator's request to a replica.
 type AdminRequest struct {
-	ID        uint64    `json:"seq"` // set by the replica that receives it
+	ID        uint64    `json:"seq"` // number that the receiving replica gives the request
 	Operation Operation `json:"op"`
 	Job       string    `json:"job,omitempty"`  // used by AdminMove
 	Target    string    `json:"name,omitempty"` // used by AdminMove: name of the client
@@ -50,7 +50,7 @@
 
 // AdminResponse is the answer to an AdminRequest.
 type AdminResponse struct {
-	ID         uint64         `json:"seq"`
+	ID         uint64         `json:"seq"`              // ID of the request
 	RedirectTo string         `json:"leader,omitempty"` // replica to ask instead
 	Error      string         `json:"error,omitempty"`
 	Status     *Status        `json:"status,omitempty"`
@@ -70,11 +70,11 @@
 // Status describes the consensus group as one replica sees it.
 type Status struct {
 	Replica    string         `json:"seat"`
-	Leader     string         `json:"leader"` // empty: unknown
+	Leader     string         `json:"leader"` // name of the leader; empty: unknown
 	Term       uint64         `json:"term"`
 	GroupID    string         `json:"council"` // 16 hexadecimal digits
 	Generation uint64         `json:"generation"`
-	Replicas   []string       `json:"seats"`
+	Replicas   []string       `json:"seats"` // names of the group's members
 	Jobs       []JobStatus    `json:"jobs"`
 	Clients    []ClientStatus `json:"members,omitempty"` // only a leader sets it
 }
--- a/internal/overrides/set.go
+++ b/internal/overrides/set.go
@@ -27,7 +27,7 @@
 // restarted meanwhile, so it is treated as started at the restoration and warms up again.
 type Restoration struct {
 	EndpointName string        `json:"id"`
-	RestoredAt   decide.Millis `json:"at_ms"` // Unix milliseconds
+	RestoredAt   decide.Millis `json:"at_ms"` // time of the RESTORE call, in Unix milliseconds
 }
 
 // restorationTTL is how long a restoration overrides the start time on the endpoint list, in
--- a/internal/overrides/state.go
+++ b/internal/overrides/state.go
@@ -17,7 +17,7 @@
 type State struct {
 	Version      int           `json:"version"`
 	Sequence     uint64        `json:"seq"`        // the state with the higher sequence is the newer one, whichever process wrote it
-	WrittenAt    decide.Millis `json:"written_ms"` // Unix milliseconds
+	WrittenAt    decide.Millis `json:"written_ms"` // when the state was encoded, in Unix milliseconds
 	Suspensions  []Suspension  `json:"bans"`
 	Restorations []Restoration `json:"back"`
 }
@@ -94,7 +94,7 @@
 // Change is a suspension or restoration of an endpoint.
 type Change struct {
 	EndpointName string
-	Restore      bool // false: a suspension
+	Restore      bool // true: the endpoint was restored; false: it was suspended
 }
 
 // Reconcile replaces the overrides by the state from the file, whichever process wrote it last, and
--- a/internal/program/budget.go
+++ b/internal/program/budget.go
@@ -16,10 +16,10 @@
 // Fractions of the memory limit. The rest is for the program's other memory and garbage that is not yet collected.
 const (
 	runtimeMemoryFraction   = 0.75     // memory limit of the Go runtime
-	inputMemoryFraction     = 1.0 / 16 // incomplete messages of all clients of a listener
-	statementMemoryFraction = 1.0 / 8  // statements of open requests
-	answerMemoryFraction    = 1.0 / 8  // answers that clients have yet to read
-	resultMemoryFraction    = 1.0 / 4  // results in flight, assuming that each has the maximum size
+	inputMemoryFraction     = 1.0 / 16 // for the incomplete messages of all clients of a listener
+	statementMemoryFraction = 1.0 / 8  // for the statements of open requests
+	answerMemoryFraction    = 1.0 / 8  // for answers that clients have not read yet
+	resultMemoryFraction    = 1.0 / 4  // for results in flight, assuming that each has the maximum size
 	spoolMemoryFraction     = 1.0 / 4  // maximum size of a spool in memory
 )
 
@@ -53,7 +53,7 @@
 const (
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleTimeout    = 10 * time.Second
-	idleTimeoutFraction   = 0.8 // of the endpoints' idle timeout, so that connections are closed before endpoints close them
+	idleTimeoutFraction   = 0.8 // fraction of the endpoints' idle timeout; below 1, so that connections are closed before endpoints close them
 )
 
 // connectionBudget is the maximum number of connections of each kind.
--- a/internal/program/overridestore.go
+++ b/internal/program/overridestore.go
@@ -20,7 +20,8 @@
 	stateFileName = "aniseloft-state.json"
 	// statePollInterval is how often a process checks the state file for changes by the other process of an upgrade.
 	statePollInterval = 100 * time.Millisecond
-	// stateLockTries limits the wait for the file lock, as an operator's call must be answered in time.
+	// stateLockTries is the maximum number of attempts to take the file lock. It is limited because an operator's call
+	// must be answered in time.
 	stateLockTries = 20
 )
 
@@ -34,7 +35,7 @@
 // changes within the process; the file lock orders the changes of both processes of an upgrade.
 type overrideStore struct {
 	path   string
-	update func(func(*overrides.Set) (changed bool)) // runs on the dispatcher's overrides, under their lock
+	update func(func(*overrides.Set) (changed bool)) // runs a function on the dispatcher's overrides, under their lock
 	log    *slog.Logger
 
 	mu              sync.Mutex
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -43,7 +43,7 @@
 	pool       *upstream.Pool
 	clients    *listener.Listener
 	admin      *listener.Listener // nil if no address for operators' calls is configured
-	peers      *gossip.Transport  // nil if gossip is off
+	peers      *gossip.Transport  // sends and receives gossip; nil if gossip is off
 	fleet      fleetMember        // nil if coordination with other coordinators is off
 
 	drain     drainState
--- a/internal/program/spool.go
+++ b/internal/program/spool.go
@@ -66,8 +66,8 @@
 }
 
 // spoolCollector returns the job that removes, on behalf of all coordinators, the expired results of
-// removed coordinators from a shared spool. It returns nil if the spool is not shared or this coordinator takes
-// no part in the job lease.JobCollectSpool.
+// removed coordinators from a shared spool. It returns nil if the spool is not shared or the fleet has no job
+// lease.JobCollectSpool.
 func (p *Program) spoolCollector(settings config.REST) func() error {
 	if !settings.Spool.Shared || p.fleet == nil || !p.fleet.HasJob(lease.JobCollectSpool) {
 		return nil
--- a/internal/routing/coalescing.go
+++ b/internal/routing/coalescing.go
@@ -33,7 +33,7 @@
 // leader, is sent; the others, its followers, wait for its result. A leader may keep
 // running after its own client has left. The coalescer is owned by the dispatcher's goroutine.
 type coalescer struct {
-	leaders   map[requestKey]*request
+	leaders   map[requestKey]*request       // by idempotency key and class
 	followers map[decide.RequestID]*request // by the follower's request ID
 }
 
--- a/internal/routing/finalanswer.go
+++ b/internal/routing/finalanswer.go
@@ -24,7 +24,7 @@
 // retryable reports whether the client may retry a request even if an attempt has run, by the rule of
 // its class. keyUsed reports whether an attempt may have run under its idempotency key.
 func (d *Dispatcher) retryable(r *request) (retryable, keyUsed bool) {
-	windowStart := math.Inf(1) // the deduplication window of the key has not begun
+	windowStart := math.Inf(1) // infinite: the deduplication window of the key has not begun
 	now := millis.Now()
 	earlierRun := d.runHistory.earlierRun(r.key(), now)
 	if earlierRun != nil {
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -14,7 +14,7 @@
 // waitTimeout limits every wait for an expected event. No test result depends on how soon the event occurs.
 const waitTimeout = 20 * time.Second
 
-// fakeAttempt is an attempt at a fakeUpstream. It sends nothing; the test ends it with end.
+// fakeAttempt is an attempt at a fakeUpstream. It sends nothing; the test ends it by calling end.
 type fakeAttempt struct {
 	AttemptSpec
 	ctx     context.Context
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -21,7 +21,7 @@
 	// deadlineTimer answers the request if nothing else has by its deadline, see startDeadlineTimer and startFollowerTimer.
 	deadlineTimer   *time.Timer
 	grantMB         float64 // memory grant of the request's later attempts
-	priority        int     // of the request's attempts; -1: not set
+	priority        int     // priority of the request's attempts; -1: not set
 	attempts        []*attempt
 	runningAttempts int // number of attempts that have not ended
 	// Coalescing: the request whose result this one waits for, and the requests that wait for this one.
--- a/internal/routing/runhistory.go
+++ b/internal/routing/runhistory.go
@@ -15,7 +15,7 @@
 // recordedRun is the first run under a key.
 type recordedRun struct {
 	decide.EarlierRun
-	retriesUntil decide.Millis // no retry arrives later
+	retriesUntil decide.Millis // time until which a retry may arrive
 }
 
 // runStart identifies a recorded run by its key and start time.
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -14,7 +14,7 @@
 	Statement      []byte
 	Timeout        time.Duration
 	GrantMB        float64    // memory granted to the attempt
-	Priority       int        // -1: not set
+	Priority       int        // priority of the attempt at its endpoint; -1: not set
 	IdempotencyKey string     // empty: none
 	Sink           ResultSink // receives a streamed result; nil: the result is one body
 	// Exclusive is set if the query must not have another attempt while this attempt may run: Run then
@@ -35,10 +35,10 @@
 type Result struct {
 	Outcome        decide.Outcome
 	Body           []byte
-	Streamed       bool    // the result was written to the attempt's sink
-	ActualWork     float64 // milliseconds on one core
-	ActualMemoryMB float64
-	Load           *decide.LoadReport // nil: the endpoint sent no report
+	Streamed       bool               // the result was written to the attempt's sink
+	ActualWork     float64            // work that the endpoint reported, in milliseconds on one core; 0: not reported
+	ActualMemoryMB float64            // memory that the endpoint reported; 0: not reported
+	Load           *decide.LoadReport // load report of the endpoint; nil: the endpoint sent none
 	Reason         string
 }
 
