--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -102,7 +102,7 @@
 	return ""
 }
 
-// runUntilLeader runs the group for ten leases and requires that a replica leads and all replicas are members.
+// runUntilLeader runs the group for ten lease durations and requires that a replica leads and all replicas are members.
 func (g *testGroup) runUntilLeader() {
 	g.run(10*lease.DefaultTiming().LeaseTTL, nil)
 	require.NotEmpty(g.t, g.leader())
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// An attempt is not exclusive only if the settings enable concurrent attempts.
+// An attempt is exclusive unless the settings enable concurrent attempts.
 func TestAttemptIsExclusiveUnlessConcurrentAttemptsEnabled(t *testing.T) {
 	for _, enabled := range []bool{false, true} {
 		d, upstream, listEndpoint := startDispatcher(t, true, 5000)
