--- a/internal/transport/clients/admin.go
+++ b/internal/transport/clients/admin.go
@@ -14,8 +14,9 @@
 
 const (
 	// MaxAdminConnections is the maximum number of concurrent admin connections, whatever the limit
-	// of descriptors; a further connection evicts the oldest one. Their descriptors are reserved for
-	// the program itself and do not count against those for clients and endpoints.
+	// of file descriptors; a further connection evicts the oldest one. The descriptors of admin
+	// connections are reserved for the program itself and do not count against those for clients and
+	// endpoints.
 	MaxAdminConnections = 16
 	// adminCallTimeout is how long a caller may take to send its line. A caller that keeps a
 	// connection open for 4 s without a complete call only uses up its own connection.
--- a/internal/transport/clients/close_test.go
+++ b/internal/transport/clients/close_test.go
@@ -29,7 +29,7 @@
 
 func (c *hookedConn) Close() error { c.beforeClose(); return c.TCPConn.Close() }
 
-// serverCase is a kind of server, a message for it, and a part of its answer.
+// serverCase is a kind of server, a message for it, and a part of its answer to that message.
 type serverCase struct {
 	name    string
 	serve   func(draining func() bool) func(context.Context, *listener.Conn)
--- a/internal/transport/clients/drain.go
+++ b/internal/transport/clients/drain.go
@@ -14,7 +14,7 @@
 type DrainPolicy struct {
 	// Ready reports whether new clients are accepted. It is the answer to a client's health check.
 	Ready func() bool
-	// Admit reports whether a request is accepted, by the time when it was received and its expected
+	// Admit reports whether a request is accepted, given the time at which it was received and its expected
 	// duration. Other requests are rejected with drain.RetryAfter. Nil accepts all requests.
 	Admit func(receivedAt time.Time, expected time.Duration) bool
 	// Draining reports whether connections without open requests are to be closed. Nil stands for
--- a/internal/transport/clients/errors.go
+++ b/internal/transport/clients/errors.go
@@ -11,10 +11,10 @@
 	errIDInUse           = errors.New("id of an open request")
 	errTooManyOpen       = errors.New("too many open requests on the connection")
 	errKeyReused         = errors.New("idempotency key used with another statement")
-	errRecordUnavailable = errors.New("the record can't be read")
+	errRecordUnavailable = errors.New("the query record can't be read")
 	errQueryNotFound     = errors.New("no such query")
 	errPageNotFound      = errors.New("no such page")
-	errRecordCorrupt     = errors.New("the record's pages can't be read")
+	errRecordCorrupt     = errors.New("the result's pages in the query record can't be read")
 )
 
 // invalidEstimateError is returned for a request whose timeout or estimates are out of range.
--- a/internal/transport/clients/jsonrpc.go
+++ b/internal/transport/clients/jsonrpc.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// jsonrpcIdleTimeout is how long a connection without open requests is kept. Clients close theirs
-	// after 4 s.
+	// jsonrpcIdleTimeout is how long a connection without open requests is kept. Clients close an idle
+	// connection after 4 s.
 	jsonrpcIdleTimeout = 5 * time.Second
-	// rejectionPause is how long handling of a connection's messages stops after one was rejected: a
+	// rejectionPause is how long handling of a connection's messages stops after a message was rejected: a
 	// client that sends invalid messages at full speed must not overload the dispatcher.
 	rejectionPause = 20 * time.Millisecond
 	// maxOpenPerConnection is the maximum number of open requests on a connection.
@@ -47,28 +47,28 @@
 	answers     chan []byte
 	queuedBytes atomic.Int64 // size of the answers in the queue, in bytes
 
-	mu     sync.Mutex // guards closed and open
-	closed bool       // answers is closed: nothing more is queued
-	open   map[string]*responder
+	mu            sync.Mutex            // guards answersClosed and openRequests
+	answersClosed bool                  // nothing more may be queued
+	openRequests  map[string]*responder // by id
 
 	// The fields below are used by the reader only.
-	parser      jsonrpc.Parser
-	rejected    bool    // a message was rejected since the last pause
-	pending     []batch // messages that are read and not yet handled
-	pendingSize int     // size of the batches read during a pause, in bytes
-	budgeted    int     // bytes that the connection uses of the input budget
+	parser        jsonrpc.Parser
+	rejectedAny   bool    // a message was rejected since the last pause
+	pending       []batch // messages that are read and not yet handled
+	pendingSize   int     // size of the pending batches that were read during a pause, in bytes
+	budgetedBytes int     // part of the input budget that the connection uses
 }
 
 // batch holds the messages of one read that are not yet handled.
 type batch struct {
 	messages   []jsonrpc.Message
-	size       int       // bytes read; 0 unless it was read during a pause
-	receivedAt time.Time // when its last byte was read
+	size       int       // bytes read, for a batch that was read during a pause; 0 for others
+	receivedAt time.Time // when the last byte of the batch was read
 }
 
 // Serve serves one client until it disconnects or ctx ends.
 func (s *JSONRPCServer) Serve(ctx context.Context, c *listener.Conn) {
-	j := &jsonrpcConn{server: s, conn: c, answers: make(chan []byte, maxQueuedAnswers), open: map[string]*responder{}}
+	j := &jsonrpcConn{server: s, conn: c, answers: make(chan []byte, maxQueuedAnswers), openRequests: map[string]*responder{}}
 	buffered := netconn.New(c, netconn.SmallBuffer)
 	written := make(chan struct{})
 	go func() { defer close(written); j.writeAnswers(buffered) }()
@@ -76,7 +76,7 @@
 	err := j.readMessages(ctx, buffered)
 	stop()
 	s.Log.Debug("client connection closed", "err", err)
-	s.InputBudget.Adjust(j.budgeted, 0)
+	s.InputBudget.Adjust(j.budgetedBytes, 0)
 	j.cancelAll()
 	<-written
 	if errors.Is(err, errTooMuchUnhandled) || errors.Is(err, jsonrpc.ErrLineTooLong) {
@@ -87,16 +87,16 @@
 // readMessages reads and handles messages until the connection is to be closed, and returns the reason.
 func (j *jsonrpcConn) readMessages(ctx context.Context, in *netconn.Conn) error {
 	for {
-		b, at, err := j.conn.ReadBytes(ctx, in, jsonrpcIdleTimeout, j.server.Drain.Draining)
+		b, readAt, err := j.conn.ReadBytes(ctx, in, jsonrpcIdleTimeout, j.server.Drain.Draining)
 		if err != nil {
 			return err
 		}
-		err = j.parse(b, at, false)
+		err = j.parse(b, readAt, false)
 		for len(j.pending) > 0 {
 			next := j.pending[0]
 			j.pending = j.pending[1:]
 			j.handleBatch(next)
-			if err == nil && j.rejected {
+			if err == nil && j.rejectedAny {
 				err = j.pauseHandling(ctx, in)
 			}
 			if err != nil {
@@ -142,17 +142,17 @@
 }
 
 // adjustBudget records the connection's current use of the input budget and reports whether it is
-// allowed.
+// within that budget.
 func (j *jsonrpcConn) adjustBudget() bool {
-	previous := j.budgeted
-	j.budgeted = j.parser.Buffered() + j.pendingSize
-	return j.server.InputBudget.Adjust(previous, j.budgeted)
+	previous := j.budgetedBytes
+	j.budgetedBytes = j.parser.Buffered() + j.pendingSize
+	return j.server.InputBudget.Adjust(previous, j.budgetedBytes)
 }
 
 // pauseHandling handles no messages for rejectionPause. It keeps reading the connection, so that a
 // disconnect or a cancellation is noticed even behind many unhandled messages.
 func (j *jsonrpcConn) pauseHandling(ctx context.Context, in *netconn.Conn) error {
-	j.rejected = false
+	j.rejectedAny = false
 	until := time.Now().Add(rejectionPause)
 	for {
 		b, err := in.Read(ctx, until)
--- a/internal/transport/clients/jsonrpc_test.go
+++ b/internal/transport/clients/jsonrpc_test.go
@@ -45,6 +45,7 @@
 		id, lastCallID.Add(1), base64.StdEncoding.EncodeToString([]byte("x")))
 }
 
+// cancelFirst cancels the request with id 1.
 const cancelFirst = `{"jsonrpc":"2.0","method":"cancelRequest","params":{"id":1}}` + "\n"
 
 // floodLine is an invalid message. floodLines of them are 64 KB, which fit into the kernel's socket buffers.
@@ -66,7 +67,7 @@
 	require.NoError(t, err, "the connection is closed and not reset")
 	require.Less(t, strings.Count(string(all), "\n"), floodLines/4, "the other messages were read, but not handled, when the disconnect was noticed")
 	srv.Dispatcher.DescribeEndpoints() // returns once the dispatcher has handled everything submitted before
-	require.Zero(t, srv.Dispatcher.OpenRequests(), "withdrawn")
+	require.Zero(t, srv.Dispatcher.OpenRequests(), "the request was withdrawn")
 }
 
 // Guards against handling a cancellation only after all invalid messages that were sent before it, on a connection that
@@ -85,7 +86,7 @@
 		require.Contains(t, line, `"code":-32700`, "every invalid message is answered")
 		if n == floodLines/4 {
 			srv.Dispatcher.DescribeEndpoints()
-			require.Zero(t, srv.Dispatcher.OpenRequests(), "withdrawn while most messages are unhandled")
+			require.Zero(t, srv.Dispatcher.OpenRequests(), "the request was withdrawn while most messages were unhandled")
 		}
 	}
 	transporttest.Write(t, client, `{"jsonrpc":"2.0","id":9,"method":"alive"}`+"\n")
--- a/internal/transport/clients/jsonrpcrequests.go
+++ b/internal/transport/clients/jsonrpcrequests.go
@@ -16,7 +16,7 @@
 type responder struct {
 	conn   *jsonrpcConn
 	id     string
-	ticket routing.Ticket
+	ticket routing.Ticket // identifies the request at the dispatcher
 }
 
 // handle handles one message.
@@ -39,13 +39,13 @@
 
 // reject answers a message that is rejected, which pauses the handling of the connection's messages.
 func (j *jsonrpcConn) reject(line []byte) {
-	j.rejected = true
+	j.rejectedAny = true
 	j.send(line)
 }
 
-// rejectIDInUse reports whether a message has the id of an open request. The client could not tell which
-// of the two an answer belongs to, so the open request is cancelled and a single error is sent for the
-// id.
+// rejectIDInUse reports whether a message has the id of an open request. If it has, the client could not
+// tell which of the two an answer belongs to, so the open request is cancelled and a single error is sent
+// for the id.
 func (j *jsonrpcConn) rejectIDInUse(id string) bool {
 	r := j.takeOpen(id)
 	if r == nil {
@@ -63,11 +63,11 @@
 	return j.removeOpen(id)
 }
 
-// removeOpen is takeOpen for callers that hold j.mu.
+// removeOpen does the same as takeOpen. The caller holds j.mu.
 func (j *jsonrpcConn) removeOpen(id string) *responder {
-	r := j.open[id]
+	r := j.openRequests[id]
 	if r != nil {
-		delete(j.open, id)
+		delete(j.openRequests, id)
 		j.conn.EndRequest()
 	}
 	return r
@@ -85,7 +85,7 @@
 		j.reject(j.errorAnswer(m.ID, err))
 		return
 	}
-	r, err := j.openRequest(m.ID)
+	r, err := j.registerRequest(m.ID)
 	if err != nil {
 		j.reject(j.errorAnswer(m.ID, err))
 		return
@@ -116,24 +116,24 @@
 	return index, nil
 }
 
-// openRequest registers an open request. It returns nil where the connection is being closed; the
+// registerRequest registers an open request. It returns nil where the connection is being closed; the
 // request must then be dropped.
-func (j *jsonrpcConn) openRequest(id string) (*responder, error) {
+func (j *jsonrpcConn) registerRequest(id string) (*responder, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.open) >= maxOpenPerConnection {
+	if len(j.openRequests) >= maxOpenPerConnection {
 		return nil, errTooManyOpen
 	}
 	if !j.conn.BeginRequest() {
 		return nil, nil
 	}
 	r := &responder{conn: j, id: id}
-	j.open[id] = r
+	j.openRequests[id] = r
 	return r, nil
 }
 
 // cancel withdraws the open request with an id, and removes unhandled requests with it from the latest
-// batch and the pending ones.
+// batch, which is still being read, and from the pending batches.
 func (j *jsonrpcConn) cancel(id string, latest *batch) {
 	if r := j.takeOpen(id); r != nil {
 		j.server.Dispatcher.Withdraw(r.ticket)
@@ -144,7 +144,7 @@
 	}
 }
 
-// removeRequests removes the requests with an id and returns their number.
+// removeRequests removes the requests with an id from the batch and returns their number.
 func (b *batch) removeRequests(id string) int {
 	before := len(b.messages)
 	b.messages = slices.DeleteFunc(b.messages, func(msg jsonrpc.Message) bool {
@@ -158,14 +158,14 @@
 // closes the queue of answers.
 func (j *jsonrpcConn) cancelAll() {
 	j.mu.Lock()
-	open := j.open
-	j.open = map[string]*responder{}
-	if !j.closed {
-		j.closed = true
+	openRequests := j.openRequests
+	j.openRequests = map[string]*responder{}
+	if !j.answersClosed {
+		j.answersClosed = true
 		close(j.answers)
 	}
 	j.mu.Unlock()
-	for _, r := range open {
+	for _, r := range openRequests {
 		j.server.Dispatcher.Withdraw(r.ticket)
 	}
 }
@@ -176,12 +176,12 @@
 	j := r.conn
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.open[r.id] != r { // cancelled, or the client has disconnected
+	if j.openRequests[r.id] != r { // cancelled, or the client has disconnected
 		return
 	}
 	j.removeOpen(r.id)
 	j.queue(line)
-	if len(j.open) == 0 && j.server.Drain.draining() {
+	if len(j.openRequests) == 0 && j.server.Drain.draining() {
 		j.conn.WakeReader() // the reader closes the connection
 	}
 }
--- a/internal/transport/clients/jsonrpcwriter.go
+++ b/internal/transport/clients/jsonrpcwriter.go
@@ -23,7 +23,7 @@
 // output budget is exceeded and this connection has answers queued already, the client does not read
 // its answers and is disconnected. The caller holds j.mu.
 func (j *jsonrpcConn) queue(line []byte) {
-	if j.closed {
+	if j.answersClosed {
 		return
 	}
 	budget := j.server.OutputBudget
@@ -37,7 +37,7 @@
 		}
 	}
 	budget.Adjust(len(line), 0)
-	j.closed = true
+	j.answersClosed = true
 	close(j.answers)
 	_ = j.conn.Close()
 }
--- a/internal/transport/clients/rest.go
+++ b/internal/transport/clients/rest.go
@@ -20,49 +20,49 @@
 const (
 	restIdleTimeout  = time.Minute     // how long a connection without open requests is kept
 	restWriteTimeout = 5 * time.Second // how long a client may take to read an answer before it is disconnected
-	// recordTimeout limits one operation on the record.
+	// recordTimeout limits one operation on the query record, the SQL store of REST queries.
 	recordTimeout = 2 * time.Second
 	// badRequestLinger is how long a connection is kept after a malformed request, so that a client that
 	// is still sending can read the error answer.
 	badRequestLinger = time.Second
 )
 
-// RESTServer serves the paged REST protocol. The state of a query is stored in the record, which outlives
-// the process. Its result is stored in the spool or, without a spool, in the record.
+// RESTServer serves the paged REST protocol. The state of a query is stored in the query record, which
+// outlives the process. The result is stored in the spool or, without a spool, in the record.
 type RESTServer struct {
 	Dispatcher    *routing.Dispatcher
 	Record        *store.Store
-	Spool         *spool.Store // stores results; nil: the record stores their pages
+	Spool         *spool.Store // stores results; nil: the record stores the pages of results
 	Drain         DrainPolicy
 	InputBudget   *listener.Budget     // bytes of incomplete requests of all clients
 	Retention     time.Duration        // how long an ended query can be read and its idempotency key is kept
-	Node          string               // name of this coordinator in the record, which several may share
+	Node          string               // name of this coordinator in the record, which several coordinators may share
 	PurgeInterval time.Duration        // time between two purges; 0: defaultPurgeInterval
 	Fleet         leasebackend.Backend // nil or without lease.JobPruneRecord: each coordinator purges the record
 	// CollectSpool removes results that departed coordinators left in a shared spool; nil: they are not removed.
 	CollectSpool func() error
 	Log          *slog.Logger
 
-	mu   sync.Mutex            // guards live
-	live map[string]*restQuery // by id
+	mu          sync.Mutex            // guards liveQueries
+	liveQueries map[string]*restQuery // queries whose end is not yet in the record, by id
 }
 
 // Live returns the number of queries whose end is not yet in the record.
 func (s *RESTServer) Live() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.live)
+	return len(s.liveQueries)
 }
 
 func (s *RESTServer) addLive(q *restQuery) {
 	s.mu.Lock()
-	s.live[q.id] = q
+	s.liveQueries[q.id] = q
 	s.mu.Unlock()
 }
 
 func (s *RESTServer) removeLive(id string) {
 	s.mu.Lock()
-	delete(s.live, id)
+	delete(s.liveQueries, id)
 	s.mu.Unlock()
 }
 
@@ -70,7 +70,7 @@
 func (s *RESTServer) findLive(id string) *restQuery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.live[id]
+	return s.liveQueries[id]
 }
 
 // Serve serves one client until it disconnects or ctx ends. It answers one request after the other.
@@ -78,22 +78,22 @@
 	buffered := netconn.New(c, netconn.SmallBuffer)
 	stop := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
 	defer stop()
-	parser, budgeted := rest.NewRequestParser(), 0
-	defer func() { s.InputBudget.Adjust(budgeted, 0) }()
+	parser, budgetedBytes := rest.NewRequestParser(), 0
+	defer func() { s.InputBudget.Adjust(budgetedBytes, 0) }()
 	for {
-		b, at, err := c.ReadBytes(ctx, buffered, restIdleTimeout, s.Drain.Draining)
+		b, readAt, err := c.ReadBytes(ctx, buffered, restIdleTimeout, s.Drain.Draining)
 		if err != nil {
 			return
 		}
 		messages, err := parser.Feed(b)
 		c.RecordRead(len(messages) > 0, parser.Buffered() > 0)
 		for _, msg := range messages {
-			if last, ok := s.exchange(ctx, c, buffered, msg, at); !ok || last && err == nil {
+			if closeAfter, ok := s.exchange(ctx, c, buffered, msg, readAt); !ok || closeAfter && err == nil {
 				return
 			}
 		}
-		fits := s.InputBudget.Adjust(budgeted, parser.Buffered())
-		if budgeted = parser.Buffered(); !fits {
+		fits := s.InputBudget.Adjust(budgetedBytes, parser.Buffered())
+		if budgetedBytes = parser.Buffered(); !fits {
 			return
 		}
 		if err != nil {
@@ -103,22 +103,22 @@
 	}
 }
 
-// exchange answers one request. last reports whether the connection is to be closed after the answer. ok
+// exchange answers one request. closeAfter reports whether the connection is to be closed after the answer. ok
 // is false where the connection must be closed at once.
-func (s *RESTServer) exchange(ctx context.Context, c *listener.Conn, out *netconn.Conn, msg rest.Request, receivedAt time.Time) (last, ok bool) {
-	if _, starts := msg.(rest.SubmitRequest); starts && netconn.PeerClosed(c.Conn) {
+func (s *RESTServer) exchange(ctx context.Context, c *listener.Conn, out *netconn.Conn, msg rest.Request, receivedAt time.Time) (closeAfter, ok bool) {
+	if _, startsQuery := msg.(rest.SubmitRequest); startsQuery && netconn.PeerClosed(c.Conn) {
 		return false, false // the client disconnected while an earlier request was answered
 	}
 	if !c.BeginRequest() { // the connection is being closed: the client sends the request again
 		return false, false
 	}
 	defer c.EndRequest()
-	answer, last := s.answer(context.WithoutCancel(ctx), c, msg, receivedAt)
+	answer, closeAfter := s.answer(context.WithoutCancel(ctx), c, msg, receivedAt)
 	err := out.Write(context.WithoutCancel(ctx), answer, time.Now().Add(restWriteTimeout))
-	return last, err == nil
+	return closeAfter, err == nil
 }
 
-func (s *RESTServer) answer(ctx context.Context, c *listener.Conn, msg rest.Request, receivedAt time.Time) (out []byte, last bool) {
+func (s *RESTServer) answer(ctx context.Context, c *listener.Conn, msg rest.Request, receivedAt time.Time) (out []byte, closeAfter bool) {
 	switch m := msg.(type) {
 	case rest.SubmitRequest:
 		return s.startQuery(ctx, c, m, receivedAt), m.Close
@@ -158,7 +158,7 @@
 	return rest.EncodeText(500, "the record can't be read; ask again")
 }
 
-// minRetryAfter is the shortest Retry-After of this protocol, which counts in whole seconds.
+// minRetryAfter is the shortest Retry-After of this protocol, which states it in whole seconds.
 const minRetryAfter = time.Second
 
 // rejection encodes the answer for a query that was not accepted or did not run: the client may retry it.
--- a/internal/transport/clients/restlifecycle.go
+++ b/internal/transport/clients/restlifecycle.go
@@ -12,14 +12,14 @@
 const (
 	// defaultPurgeInterval is the default time between two purges of expired queries and results.
 	defaultPurgeInterval = time.Minute
-	// failUnfinishedTimeout is how long Start waits for a record that another coordinator has locked.
+	// failUnfinishedTimeout is how long Start waits for the query record while another coordinator has it locked.
 	failUnfinishedTimeout = 10 * time.Second
 )
 
 // Start marks the queries that an earlier process left unfinished as failed, and starts a goroutine that
-// purges until ctx ends. It must be called before Serve.
+// purges expired queries and results until ctx ends. It must be called before Serve.
 func (s *RESTServer) Start(ctx context.Context) error {
-	s.live = map[string]*restQuery{}
+	s.liveQueries = map[string]*restQuery{}
 	if err := s.failUnfinished(ctx); err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// purgeUntil purges immediately, and then at each interval until ctx ends.
+// purgeUntil purges expired queries and results immediately, and then at each interval until ctx ends.
 func (s *RESTServer) purgeUntil(ctx context.Context) {
 	t := time.NewTicker(cmp.Or(s.PurgeInterval, defaultPurgeInterval))
 	defer t.Stop()
@@ -70,8 +70,8 @@
 	}
 }
 
-// purgeRecord deletes expired queries from the record. Where the fleet has the job of pruning the record,
-// only the coordinator that holds the job does so.
+// purgeRecord deletes expired queries from the query record. Where the fleet has the job of pruning the
+// record, only the coordinator that holds the job deletes them.
 func (s *RESTServer) purgeRecord(ctx context.Context) error {
 	if s.Fleet == nil || !s.Fleet.HasJob(lease.JobPruneRecord) {
 		_, err := s.Record.DeleteExpired(ctx, time.Now())
--- a/internal/transport/clients/restquery.go
+++ b/internal/transport/clients/restquery.go
@@ -35,15 +35,15 @@
 type restQuery struct {
 	server     *RESTServer
 	id         string
-	idempotent bool          // the class may be run twice
-	hasKey     bool          // the client can come back for the result by its idempotency key
-	spool      *spool.Writer // nil: the record stores the pages
-	ended      chan struct{} // closed once the end has been recorded, or could not be
+	idempotent bool          // a query of its class may run twice
+	hasKey     bool          // the client sent an idempotency key, by which it can come back for the result
+	spool      *spool.Writer // stores the pages of the result; nil: the query record stores them
+	ended      chan struct{} // closed once the query's end has been written to the query record, or that has failed
 	endOnce    sync.Once
 
 	mu        sync.Mutex      // guards the fields below
-	ticket    *routing.Ticket // nil until the query is submitted to the dispatcher
-	cancelled bool
+	ticket    *routing.Ticket // identifies the query at the dispatcher; nil until it is submitted
+	cancelled bool            // the query must not be submitted any more
 }
 
 // cancel withdraws a query at its client's request.
@@ -102,10 +102,11 @@
 	return func() { close(done) }
 }
 
-// Respond receives the dispatcher's final answer. The record is written on a separate goroutine, so that
-// the dispatcher's goroutine is not blocked. Clients get the answer only after that write.
+// Respond receives the dispatcher's final answer. The query record is written on a separate goroutine, so
+// that the dispatcher's goroutine is not blocked. Clients get the answer only after that write.
 func (q *restQuery) Respond(a routing.Answer) { go q.finish(a) }
 
+// endStates maps the kinds of the dispatcher's answers to the states in the query record.
 var endStates = map[routing.AnswerKind]store.State{
 	routing.Succeeded: store.StateSucceeded,
 	routing.Rejected:  store.StateRejected,
@@ -187,8 +188,9 @@
 	}
 }
 
-// end records the end of the query. Where that fails, the client is not told of a success: a query of an
-// idempotent class reads as rejected and any other as failed, as it would after a restart.
+// end writes the end of the query to the query record. Where that fails, the client is not told of a
+// success: a query of an idempotent class is reported as rejected and any other as failed, as after a
+// restart.
 func (q *restQuery) end(state store.State, pages []byte, retryAfter time.Duration) {
 	q.endOnce.Do(func() {
 		if q.spool != nil && state != store.StateSucceeded {
@@ -204,7 +206,7 @@
 	})
 }
 
-// maxRetryAfter returns the longest Retry-After that clients observe.
+// maxRetryAfter returns the longest Retry-After that clients obey.
 func (s *RESTServer) maxRetryAfter() time.Duration {
 	return millis.Duration(s.Dispatcher.Settings().MaxRetryAfter)
 }
--- a/internal/transport/clients/restresults.go
+++ b/internal/transport/clients/restresults.go
@@ -12,15 +12,15 @@
 	"aniseloft/internal/store"
 )
 
-// msgRecordUnreadable is the log message for a query whose row can't be read from the record.
+// msgRecordUnreadable is the log message for a query whose row can't be read from the query record.
 const msgRecordUnreadable = "query record unreadable"
 
 // restPollWait is how long the answer to a poll is held until the query ends.
 const restPollWait = time.Second
 
-// awaitEnd waits up to restPollWait for a query to end and returns the answer for its state. first is set
-// for the answer to the statement itself.
-func (s *RESTServer) awaitEnd(ctx context.Context, row *store.Query, host string, page int, first bool) []byte {
+// awaitEnd waits up to restPollWait for a query to end and returns the answer for its state.
+// answersStatement is set for the answer to the statement itself, and unset for the answer to a later poll.
+func (s *RESTServer) awaitEnd(ctx context.Context, row *store.Query, host string, page int, answersStatement bool) []byte {
 	if q := s.findLive(row.ID); q != nil && row.State == store.StateRunning {
 		t := time.NewTimer(restPollWait)
 		defer t.Stop()
@@ -36,7 +36,7 @@
 		s.Log.Warn(msgRecordUnreadable, "query", row.ID, "err", err)
 		return s.errorAnswer(errRecordUnavailable)
 	}
-	return s.endedAnswer(latest, host, page, first)
+	return s.endedAnswer(latest, host, page, answersStatement)
 }
 
 func (s *RESTServer) readRow(ctx context.Context, id string) (*store.Query, error) {
@@ -46,7 +46,7 @@
 }
 
 // endedAnswer returns the answer for an ended query.
-func (s *RESTServer) endedAnswer(row *store.Query, host string, page int, first bool) []byte {
+func (s *RESTServer) endedAnswer(row *store.Query, host string, page int, answersStatement bool) []byte {
 	switch row.State {
 	case store.StateSucceeded:
 		return s.resultPage(row, host, page)
@@ -56,7 +56,7 @@
 		}
 		return failure(row.ID, rest.ErrorFailed, 0)
 	case store.StateRejected:
-		if first {
+		if answersStatement {
 			return rejection(row.ID, row.RetryAfter)
 		}
 		return failure(row.ID, rest.ErrorRejected, max(row.RetryAfter, minRetryAfter))
@@ -89,7 +89,7 @@
 // spooledPage returns the answer with a page from the spool. Once a result has expired, the answer for each
 // of its pages is the same error.
 func (s *RESTServer) spooledPage(row *store.Query, host string, page int) []byte {
-	b, last, err := s.Spool.Read(row.ID, page)
+	b, isLast, err := s.Spool.Read(row.ID, page)
 	switch {
 	case errors.Is(err, spool.ErrNoPage):
 		return s.errorAnswer(errPageNotFound)
@@ -100,19 +100,19 @@
 		return failure(row.ID, rest.ErrorFailed, 0)
 	}
 	rows := rest.ParseRows(b)
-	return pageAnswer(row, host, page, rest.DescribeColumns([][][]string{rows}), rows, last)
+	return pageAnswer(row, host, page, rest.DescribeColumns([][][]string{rows}), rows, isLast)
 }
 
-// pageAnswer encodes the answer with a page, and with the URI of the next page unless it is the last.
-func pageAnswer(row *store.Query, host string, page int, columns []rest.Column, rows [][]string, last bool) []byte {
+// pageAnswer encodes the answer with a page, and with the URI of the next page unless isLast is set.
+func pageAnswer(row *store.Query, host string, page int, columns []rest.Column, rows [][]string, isLast bool) []byte {
 	out := rest.QueryResults{ID: row.ID, Columns: columns, Data: rows, Stats: rest.Stats{State: "FINISHED"}}
-	if !last {
+	if !isLast {
 		out.NextURI, out.Stats.State = rest.PageURI(host, row.ID, row.Slug, page+1), "RUNNING"
 	}
 	return rest.EncodeResults(200, out, 0)
 }
 
-// lookup finds a query by the id and the slug of the URI that its client was given.
+// lookup finds a query's row by the id and the slug in the URI that its client was given.
 func (s *RESTServer) lookup(ctx context.Context, id, slug string) (*store.Query, error) {
 	row, err := s.readRow(ctx, id)
 	if errors.Is(err, store.ErrNotFound) || err == nil && row.Slug != slug {
--- a/internal/transport/clients/reststatement.go
+++ b/internal/transport/clients/reststatement.go
@@ -91,22 +91,24 @@
 	return millis.Duration(timeout)
 }
 
-// newRow returns the row for a statement's query. Its digest distinguishes statements sent with the same
-// idempotency key.
+// newRow returns the row of the query record for a statement's query. The row's digest distinguishes
+// statements sent with the same idempotency key.
 func (s *RESTServer) newRow(m rest.SubmitRequest, deadline time.Time) store.Query {
 	digest := sha256.Sum256(append([]byte(m.Class+"\x00"), m.Statement...))
 	return store.Query{ID: newToken(), Slug: newToken(), IdempotencyKey: m.IdempotencyKey, Digest: hex.EncodeToString(digest[:]), Class: m.Class,
 		Owner: m.User, Coordinator: s.Node, ExpiresAt: deadline.Add(s.Retention)}
 }
 
-// beginRow records a query. If a query with the same idempotency key exists, it returns that one instead.
+// beginRow writes a new query's row to the query record. If a query with the same idempotency key exists,
+// it returns the row of that query instead.
 func (s *RESTServer) beginRow(ctx context.Context, row store.Query, deadline time.Time) (existing *store.Query, err error) {
 	ctx, cancel := context.WithDeadline(ctx, netconn.Earlier(deadline, time.Now().Add(recordTimeout)))
 	defer cancel()
 	return s.Record.Begin(ctx, row)
 }
 
-// reserveSpool reserves space for the result before the query is sent, as none might be left afterwards.
+// reserveSpool reserves space in the spool for the result before the query is sent, as no space might be
+// left afterwards.
 func (q *restQuery) reserveSpool(row store.Query) (err error) {
 	if q.server.Spool == nil {
 		return nil
--- a/internal/transport/clients/wire_bytes_test.go
+++ b/internal/transport/clients/wire_bytes_test.go
@@ -94,20 +94,20 @@
 	l.ServeConn(server)
 	r := bufio.NewReader(client)
 	out := &transporttest.Transcript{Patterns: map[*regexp.Regexp]string{regexp.MustCompile("[0-9a-f]{24}"): "(token)"}}
-	next := regexp.MustCompile(`"nextUri":"http://a([^"]*)"`)
-	var path string // of the latest nextUri
+	nextURI := regexp.MustCompile(`"nextUri":"http://a([^"]*)"`)
+	var nextPath string // path of the latest nextUri
 	exchange := func(request string, meanwhile func()) {
 		out.Add(">", request)
 		transporttest.Write(t, client, request)
 		meanwhile()
-		var raw bytes.Buffer
-		answer, err := http.ReadResponse(bufio.NewReader(io.TeeReader(&transporttest.ByteReader{From: r}, &raw)), nil)
+		var rawAnswer bytes.Buffer
+		answer, err := http.ReadResponse(bufio.NewReader(io.TeeReader(&transporttest.ByteReader{From: r}, &rawAnswer)), nil)
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, answer.Body)
 		require.NoError(t, err)
-		out.Add("<", raw.String())
-		if m := next.FindStringSubmatch(raw.String()); m != nil {
-			path = m[1]
+		out.Add("<", rawAnswer.String())
+		if m := nextURI.FindStringSubmatch(rawAnswer.String()); m != nil {
+			nextPath = m[1]
 		}
 	}
 	nothing := func() {}
@@ -122,11 +122,11 @@
 	exchange(statement("look", "Idempotency-Key: k\r\n", "x"), func() {
 		transporttest.Receive(t, endpoint.Runs) <- routing.Result{Outcome: decide.OutcomeSucceeded, Body: []byte(rows)}
 	})
-	exchange(get(path), nothing)
-	last := path
-	exchange(get(last[:len(last)-1]+"7"), nothing)
+	exchange(get(nextPath), nothing)
+	lastPath := nextPath
+	exchange(get(lastPath[:len(lastPath)-1]+"7"), nothing)
 	exchange(statement("look", "Idempotency-Key: k\r\n", "other"), nothing)
-	exchange("DELETE "+last+" HTTP/1.1\r\nHost: a\r\n\r\n", nothing)
+	exchange("DELETE "+lastPath+" HTTP/1.1\r\nHost: a\r\n\r\n", nothing)
 	exchange(get("/v1/statement/executing/none/none/0"), nothing)
 	exchange(statement("none", "", "x"), nothing)
 	exchange(statement("look", "X-Aniseloft-Work-Ms: 900000\r\n", "x"), nothing)
@@ -138,8 +138,8 @@
 	admitted = true
 	var run chan routing.Result
 	exchange(statement("look", "", "x"), func() { run = transporttest.Receive(t, endpoint.Runs) })
-	exchange("DELETE "+path+" HTTP/1.1\r\nHost: a\r\n\r\n", nothing)
-	exchange(get(path), nothing)
+	exchange("DELETE "+nextPath+" HTTP/1.1\r\nHost: a\r\n\r\n", nothing)
+	exchange(get(nextPath), nothing)
 	close(run)
 	golden.Equal(t, "testdata/rest-server.txt", []byte(out.String()))
 }
