--- a/internal/transport/coordination/conn.go
+++ b/internal/transport/coordination/conn.go
@@ -12,7 +12,7 @@
 
 const (
 	writeTimeout = 2 * time.Second // a peer that reads nothing for this long is disconnected
-	queueLimit   = 256             // frames queued per connection, and tasks queued for the replica; more are dropped
+	queueLimit   = 256             // frames queued per connection, and tasks queued for the replica; further ones are dropped
 	readBuffer   = 16 << 10        // bytes per read
 )
 
@@ -22,9 +22,9 @@
 // conn is a connection with a queue of frames to write. It is safe for concurrent use.
 type conn struct {
 	socket   net.Conn
-	frames   chan []byte
-	closed   chan struct{}
-	once     sync.Once
+	frames   chan []byte   // encoded frames that wait for the writer goroutine
+	closed   chan struct{} // closed by close
+	once     sync.Once     // guards close
 	counters *counters
 }
 
@@ -106,8 +106,8 @@
 	}
 }
 
-// logRejected logs a connection whose peer violated the protocol. One from another installation is logged only if it is
-// the first rejected connection, as its peer keeps reconnecting.
+// logRejected logs a connection whose peer violated the protocol. A connection from another installation is logged only
+// if it is the first rejected connection, as its peer keeps reconnecting.
 func (n *Node) logRejected(c *conn, err error) {
 	first := n.counters.rejectedConns.Add(1) == 1
 	if first || !errors.Is(err, fleet.ErrOtherInstallation) {
--- a/internal/transport/coordination/disk.go
+++ b/internal/transport/coordination/disk.go
@@ -19,7 +19,7 @@
 
 const (
 	dbFile    = "council.db" // a replica's database in its directory
-	dbVersion = 1            // newest format that this release reads, and the one it writes
+	dbVersion = 1            // database format that this release writes, and the newest that it reads
 	lockWait  = time.Second  // how long to wait for another process to close the database
 )
 
@@ -55,7 +55,7 @@
 	installation uint64
 	database     *bbolt.DB
 	replicaID    uint64       // random, chosen when the database was created
-	fault        func() error // runs before each save; its error fails the save; nil: none
+	fault        func() error // injected fault: runs before each save, which fails with the error of fault; nil: none
 }
 
 // openDisk opens a replica's database in dir, or creates it. It returns an error wrapping ErrDiskInUse,
--- a/internal/transport/coordination/disk_test.go
+++ b/internal/transport/coordination/disk_test.go
@@ -21,7 +21,7 @@
 		update.HardState = &raftpb.HardState{Term: new(rapid.Uint64().Draw(rt, "term"))}
 	}
 	switch kind := rapid.IntRange(0, 3).Draw(rt, "snapshot"); {
-	case kind == 1 && lastIndex > 0: // its own snapshot, of applied entries
+	case kind == 1 && lastIndex > 0: // the replica's own snapshot of applied entries
 		compactIndex = uint64(rapid.IntRange(1, int(lastIndex)).Draw(rt, "compact"))
 		update.Snapshot = &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: new(compactIndex)}}
 	case kind == 2: // the leader's snapshot, which replaces the log
--- a/internal/transport/coordination/fences.go
+++ b/internal/transport/coordination/fences.go
@@ -10,9 +10,9 @@
 	"aniseloft/internal/lease"
 )
 
-// fencesFile holds the newest assignment of each job that this coordinator has followed, in the fleet's directory. The
-// file of the same name in the root of a shared spool is a different one: it holds the fences that the spool has accepted
-// as the target of operations (internal/spool/fence.go).
+// fencesFile is a file in the fleet's directory with the newest assignment of each job that this coordinator has
+// observed (followed). The file of the same name in the root of a shared spool is a different one: it holds the fences
+// that the spool has accepted as the target of operations (internal/spool/fence.go).
 const fencesFile = "fences.json"
 
 // loadFollowedFences reads the assignments that an earlier run stored.
--- a/internal/transport/coordination/node.go
+++ b/internal/transport/coordination/node.go
@@ -48,8 +48,8 @@
 type Node struct {
 	*leasebackend.Client
 	name         string
-	installation uint64
-	diskFault    func() error     // see InjectDiskFaults
+	installation uint64           // fleet.InstallationID of the configured installation
+	diskFault    func() error     // runs before each write to the replica's disk, see InjectDiskFaults
 	draining     atomic.Bool      // set by Drain, cleared when leadership is transferred
 	reconfigured chan struct{}    // signals a new conf to the replica goroutine; holds one signal
 	tasks        chan replicaTask // for the replica goroutine; bounded, see enqueue
@@ -59,10 +59,10 @@
 	mu             sync.Mutex
 	conf           fleetconf.Config
 	resolver       *lease.LeaderResolver
-	leaderConn     *conn  // to the replica named by leaderConnName; nil: none
-	leaderConnName string // replica that leaderConn is to
-	dialingLeader  bool
-	subscriber     func(leasebackend.Publication) // nil: publications are not delivered
+	leaderConn     *conn                          // connection to the replica leaderConnName; nil: not connected
+	leaderConnName string                         // name of the replica that leaderConn is connected to
+	dialingLeader  bool                           // a dial for leaderConn is in progress
+	subscriber     func(leasebackend.Publication) // receives publications of job holders; nil: they are not delivered
 }
 
 // counters are printed by Node.String.
--- a/internal/transport/coordination/node_test.go
+++ b/internal/transport/coordination/node_test.go
@@ -72,11 +72,11 @@
 // A connection with foreign, corrupted or incomplete frames must be counted and closed without a change of any lease.
 func TestNodeRejectsForeignFrames(t *testing.T) {
 	n, conf, log := startSingleNode(t)
-	before, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
+	responseBefore, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
 	require.NoError(t, err)
 	request := lease.KeepAliveRequest{Holder: lease.Holder{Name: "intruder", Incarnation: 1}, SentAt: 1, Capacity: 1e9, Jobs: conf.Jobs, HigherFences: []lease.GrantID{{Job: "no-such-job", Fence: 99}}}
-	whole := fleet.AppendJSON(nil, fleet.InstallationID("here"), fleet.KeepAliveRequest, request)
-	otherVersion := bytes.Clone(whole)
+	wholeFrame := fleet.AppendJSON(nil, fleet.InstallationID("here"), fleet.KeepAliveRequest, request)
+	otherVersion := bytes.Clone(wholeFrame)
 	otherVersion[3]++
 	for name, raw := range map[string][]byte{
 		"http":                   []byte("GET /journal?tail=0&max_wait=1 HTTP/1.1\r\nHost: a\r\n\r\n"),
@@ -84,7 +84,7 @@
 		"another version":        otherVersion,
 		"malformed":              fleet.Append(nil, fleet.InstallationID("here"), fleet.Frame{Kind: fleet.KeepAliveRequest, Payload: []byte("{")}),
 		"malformed raft message": fleet.Append(nil, fleet.InstallationID("here"), fleet.Frame{Kind: fleet.RaftMessage, Payload: []byte{0xff}}),
-		"cut short":              whole[:len(whole)-3],
+		"cut short":              wholeFrame[:len(wholeFrame)-3],
 	} {
 		conn := dialAndWrite(t, conf.Replicas[0].Addr, raw)
 		if name == "cut short" {
@@ -99,13 +99,13 @@
 		_ = conn.Close()
 	}
 	// A well-formed publication under a stale fence must be dropped.
-	stale := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: lease.JobReadJournal}, HolderName: "intruder"}}
-	conn := dialAndWrite(t, conf.Replicas[0].Addr, fleet.AppendJSON(nil, fleet.InstallationID("here"), fleet.Publication, stale))
+	stalePublication := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: lease.JobReadJournal}, HolderName: "intruder"}}
+	conn := dialAndWrite(t, conf.Replicas[0].Addr, fleet.AppendJSON(nil, fleet.InstallationID("here"), fleet.Publication, stalePublication))
 	require.Eventually(t, func() bool { return strings.Contains(log.String(), "its fence is stale") }, 10*time.Second, 10*time.Millisecond)
 	_ = conn.Close()
-	after, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
+	responseAfter, err := Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminHistory}, 5*time.Second)
 	require.NoError(t, err)
-	require.Equal(t, before.History, after.History)
+	require.Equal(t, responseBefore.History, responseAfter.History)
 	require.True(t, n.Holds(lease.JobPruneRecord))
 	require.GreaterOrEqual(t, n.counters.rejectedConns.Load(), int64(5))
 }
@@ -124,6 +124,7 @@
 	dir := testdir.Dir(t)
 	conf := fleetconf.Config{Installation: "here", Generation: 1, Directory: dir, Jobs: []string{lease.JobReadJournal},
 		Replicas: []fleetconf.Replica{{Name: "far", Addr: "127.0.0.1:1"}}}
+	// deliveries publishes under a fence and returns how often the publication reaches the subscriber.
 	deliveries := func(n *Node, fence lease.Fence, holder string) int {
 		count := 0
 		n.Subscribe(func(leasebackend.Publication) { count++ })
@@ -136,11 +137,11 @@
 	n, err := New(conf, "n7", monotonicClock(), log)
 	require.NoError(t, err)
 	require.Equal(t, 1, deliveries(n, 4, "n1"))
-	require.Equal(t, 0, deliveries(n, 3, "n2"), "an older grant")
-	require.Equal(t, 0, deliveries(n, 4, "n2"), "the same grant under another name")
+	require.Equal(t, 0, deliveries(n, 3, "n2"), "an older fence")
+	require.Equal(t, 0, deliveries(n, 4, "n2"), "the same fence of another holder")
 	n, err = New(conf, "n7", monotonicClock(), log)
 	require.NoError(t, err)
-	require.Equal(t, 0, deliveries(n, 3, "n2"), "an older grant, after a restart")
+	require.Equal(t, 0, deliveries(n, 3, "n2"), "an older fence, after a restart")
 	require.Equal(t, 1, deliveries(n, 4, "n1"))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFile), []byte("{"), 0o600))
 	_, err = New(conf, "n7", monotonicClock(), log)
--- a/internal/transport/coordination/peer.go
+++ b/internal/transport/coordination/peer.go
@@ -17,9 +17,9 @@
 
 // peer holds the connection to another replica. Only the replica goroutine uses it.
 type peer struct {
-	conn     *conn // nil: never connected
-	backoff  time.Duration
-	nextDial time.Time
+	conn     *conn         // nil: never connected
+	backoff  time.Duration // latest pause between two dials, without jitter; 0 after a send on an open connection
+	nextDial time.Time     // no dial is started before this time
 }
 
 func (p *peer) closeConn() {
@@ -28,8 +28,8 @@
 	}
 }
 
-// sendToPeer sends a frame to another replica. Without a connection it dials, with exponential backoff; frames sent
-// until then are dropped, which raft tolerates.
+// sendToPeer sends a frame to another replica. Without a connection it dials, with exponential backoff; the frame that
+// starts a dial is sent once connected, and others are dropped until then, which raft tolerates.
 func (h *replicaHost) sendToPeer(ctx context.Context, name string, frame []byte) {
 	p := h.peers[name]
 	if p == nil {
--- a/internal/transport/coordination/publication.go
+++ b/internal/transport/coordination/publication.go
@@ -18,11 +18,11 @@
 	n.subscriber = f
 }
 
-// Publish sends data to all clients of the leader under the grant of a job; seq numbers the publications under that
-// grant. Delivery is not guaranteed, so the publisher has to repeat its data.
+// Publish sends data to all clients of the leader under the grant of a job. seq is the publication's sequence number
+// under that grant. Delivery is not guaranteed, so the publisher has to repeat its data.
 func (n *Node) Publish(job string, fence lease.Fence, seq uint64, data []byte) {
 	p := leasebackend.Publication{Assignment: lease.Assignment{GrantID: lease.GrantID{Job: job, Fence: fence}, HolderName: n.name}, Seq: seq, Data: data}
-	raw, err := codec.Marshal(p)
+	payload, err := codec.Marshal(p)
 	if err != nil {
 		return
 	}
@@ -31,18 +31,18 @@
 	replica, c := n.resolver.Current(), n.leaderConn
 	n.mu.Unlock()
 	if replica == n.name {
-		n.enqueue(func(*consensus.Replica) { n.replicaHost.broadcast(raw) })
+		n.enqueue(func(*consensus.Replica) { n.replicaHost.broadcast(payload) })
 	} else if c != nil {
-		c.send(fleet.Append(nil, n.installation, fleet.Frame{Kind: fleet.Publication, Payload: raw}))
+		c.send(fleet.Append(nil, n.installation, fleet.Frame{Kind: fleet.Publication, Payload: payload}))
 	}
 }
 
 // broadcast sends a publication to all clients of this replica.
-func (h *replicaHost) broadcast(raw []byte) {
-	frame := fleet.Append(nil, h.node.installation, fleet.Frame{Kind: fleet.Publication, Payload: raw})
+func (h *replicaHost) broadcast(payload []byte) {
+	frame := fleet.Append(nil, h.node.installation, fleet.Frame{Kind: fleet.Publication, Payload: payload})
 	for _, c := range h.clientConns {
 		if c == nil {
-			_ = h.node.handlePublication(raw)
+			_ = h.node.handlePublication(payload)
 		} else {
 			c.send(frame)
 		}
@@ -51,9 +51,9 @@
 
 // handlePublication delivers a publication to the subscriber unless its fence is stale. A new fence is stored before
 // the delivery, so that publications of a stale holder are dropped after a restart too.
-func (n *Node) handlePublication(raw []byte) error {
+func (n *Node) handlePublication(payload []byte) error {
 	var p leasebackend.Publication
-	if err := codec.Unmarshal(raw, &p); err != nil {
+	if err := codec.Unmarshal(payload, &p); err != nil {
 		return fmt.Errorf("%w: %w", fleet.ErrMalformed, err)
 	}
 	if !n.HasJob(p.Job) {
--- a/internal/transport/coordination/replicahost.go
+++ b/internal/transport/coordination/replicahost.go
@@ -13,21 +13,21 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// msgReplicaNotStarted is logged if the replica cannot be opened; the coordinator continues without one.
+// msgReplicaNotStarted is logged if the replica cannot be opened; the coordinator continues without a replica.
 const msgReplicaNotStarted = "consensus replica not started"
 
 // replicaHost holds a replica with its disk, its listener and its connections. Only the replica goroutine uses it; open
 // may also be called before that goroutine starts.
 type replicaHost struct {
 	node     *Node
-	replica  *consensus.Replica // nil: this coordinator has none
-	disk     *disk
+	replica  *consensus.Replica // nil: this coordinator runs no replica
+	disk     *disk              // nil: this coordinator runs no replica
 	listener net.Listener
 
 	peers       map[string]*peer // other replicas, by name
-	clientConns map[string]*conn // connection of each client, by holder; nil: the client of this process
+	clientConns map[string]*conn // connection of each client, by holder; a nil value: the client of this process
 	adminConns  map[uint64]*conn // connection that each admin request came from, by request ID
-	lastAdminID uint64
+	lastAdminID uint64           // ID that this replica gave to the latest admin request
 }
 
 func newReplicaHost(n *Node) *replicaHost {
@@ -111,7 +111,7 @@
 }
 
 // transferLeadership asks another replica to lead before this process ends; otherwise the group would have no leader
-// until an election. It does so only once: if all replicas shut down together, each would pass leadership on to the
+// until an election. It asks only once: if all replicas shut down together, each would pass leadership on to the
 // next.
 func (h *replicaHost) transferLeadership(r *consensus.Replica) {
 	if h.node.draining.Load() && r.IsLeader() && h.node.Idle() {
--- a/internal/transport/coordination/stored_test.go
+++ b/internal/transport/coordination/stored_test.go
@@ -58,10 +58,10 @@
 // writeDataDir runs a group of one replica until its log has been compacted, and leaves the data directory in dir.
 func writeDataDir(t *testing.T, dir string) {
 	t.Helper()
-	d, saved, err := openDisk(dir, storedInstallation)
+	d, savedState, err := openDisk(dir, storedInstallation)
 	require.NoError(t, err)
 	timing := lease.DefaultTiming()
-	r := startStored(t, d.replicaID, saved)
+	r := startStored(t, d.replicaID, savedState)
 	persist := func() {
 		if ready := r.Ready(); ready.Persist != nil {
 			require.NoError(t, d.save(ready.Persist, ready.CompactIndex))
@@ -82,7 +82,7 @@
 }
 
 // describeDataDir returns the content of a data directory as JSON.
-func describeDataDir(t *testing.T, replicaID uint64, saved consensus.PersistentState) []byte {
+func describeDataDir(t *testing.T, replicaID uint64, savedState consensus.PersistentState) []byte {
 	t.Helper()
 	type entry struct {
 		Index, Term uint64
@@ -97,9 +97,9 @@
 		Voters             []uint64
 		Snapshot           json.RawMessage
 		Entries            []entry
-	}{replicaID, saved.HardState.GetTerm(), saved.HardState.GetVote(), saved.HardState.GetCommit(), saved.Snapshot.GetMetadata().GetIndex(),
-		saved.Snapshot.GetMetadata().GetTerm(), saved.Snapshot.GetMetadata().GetConfState().GetVoters(), saved.Snapshot.GetData(), nil}
-	for _, e := range saved.Entries {
+	}{replicaID, savedState.HardState.GetTerm(), savedState.HardState.GetVote(), savedState.HardState.GetCommit(), savedState.Snapshot.GetMetadata().GetIndex(),
+		savedState.Snapshot.GetMetadata().GetTerm(), savedState.Snapshot.GetMetadata().GetConfState().GetVoters(), savedState.Snapshot.GetData(), nil}
+	for _, e := range savedState.Entries {
 		content.Entries = append(content.Entries, entry{e.GetIndex(), e.GetTerm(), e.GetType().String(), string(e.GetData())})
 	}
 	raw, err := json.MarshalIndent(content, "", " ")
@@ -140,14 +140,14 @@
 	require.NoError(t, err)
 	dir := testdir.Dir(t)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFile), raw, 0o600))
-	d, saved, err := openDisk(dir, storedInstallation)
+	d, savedState, err := openDisk(dir, storedInstallation)
 	require.NoError(t, err)
 	storedID := d.replicaID
 	require.NoError(t, d.close())
-	got := describeDataDir(t, storedID, saved)
+	got := describeDataDir(t, storedID, savedState)
 	require.Equal(t, string(golden(t, "council.json", got)), string(got))
 
-	r := startStored(t, storedID, saved)
+	r := startStored(t, storedID, savedState)
 	for now := 0.0; now < 5000 && !r.IsLeader(); now += 50 {
 		r.Tick(now)
 	}
@@ -167,7 +167,7 @@
 	copyDir := testdir.Dir(t)
 	d, _, err = openDisk(copyDir, storedInstallation)
 	require.NoError(t, err)
-	require.NoError(t, d.save(&saved, saved.Snapshot.GetMetadata().GetIndex()))
+	require.NoError(t, d.save(&savedState, savedState.Snapshot.GetMetadata().GetIndex()))
 	require.NoError(t, d.close())
 	want, written := readBuckets(t, filepath.Join(dir, dbFile)), readBuckets(t, filepath.Join(copyDir, dbFile))
 	idKey := fmt.Sprintf("meta/%x", "number") // the replica ID is random in each database
--- a/internal/transport/discovery/endpoints.go
+++ b/internal/transport/discovery/endpoints.go
@@ -26,8 +26,8 @@
 // mergeEvents merges new events into one update, with the latest state of each engine, and advances the
 // position. Events up to the current position are skipped, so that a replay never restores a removed engine.
 func (w *Watcher) mergeEvents(events []journal.Event) (snapshot bool, listed []journal.Endpoint) {
-	latest := map[string]journal.Endpoint{}
-	var order []string
+	latestByID := map[string]journal.Endpoint{}
+	var ids []string // in the order of the first event of each engine
 	for _, e := range events {
 		if e.Position <= w.position {
 			continue
@@ -38,18 +38,18 @@
 			break
 		}
 		if w.position = e.Position; e.Update.Snapshot {
-			clear(latest)
-			snapshot, order = true, nil
+			clear(latestByID)
+			snapshot, ids = true, nil
 		}
 		for _, s := range e.Update.Endpoints {
-			if _, ok := latest[s.ID]; !ok {
-				order = append(order, s.ID)
+			if _, ok := latestByID[s.ID]; !ok {
+				ids = append(ids, s.ID)
 			}
-			latest[s.ID] = s
+			latestByID[s.ID] = s
 		}
 	}
-	for _, id := range order {
-		listed = append(listed, latest[id])
+	for _, id := range ids {
+		listed = append(listed, latestByID[id])
 	}
 	return snapshot, listed
 }
@@ -81,9 +81,10 @@
 		Zone: nameIndex(w.settings.ZoneNames, s.Zone), Kind: nameIndex(w.settings.KindNames, s.Kind), Cell: s.Cell, State: state, StartedAt: s.StartedAtMS}}, true
 }
 
-// nameIndex returns the index of a name in the settings. A name that they lack must match none of theirs, so
-// that no class that is confined to some of them is placed there: it gets a negative index that depends on
-// the name alone. Where the settings have no names, every name has index 0.
+// nameIndex returns the index of a zone's or kind's name in the settings. A name that is not in the settings
+// must match no name there, so that no class that is confined to some zones or kinds is placed on its engines:
+// it gets a negative index that depends on the name alone. Where the settings have no names, every name has
+// index 0.
 func nameIndex(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 || len(names) == 0 {
 		return max(i, 0)
@@ -91,7 +92,7 @@
 	return -1 - int(endpointID(name)>>33)
 }
 
-// endpointID returns the number that identifies an engine to the decisions. It is a hash of the name, so that all
+// endpointID returns the number that identifies an engine in the decision module. It is a hash of the name, so that all
 // coordinators use the same number, and no table of removed engines is needed.
 func endpointID(name string) decide.EndpointID {
 	h := fnv.New64a()
--- a/internal/transport/discovery/rates_test.go
+++ b/internal/transport/discovery/rates_test.go
@@ -22,14 +22,14 @@
 	mu     sync.Mutex
 	addr   string
 	start  time.Time
-	dials  map[int]int
-	calls  map[int]int
-	broken bool // accepts connections and closes them at once
-	held   bool // accepts calls and does not answer
+	dials  map[int]int // connections by interval of 100 ms since start
+	calls  map[int]int // calls by interval of 100 ms since start
+	broken bool        // accepts connections and closes them at once
+	held   bool        // accepts calls and does not answer
 	conns  map[net.Conn]bool
 }
 
-// count adds 1 to the count of the current 100 ms. The caller holds c.mu.
+// count adds 1 to the count of the current interval of 100 ms. The caller holds c.mu.
 func (c *countingService) count(m map[int]int) {
 	m[int(time.Since(c.start)/(100*time.Millisecond))]++
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// between returns the sum of the counts between two times, and the largest count per 100 ms.
+// between returns the sum of the counts between two times, and the largest count of an interval of 100 ms.
 func (c *countingService) between(m map[int]int, from, to time.Time) (sum, peak int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,13 +127,13 @@
 		return peak
 	}
 	// All watchers started at the same time, as after a common failure. An even spread is 8 per 100 ms.
-	require.Less(t, requireRate("calls while it is healthy", c.calls, 4*time.Second, n*5), n/2, "the polls are in step")
-	requireRate("dials while it is healthy", c.dials, time.Second, n/10)
+	require.Less(t, requireRate("calls while the service is healthy", c.calls, 4*time.Second, n*5), n/2, "the polls are in step")
+	requireRate("dials while the service is healthy", c.dials, time.Second, n/10)
 	c.set(true, false)
-	// Each waits for at least half of its backoff: 25, 50, 100 and 200 ms, and 250 ms from then on.
-	requireRate("dials while it ends connections", c.dials, 2*time.Second, n*(4+2000/250+1))
+	// Each watcher waits for at least half of its backoff: 25, 50, 100 and 200 ms, and 250 ms from then on.
+	requireRate("dials while the service ends connections", c.dials, 2*time.Second, n*(4+2000/250+1))
 	c.set(false, true)
 	time.Sleep(time.Second)
 	// A call without an answer ends after pollWait and answerSlack.
-	requireRate("calls while it answers nothing", c.calls, 2*time.Second, n*(1+2000/(pollWait+int(answerSlack/time.Millisecond))+1))
+	requireRate("calls while the service answers nothing", c.calls, 2*time.Second, n*(1+2000/(pollWait+int(answerSlack/time.Millisecond))+1))
 }
--- a/internal/transport/discovery/sharedlist.go
+++ b/internal/transport/discovery/sharedlist.go
@@ -15,20 +15,23 @@
 var codec = jsoniter.ConfigCompatibleWithStandardLibrary
 
 const (
-	// heartbeatInterval is how often the coordinator that watches for all publishes a heartbeat.
+	// heartbeatInterval is how often the watching coordinator, which watches the discovery service for all
+	// coordinators, publishes a heartbeat.
 	heartbeatInterval = 200 * time.Millisecond
-	// heartbeatTimeout is how long the other coordinators rely on its last message. After three lost
-	// heartbeats, each watches the discovery service itself.
+	// heartbeatTimeout is how long the other coordinators rely on the watching coordinator's last message.
+	// After three lost heartbeats, each watches the discovery service itself.
 	heartbeatTimeout = 3 * heartbeatInterval
 	// activeSnapshotInterval is how often a snapshot is published while the list changes, for coordinators
 	// that missed a change. idleSnapshotInterval is how often one is published while the list does not
-	// change, for coordinators that have just started and watch themselves until they receive one.
+	// change, for coordinators that have just started and watch the service themselves until they receive a
+	// snapshot.
 	activeSnapshotInterval = time.Second
 	idleSnapshotInterval   = 15 * time.Second
 	// idleAfter is how long after its latest change the list counts as idle.
 	idleAfter = 5 * time.Second
 	// ownReadingPriority is how long a state that this coordinator has read itself takes precedence over a
-	// published healthier state of the engine, or its absence from a published snapshot: those may be older.
+	// published healthier state of the engine, or its absence from a published snapshot: what was published
+	// may be older.
 	ownReadingPriority = 2 * time.Second
 )
 
@@ -38,7 +41,7 @@
 	Endpoints []journal.Endpoint `json:"servers,omitempty"`
 }
 
-// SharedList is an endpoint list that one coordinator reads for all. The holder of lease.JobReadJournal
+// SharedList is an endpoint list that one coordinator reads for all coordinators. The holder of lease.JobReadJournal
 // publishes it, and the others follow it. It is safe for concurrent use. A nil list shares nothing.
 type SharedList struct {
 	fleet   leasebackend.Backend
@@ -50,9 +53,9 @@
 	endpoints  map[string]journal.Endpoint // latest known state of each engine, by id
 	readAt     map[string]time.Time        // when this coordinator last read an engine's state itself, by id
 	sequence   uint64                      // sequence number of the latest message published or received
-	fence      lease.Fence                 // fence of that message
+	fence      lease.Fence                 // fence of the latest message published or received
 	receivedAt time.Time                   // when the latest message without a gap before it was received
-	gap        bool                        // a message was missed, and no snapshot has been received since
+	hasGap     bool                        // a message was missed, and no snapshot has been received since
 	snapshotAt time.Time                   // when this coordinator last published a snapshot
 	changedAt  time.Time                   // when this coordinator last read a change
 }
@@ -65,17 +68,18 @@
 }
 
 // WatchedElsewhere reports whether another coordinator watches for this one: its latest message is more recent
-// than heartbeatTimeout, and none is missing.
+// than heartbeatTimeout, and no message was missed since the latest snapshot.
 func (l *SharedList) WatchedElsewhere() bool {
 	if l == nil || l.fleet.Holds(lease.JobReadJournal) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.gap && time.Since(l.receivedAt) < heartbeatTimeout
+	return !l.hasGap && time.Since(l.receivedAt) < heartbeatTimeout
 }
 
-// Update stores the engines that this coordinator has read itself, and publishes them where it watches for all.
+// Update stores the engines that this coordinator has read itself, and publishes them where this coordinator
+// watches for all.
 func (l *SharedList) Update(snapshot bool, listed []journal.Endpoint) {
 	if l == nil {
 		return
@@ -140,7 +144,8 @@
 	return u, l.sequence
 }
 
-// receive handles a message of the watching coordinator. Its fence has already been checked and stored.
+// receive handles a message of the watching coordinator. The lease backend has already checked and stored the
+// fence of the message.
 func (l *SharedList) receive(p leasebackend.Publication) {
 	if p.Job != lease.JobReadJournal || p.HolderName == l.self {
 		return
@@ -155,9 +160,9 @@
 	if p.Fence == l.fence && p.Seq <= l.sequence { // a duplicate, or older than the latest message
 		return
 	}
-	l.gap = (l.gap || p.Fence != l.fence || p.Seq != l.sequence+1) && !u.Snapshot
+	l.hasGap = (l.hasGap || p.Fence != l.fence || p.Seq != l.sequence+1) && !u.Snapshot
 	l.fence, l.sequence = p.Fence, p.Seq
-	if !l.gap {
+	if !l.hasGap {
 		l.receivedAt = time.Now()
 	}
 	if changed := l.merge(u); len(changed) > 0 && l.deliver != nil {
@@ -168,9 +173,9 @@
 // merge merges an update into the list and returns the engines that have changed. Engines that are missing in
 // a snapshot have been removed. The caller holds l.mu.
 func (l *SharedList) merge(u update) (changed []journal.Endpoint) {
-	named := map[string]bool{}
+	inUpdate := map[string]bool{}
 	for _, s := range u.Endpoints {
-		named[s.ID] = true
+		inUpdate[s.ID] = true
 		if l.ignores(s) {
 			continue
 		}
@@ -181,7 +186,7 @@
 		return changed
 	}
 	for id, s := range l.endpoints {
-		if !named[id] && s.State != wireLeft && time.Since(l.readAt[id]) >= ownReadingPriority {
+		if !inUpdate[id] && s.State != wireLeft && time.Since(l.readAt[id]) >= ownReadingPriority {
 			s.State = wireLeft
 			l.endpoints[id] = s
 			changed = append(changed, s)
@@ -197,8 +202,8 @@
 	if !ok {
 		return false
 	}
-	recent := time.Since(l.readAt[s.ID]) < ownReadingPriority
-	return known == s || recent && s.StartedAtMS <= known.StartedAtMS && healthRank(s.State) > healthRank(known.State)
+	recentlyRead := time.Since(l.readAt[s.ID]) < ownReadingPriority
+	return known == s || recentlyRead && s.StartedAtMS <= known.StartedAtMS && healthRank(s.State) > healthRank(known.State)
 }
 
 // healthRank returns a number that is larger for healthier states. An unknown state ranks like a removed engine.
--- a/internal/transport/discovery/watcher.go
+++ b/internal/transport/discovery/watcher.go
@@ -26,8 +26,9 @@
 	pollWait = 1000
 	// answerSlack is how long after the end of its wait the answer to a poll may take.
 	answerSlack = 600 * time.Millisecond
-	// maxAnswerSlack is the limit to which the slack grows for a list whose first bytes arrive in
-	// time: an event counts as known 7 s afterwards, and the service may have held the poll for 1 s.
+	// maxAnswerSlack is the limit to which Watcher.slack grows for a list whose first bytes arrive in
+	// time: an event counts as known to coordinators 7 s after it happened, and the service may have
+	// held the poll for 1 s before it sent the event.
 	maxAnswerSlack = 6 * time.Second
 	// minBackoff and maxBackoff limit the pause after a lost connection. The pause is short because the
 	// time allowed for a drain counts from when the service announces it.
@@ -35,7 +36,7 @@
 	maxBackoff = 500 * time.Millisecond
 	// emptyAnswerPause is the minimum time between polls without new events, so that a service that
 	// answers at once does not overload the dispatcher. It is also how often a coordinator that
-	// relies on another's watch checks whether it still can.
+	// relies on another coordinator's watch checks whether it can still rely on it.
 	emptyAnswerPause = 50 * time.Millisecond
 	connectTimeout   = 500 * time.Millisecond
 )
@@ -56,9 +57,10 @@
 	dispatcher *routing.Dispatcher
 	log        *slog.Logger
 	shared     *SharedList // the list that one coordinator reads for all; nil: each coordinator reads it itself
-	position   int64       // position of the latest event
-	// slack is the current answerSlack. It grows while lists are not complete in time, as otherwise each
-	// try would be cut off at the same point as the one before.
+	position   int64       // position of the latest event that was merged
+	// slack is the time that an answer may currently take after the end of its poll's wait. It starts at
+	// answerSlack and is doubled, up to maxAnswerSlack, while lists are not complete in time, as otherwise
+	// each try would be cut off at the same point as the one before.
 	slack time.Duration
 
 	mu        sync.Mutex         // guards the fields below
@@ -71,7 +73,8 @@
 	return &Watcher{addr: addr, settings: dispatcher.Settings(), dispatcher: dispatcher, log: log, slack: answerSlack}
 }
 
-// Share lets one coordinator watch for all; it must be called before Run.
+// Share makes the watcher use a shared list, so that one coordinator watches for all. It must be called before
+// Run.
 func (w *Watcher) Share(l *SharedList) { w.shared, l.deliver = l, w.deliverShared }
 
 // LoadCached passes a batch of events that is known at the start to the dispatcher, as a list that may be
@@ -84,8 +87,8 @@
 	w.dispatcher.UpdateEndpoints(decide.UpdateCached, slices.DeleteFunc(endpoints, func(e routing.Endpoint) bool { return e.State == decide.EndpointRemoved }))
 }
 
-// Redirect moves the watch to another address at once. The old service announces no more events, so a poll that
-// continued there would delay the news of a drain until the poll ends.
+// Redirect moves the watch to another address at once. The old service announces no more events, so waiting for
+// the current poll to end there would delay the announcement of a drain.
 func (w *Watcher) Redirect(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,7 +111,7 @@
 func (w *Watcher) Run(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		if w.shared.WatchedElsewhere() { // an end of the other's watch is noticed within one pause
+		if w.shared.WatchedElsewhere() { // the end of the other coordinator's watch is noticed within one pause
 			pause(ctx, emptyAnswerPause)
 			continue
 		}
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -90,11 +90,11 @@
 			t.Parallel()
 			dispatcher, _ := transporttest.Dispatcher(t, false)
 			tails := make(chan int, 64)
-			first := make(chan struct{})
+			listSent := make(chan struct{})
 			addr := scriptedService(t, func(c net.Conn, tail int) {
 				if tail == 0 {
 					_, _ = io.WriteString(c, pollAnswer(1, entry(1, true, oneActive)))
-					close(first)
+					close(listSent)
 					return
 				}
 				broken(c)
@@ -111,7 +111,7 @@
 			ended := make(chan struct{})
 			go func() { defer close(ended); NewWatcher(addr, dispatcher, slog.New(slog.DiscardHandler)).Run(ctx) }()
 			defer func() { cancel(); <-ended }()
-			transporttest.Receive(t, first)
+			transporttest.Receive(t, listSent)
 			require.Equal(t, 1, transporttest.Receive(t, tails), "the position after the last complete answer")
 			require.Eventually(t, func() bool {
 				b := dispatcher.DescribeEndpoints()
--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -29,14 +29,14 @@
 // datagrams and closes the socket.
 type Transport struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort // addresses by the coordinator's index
-	indexes   map[netip.AddrPort]int
-	broadcast netip.AddrPort // address that reaches all others; zero: each peer is sent a copy
-	self      int            // index of this coordinator
+	peers     []netip.AddrPort       // addresses by the coordinator's index
+	indexes   map[netip.AddrPort]int // index of the coordinator at an address
+	broadcast netip.AddrPort         // address that reaches all others; zero: each peer is sent a copy
+	self      int                    // index of this coordinator
 	log       *slog.Logger
 
-	unknownSender, oversized, malformed violations.Counter
-	sent, received, unsent              atomic.Int64
+	unknownSender, oversized, malformed violations.Counter // received datagrams that were dropped
+	sent, received, unsent              atomic.Int64       // numbers of datagrams; unsent: dropped before sending
 }
 
 // Listen opens the socket that receives datagrams at the address listen. peers holds the addresses of the
@@ -75,8 +75,8 @@
 	return t, nil
 }
 
-// SendGossip sends one datagram to a coordinator, or to all others. A datagram that can't be sent at once is
-// dropped and counted, as any datagram may be lost.
+// SendGossip sends one datagram to the coordinator with index to, or to all others if it is decide.AllPeers.
+// A datagram that can't be sent at once is dropped and counted, as any datagram may be lost.
 func (t *Transport) SendGossip(to int, data []byte) {
 	switch {
 	case len(data) > MaxDatagram:
--- a/internal/transport/leasebackend/backend.go
+++ b/internal/transport/leasebackend/backend.go
@@ -23,7 +23,8 @@
 	Begin(job string) (fence lease.Fence, holder string, ok bool)
 	// End ends an operation that Begin has begun.
 	End(job string, fence lease.Fence)
-	// ReportStaleFence drops the lease on a job after its target has refused an operation for its fence.
+	// ReportStaleFence drops the lease on a job after the target, which the job's operations change, has refused an
+	// operation because of a stale fence.
 	ReportStaleFence(job string, refusal lease.StaleFenceError)
 	// Publish sends data of the job to all coordinators, under a fence that Begin returned. Messages under one fence
 	// are numbered from 1. Delivery is not guaranteed.
@@ -44,6 +45,6 @@
 // is sent under.
 type Publication struct {
 	lease.Assignment
-	Seq  uint64              `json:"seq"` // counts from 1 under each grant
+	Seq  uint64              `json:"seq"` // sequence number, from 1 under each grant
 	Data jsoniter.RawMessage `json:"data"`
 }
--- a/internal/transport/leasebackend/client.go
+++ b/internal/transport/leasebackend/client.go
@@ -24,8 +24,8 @@
 	mu          sync.Mutex // guards client
 	client      *lease.Client
 	self        lease.Holder
-	jobs        []string
-	staleFences atomic.Int64 // operations that a target has refused
+	jobs        []string     // jobs that one coordinator does for the whole fleet
+	staleFences atomic.Int64 // number of operations that were refused because of a stale fence
 }
 
 // NewClient returns the client of a new incarnation of the named coordinator. The capacity is relative to that of other
@@ -78,7 +78,8 @@
 	c.With(func(client *lease.Client) { client.End(c.Clock(), job, fence) })
 }
 
-// ReportStaleFence drops the lease on a job after its target has refused an operation for its fence.
+// ReportStaleFence drops the lease on a job after the target, which the job's operations change, has refused an
+// operation because of a stale fence.
 func (c *Client) ReportStaleFence(job string, refusal lease.StaleFenceError) {
 	c.staleFences.Add(1)
 	c.Log.Warn("lease operation refused, fence is stale", "job", job, "fence", refusal.Fence, "highest_fence", refusal.Highest)
--- a/internal/transport/leasetable/conformance_test.go
+++ b/internal/transport/leasetable/conformance_test.go
@@ -29,7 +29,7 @@
 
 const job = lease.JobPruneRecord
 
-// backend starts coordinators of one installation and grants them leases.
+// backend is a lease backend under test. It starts coordinators of one installation and grants them leases.
 type backend struct {
 	start func(ctx context.Context, t *testing.T, name string) leasebackend.Backend
 	// setDown makes the service that grants the leases unavailable or available again; nil: it cannot be stopped
@@ -144,7 +144,7 @@
 // cluster holds three coordinators that compete for the job.
 type cluster struct {
 	nodes  []leasebackend.Backend
-	stops  []context.CancelFunc
+	stops  []context.CancelFunc // by node; stop it without a release of its lease, as in a crash
 	target target
 }
 
--- a/internal/transport/leasetable/leasetable.go
+++ b/internal/transport/leasetable/leasetable.go
@@ -1,4 +1,5 @@
-// Package leasetable grants the fleet's leases from rows of the shared REST record, by the record's clock. It is the
+// Package leasetable grants the fleet's leases from rows of the shared REST record (an SQL database), by the clock of
+// that database. It is the
 // lease backend of installations that share a record and run no consensus group. While the record is down, leases
 // expire and no coordinator holds a job; requests are still served.
 package leasetable
@@ -31,7 +32,7 @@
 	conf      fleetconf.Config
 	freeSince map[string]lease.Millis // time at which each free job was first seen free, by job
 
-	polls, consecutiveFailures atomic.Int64
+	polls, consecutiveFailures atomic.Int64 // keep-alive requests; failures since the latest success
 }
 
 // New creates the lease table if it is missing, and returns a node that Run starts.
@@ -125,9 +126,9 @@
 // keep-alive interval that is derived from a hash of the job and its name, so that jobs are spread over the
 // coordinators and not all of them try at once.
 func (n *Node) mayTake(job, name string) bool {
-	since, seen := n.freeSince[job]
+	firstSeenFree, known := n.freeSince[job]
 	fraction := float64(xxhash.Sum64String(job+"\x00"+name)>>11) / (1 << 53)
-	return seen && n.Clock()-since >= fraction*n.conf.Timing().LeaseTTL/lease.KeepAlivesPerLease
+	return known && n.Clock()-firstSeenFree >= fraction*n.conf.Timing().LeaseTTL/lease.KeepAlivesPerLease
 }
 
 // Subscribe does nothing: the record carries no publications.
--- a/internal/transport/listener/conn.go
+++ b/internal/transport/listener/conn.go
@@ -37,15 +37,15 @@
 	listener *Listener
 
 	mu           sync.Mutex
-	lastActive   time.Time // when it was accepted, last completed a message, or a request last began or ended
-	partialSince time.Time // when the incomplete message began; zero: there is none
-	partialReads int       // number of reads with a part of the incomplete message
+	lastActive   time.Time // time of the accept, of the latest complete message, or of the latest begin or end of a request
+	partialSince time.Time // when the first bytes of the incomplete message were read; zero: no message is incomplete
+	partialReads int       // number of reads that brought a part of the incomplete message
 	lastRead     time.Time // when bytes were last read
 	sentMessage  bool      // the client has sent a complete message
 	openRequests int       // number of unanswered requests
 	unhandled    int       // number of messages that are read and not yet handled
-	closing      bool      // this side closes the connection
-	evicted      bool      // closed to make room for another connection
+	closing      bool      // this side has begun to close the connection
+	evicted      bool      // the close makes room for another connection
 }
 
 // RecordRead records the result of a read: whether it completed messages, and whether it left one incomplete.
@@ -110,7 +110,7 @@
 // CountDrainRejection counts a request that was rejected because of a drain.
 func (c *Conn) CountDrainRejection() { c.listener.counts.rejectedInDrain.Add(1) }
 
-// closeDeadline returns when the connection is to be closed if its state does not change.
+// closeDeadline returns the time at which the connection is to be closed if its state does not change.
 func (c *Conn) closeDeadline(idleTimeout time.Duration) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 	closeEvicted                     // room is needed for another connection
 )
 
-// claimClose begins a close by this side and reports whether one has begun. It does so only while the
+// claimClose begins a close by this side and reports whether a close has begun. It begins one only while the
 // connection has no open requests, unhandled messages or unread bytes: a request that arrived before
 // the claim is served, and a later one is dropped.
 func (c *Conn) claimClose(reason closeReason) bool {
@@ -145,8 +145,8 @@
 		return true
 	}
 	// During a drain, a client may complete its message, and a new connection gets time for its first one.
-	early := reason == closeDrain && (!c.partialSince.IsZero() || !c.sentMessage && time.Since(c.lastActive) < drainGracePeriod)
-	if c.openRequests > 0 || c.unhandled > 0 || early || netconn.HasUnread(c.Conn) {
+	mustWait := reason == closeDrain && (!c.partialSince.IsZero() || !c.sentMessage && time.Since(c.lastActive) < drainGracePeriod)
+	if c.openRequests > 0 || c.unhandled > 0 || mustWait || netconn.HasUnread(c.Conn) {
 		return false
 	}
 	c.closing, c.evicted = true, reason == closeEvicted
@@ -188,17 +188,17 @@
 			readCtx = context.WithoutCancel(ctx)
 		}
 		b, err := in.Read(readCtx, deadline)
-		at := time.Now()
+		readAt := time.Now()
 		switch {
 		case err == nil:
-			return b, at, nil
+			return b, readAt, nil
 		case !shutdown && ctx.Err() != nil: // interrupted by the end of ctx: check again
 		case !netconn.IsTimeout(err):
-			return nil, at, err
-		case !at.Before(c.closeDeadline(idleTimeout)) && c.claimClose(closeTimeout):
-			return nil, at, ErrClosing
+			return nil, readAt, err
+		case !readAt.Before(c.closeDeadline(idleTimeout)) && c.claimClose(closeTimeout):
+			return nil, readAt, ErrClosing
 		case c.isClosing():
-			return nil, at, ErrClosing
+			return nil, readAt, ErrClosing
 		}
 	}
 }
@@ -210,8 +210,8 @@
 	}
 }
 
-// receivingMessage reports whether the client is currently sending a message: it is incomplete, and the
-// latest bytes are more recent than drainGracePeriod.
+// receivingMessage reports whether the client is currently sending a message: the message is incomplete,
+// and its latest bytes are more recent than drainGracePeriod.
 func (c *Conn) receivingMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/listener/eviction.go
+++ b/internal/transport/listener/eviction.go
@@ -14,20 +14,20 @@
 	if len(l.conns) < l.limit {
 		return true
 	}
-	victim, since := l.chooseVictim()
-	if victim == nil || time.Since(since) < minEvictionAge || !victim.claimClose(closeEvicted) {
+	victim, victimIdleSince := l.chooseVictim()
+	if victim == nil || time.Since(victimIdleSince) < minEvictionAge || !victim.claimClose(closeEvicted) {
 		return false
 	}
 	l.counts.evicted.Add(1)
 	delete(l.conns, victim)
-	_ = victim.SetReadDeadline(time.Now()) // wakes its reader, which then ends
+	_ = victim.SetReadDeadline(time.Now()) // wakes the reader of the victim, which then ends
 	return true
 }
 
 // chooseVictim returns the connection to evict and the time since when it is idle; nil where none is idle. It chooses the one
-// that is idle the longest. One whose client is writing a message in pieces is chosen only where there is no other, so that
-// many new connections between two pieces do not cut off a slow writer. The caller holds l.mu.
-func (l *Listener) chooseVictim() (victim *Conn, since time.Time) {
+// that is idle the longest. A connection whose client is writing a message in pieces is chosen only where no other is idle,
+// so that many new connections between two pieces do not cut off a slow writer. The caller holds l.mu.
+func (l *Listener) chooseVictim() (victim *Conn, victimIdleSince time.Time) {
 	victimWrites := false
 	for c := range l.conns {
 		at, idle := c.idleSince()
@@ -35,10 +35,10 @@
 			continue
 		}
 		writes := c.writesSlowly()
-		better := victim == nil || victimWrites && !writes || victimWrites == writes && at.Before(since)
+		better := victim == nil || victimWrites && !writes || victimWrites == writes && at.Before(victimIdleSince)
 		if better {
-			victim, since, victimWrites = c, at, writes
+			victim, victimIdleSince, victimWrites = c, at, writes
 		}
 	}
-	return victim, since
+	return victim, victimIdleSince
 }
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -20,8 +20,8 @@
 	// acceptRetryInterval is the time between two searches for a connection to evict, and the pause
 	// after a failed accept.
 	acceptRetryInterval = 5 * time.Millisecond
-	// maxLingeringEvicted is how many evicted connections may linger at the same time, in addition to
-	// the limit of connections. Further evicted connections are closed without lingering.
+	// maxLingeringEvicted is how many evicted connections may linger (see netconn.Linger) at the same
+	// time, in addition to the limit of connections. Further evicted connections are closed at once.
 	maxLingeringEvicted = 4
 	// BacklogWait is how long a stopping listener still accepts connections from its backlog.
 	BacklogWait = 5 * time.Millisecond
@@ -42,9 +42,9 @@
 	handler Handler
 	ctx     context.Context // passed to all handlers
 	cancel  context.CancelFunc
-	ended   chan struct{} // closed by Run once no more connections are accepted
-	linger  chan struct{} // semaphore for evicted connections that linger
-	active  sync.WaitGroup
+	ended   chan struct{}  // closed by Run once no more connections are accepted
+	linger  chan struct{}  // semaphore for evicted connections that linger
+	serving sync.WaitGroup // goroutines that serve connections
 	log     *slog.Logger
 	counts  struct{ accepted, evicted, drained, rejectedInDrain atomic.Int64 }
 	// stopping is set once only connections in the backlog are still accepted.
@@ -57,7 +57,8 @@
 }
 
 // Listen opens addr; at most limit connections are served at a time. Each further connection evicts the one
-// that is idle the longest. Another process may listen at the same address.
+// that is idle the longest. The address is opened with SO_REUSEPORT, so that a successor process can listen on
+// it at the same time.
 func Listen(addr string, limit int, log *slog.Logger, handler Handler) (*Listener, error) {
 	// No keep-alive: each read has its own deadline, and setting keep-alive costs system calls.
 	c := net.ListenConfig{KeepAlive: -1, Control: netconn.ReusePort}
@@ -99,12 +100,13 @@
 			return
 		default:
 			l.log.Warn("accept failed", "err", err)
-			time.Sleep(acceptRetryInterval) // such as for lack of descriptors, some of which may become free
+			time.Sleep(acceptRetryInterval) // the cause may pass, such as a lack of file descriptors
 		}
 	}
 }
 
-// admit waits until an accepted connection is within the limit and serves it. Once cutOff is set it closes it.
+// admit waits until an accepted connection is within the limit and serves it. Once cutOff is set, admit closes the
+// connection instead.
 func (l *Listener) admit(c net.Conn) {
 	waited := false
 	for !l.makeRoom() {
@@ -128,9 +130,9 @@
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
-	l.active.Add(1)
+	l.serving.Add(1)
 	go func() {
-		defer l.active.Done()
+		defer l.serving.Done()
 		l.handler(l.ctx, c)
 		l.release(c)
 	}()
@@ -146,7 +148,7 @@
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
-	if evicted { // it does not count against the limit any more
+	if evicted { // the connection does not count against the limit any more
 		select {
 		case l.linger <- struct{}{}:
 			netconn.Linger(c.Conn, RetransmitWindow)
@@ -178,8 +180,8 @@
 	}
 }
 
-// StopAccepting closes the listener once the connections in the backlog are accepted. Another process at
-// the same address gets later connections. Accepted connections are still served.
+// StopAccepting closes the listener once the connections in the backlog are accepted. Later connections go to
+// another process that listens at the same address, if there is one. Accepted connections are still served.
 func (l *Listener) StopAccepting() {
 	l.stopping.Store(true)
 	if t, ok := l.tcp.(*net.TCPListener); ok {
@@ -193,12 +195,12 @@
 // has no open requests, and returns when all have ended. At the deadline it closes the
 // remaining connections.
 func (l *Listener) Close(deadline time.Time) {
-	cutOff := time.AfterFunc(time.Until(deadline), l.closeAll)
-	defer cutOff.Stop()
+	closeTimer := time.AfterFunc(time.Until(deadline), l.closeAll)
+	defer closeTimer.Stop()
 	l.StopAccepting()
 	<-l.ended
 	l.cancel()
-	l.active.Wait()
+	l.serving.Wait()
 }
 
 // closeAll closes all connections and the listener. Without the latter, clients that keep connecting would keep the backlog
--- a/internal/transport/netconn/conn.go
+++ b/internal/transport/netconn/conn.go
@@ -17,7 +17,7 @@
 	PageBuffer  = 8 << 10
 )
 
-// lateDataWait is the time for reading bytes that have already arrived when a read's deadline has passed.
+// lateDataWait is how long a read whose deadline has passed still waits for bytes that have already arrived.
 const lateDataWait = time.Millisecond
 
 // Conn is a buffered connection. At most one goroutine may read and one may write at a time; Interrupt and
--- a/internal/transport/transporttest/transcript.go
+++ b/internal/transport/transporttest/transcript.go
@@ -21,7 +21,7 @@
 type Transcript struct {
 	mu   sync.Mutex
 	text bytes.Buffer
-	// Replaced and Patterns replace text that differs from run to run.
+	// Replaced and Patterns replace text that differs from run to run. Patterns holds the replacement of each pattern.
 	Replaced *strings.Replacer
 	Patterns map[*regexp.Regexp]string
 }
@@ -66,17 +66,17 @@
 	addr = l.Addr().String()
 	out = &Transcript{Replaced: strings.NewReplacer(addr, "(engine)"),
 		Patterns: map[*regexp.Regexp]string{regexp.MustCompile(`(?i)(timeout(?:-ms)?: ?)[0-9.]+`): "${1}(ms)", regexp.MustCompile(`max_execution_time=\d+`): "max_execution_time=(ms)"}}
-	var calls atomic.Int64 // the calls of all connections are made one after the other
+	var calls atomic.Int64 // number of calls so far; the calls of all connections are made one after the other
 	serve := func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		for {
-			var raw bytes.Buffer
-			req, err := http.ReadRequest(bufio.NewReader(io.TeeReader(&ByteReader{From: c}, &raw)))
+			var rawRequest bytes.Buffer
+			req, err := http.ReadRequest(bufio.NewReader(io.TeeReader(&ByteReader{From: c}, &rawRequest)))
 			if err != nil {
 				return
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
-			out.Add(">", raw.String())
+			out.Add(">", rawRequest.String())
 			n := int(calls.Add(1)) - 1
 			if n >= len(answers) {
 				return
--- a/internal/transport/transporttest/transporttest.go
+++ b/internal/transport/transporttest/transporttest.go
@@ -63,7 +63,7 @@
 // Close does nothing.
 func (e *Endpoint) Close() {}
 
-// Upstream returns the endpoint itself, whatever the listed one.
+// Upstream returns the endpoint itself for any listed endpoint.
 func (e *Endpoint) Upstream(routing.Endpoint) routing.Upstream { return e }
 
 // Succeeded is the result of a successful attempt, with one row.
--- a/internal/transport/upstream/cancel.go
+++ b/internal/transport/upstream/cancel.go
@@ -12,8 +12,8 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// orphanTimeout is how long an endpoint lets a query run that is not polled: the protocol's time limit plus
-// protocolSlack.
+// orphanTimeout is how long an endpoint runs a query that is no longer polled: the protocol's time limit of
+// 2 s plus protocolSlack.
 const orphanTimeout = 2*time.Second + protocolSlack
 
 // abandon cancels an attempt that has ended without an answer from its endpoint, and returns its result. For an
@@ -44,18 +44,19 @@
 }
 
 // prepareCancel returns a function that cancels an attempt at its endpoint. From now on, further attempts of
-// the call at that address wait until the function has returned. There may be such attempts until expiry.
-func (e *engineClient) prepareCancel(a routing.AttemptSpec, lastCall, expiry time.Time) (cancel func()) {
+// the call at that address wait until the function has returned. expiry is the deadline of the request, after
+// which it has no attempts.
+func (e *engineClient) prepareCancel(a routing.AttemptSpec, lastCallAt, expiry time.Time) (cancel func()) {
 	done := e.conns.pool.cancellations.begin(e.addr, a.CallID, expiry)
 	return func() {
-		endsBy := netconn.Earlier(lastCall.Add(orphanTimeout), expiry)
+		endsBy := netconn.Earlier(lastCallAt.Add(orphanTimeout), expiry)
 		done(e.sendCancel(engine.EncodeCancel(e.addr, a.CallID), a.Exclusive, endsBy))
 	}
 }
 
 // sendCancel makes the call that cancels an attempt. For an exclusive attempt it repeats the call until it is
-// answered, the connection is refused because the endpoint's process has ended, or the time endsBy, when the
-// attempt has ended without a cancellation.
+// answered, the connection is refused because the endpoint's process has ended, or the time endsBy is reached,
+// by which the endpoint has ended the attempt without a cancellation.
 func (e *engineClient) sendCancel(message []byte, exclusive bool, endsBy time.Time) error {
 	deadline := time.Now().Add(shortCallTimeout)
 	if exclusive && endsBy.After(deadline) {
--- a/internal/transport/upstream/cancel_test.go
+++ b/internal/transport/upstream/cancel_test.go
@@ -153,13 +153,13 @@
 // An engine that does not answer a cancellation ends the query itself, after the protocol's time limit for queries that are not
 // polled.
 func TestExclusiveAttemptEndsAfterOrphanTimeout(t *testing.T) {
-	var lastCall atomic.Int64
+	var lastCallNS atomic.Int64 // Unix time in ns
 	client := fakeEngine(t, func(method string, w http.ResponseWriter, r *http.Request) {
 		if method == "DELETE" {
 			<-r.Context().Done()
 			return
 		}
-		lastCall.Store(time.Now().UnixNano())
+		lastCallNS.Store(time.Now().UnixNano())
 		w.WriteHeader(418)
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
@@ -167,7 +167,7 @@
 	a := attempt("1")
 	a.Exclusive = true
 	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, a).Outcome)
-	require.GreaterOrEqual(t, time.Since(time.Unix(0, lastCall.Load())), 2*time.Second)
+	require.GreaterOrEqual(t, time.Since(time.Unix(0, lastCallNS.Load())), 2*time.Second)
 	a.Exclusive = false
 	began := time.Now()
 	require.Equal(t, decide.OutcomeNotSent, client.Run(ctx, a).Outcome, "the engine may still read the cancellation")
--- a/internal/transport/upstream/cancellations.go
+++ b/internal/transport/upstream/cancellations.go
@@ -13,28 +13,29 @@
 // the cancellation of an earlier attempt of the same call.
 var errCancelPending = errors.New("the cancellation of an earlier attempt may still reach the engine")
 
-// cancellations delays an attempt of a call at an address until the cancellations of earlier ones have
-// ended. Endpoints identify an attempt by its call alone, so a cancellation that is read late would end
+// cancellations delays an attempt of a call at an address until the cancellations of earlier attempts of the
+// call have ended. Endpoints identify an attempt by its call alone, so a cancellation that is read late would end
 // a later attempt. Cancellations are kept by address, as a new endpoint may have the address of a removed
-// one. It is safe for concurrent use.
+// endpoint. It is safe for concurrent use.
 type cancellations struct {
 	mu      sync.Mutex
-	pending map[cancelKey]*pendingCancel
+	pending map[cancelKey]*pendingCancel // in progress, or given up without an answer
 }
 
+// cancelKey is the address of an endpoint and the id of a call.
 type cancelKey struct{ addr, call string }
 
 // pendingCancel is a cancellation that is in progress, or that was given up without an answer.
 type pendingCancel struct {
 	done   chan struct{} // closed once the cancellation is answered or given up
-	expiry time.Time     // the request's deadline: it has no attempts afterwards
+	expiry time.Time     // the request's deadline, after which it has no attempts
 }
 
 func newCancellations() *cancellations {
 	return &cancellations{pending: map[cancelKey]*pendingCancel{}}
 }
 
-// begin records a cancellation that is about to be sent. expiry is the deadline of its request. The caller
+// begin records a cancellation that is about to be sent. expiry is the deadline of the call's request. The caller
 // must call done once, with the error of the cancellation or nil.
 func (t *cancellations) begin(addr, call string, expiry time.Time) (done func(error)) {
 	key, p := cancelKey{addr, call}, &pendingCancel{make(chan struct{}), expiry}
@@ -65,7 +66,7 @@
 }
 
 // wait waits until the cancellations of earlier attempts of a call at an address have ended. It returns
-// errCancelPending where one was given up without an answer, or the error of ctx.
+// errCancelPending where a cancellation was given up without an answer, or the error of ctx.
 func (t *cancellations) wait(ctx context.Context, addr, call string) error {
 	key := cancelKey{addr, call}
 	for {
--- a/internal/transport/upstream/endpointpool.go
+++ b/internal/transport/upstream/endpointpool.go
@@ -24,8 +24,8 @@
 	// schedulingLag is the delay beyond which a connect timeout counts as noticed late, for lack of CPU
 	// time.
 	schedulingLag = 20 * time.Millisecond
-	// descriptorRetryInterval is the time between two attempts to get a descriptor, and between two
-	// tries of a cancellation that must be answered.
+	// descriptorRetryInterval is the time between two attempts to get a file descriptor from the
+	// budget, and between two tries of a cancellation that must be answered.
 	descriptorRetryInterval = 10 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 
 	idle   []*pooledConn // idle connections, the most recently used last
 	open   int           // number of connections, idle or in use
-	closed bool
+	closed bool          // connections are no longer kept: they are dropped after their calls
 }
 
 // recordViolation counts a protocol violation of the endpoint.
@@ -98,7 +98,7 @@
 }
 
 // reserve takes a descriptor from the budget. If none is left, it closes an idle connection of any endpoint to
-// get one. It returns false where there is none either.
+// get its descriptor. It returns false where no connection is idle either.
 func (e *endpointPool) reserve() bool {
 	p := e.pool
 	p.mu.Lock()
@@ -130,7 +130,7 @@
 	e.pool.mu.Unlock()
 }
 
-// dial opens a connection. It fails where that takes longer than the pool's connectTimeout.
+// dial opens a connection. It fails where opening takes longer than the pool's connectTimeout.
 func (e *endpointPool) dial(ctx context.Context) (*pooledConn, error) {
 	if !e.reserve() {
 		return nil, errNoDescriptors
--- a/internal/transport/upstream/engineclient.go
+++ b/internal/transport/upstream/engineclient.go
@@ -28,7 +28,7 @@
 	conns *endpointPool
 }
 
-// Run runs one attempt. No other call uses its connection at the same time.
+// Run runs one attempt. No other call uses the attempt's connection at the same time.
 func (e *engineClient) Run(ctx context.Context, a routing.AttemptSpec) routing.Result {
 	if err := e.conns.pool.cancellations.wait(ctx, e.addr, a.CallID); err != nil {
 		return routing.Result{Outcome: decide.OutcomeNotSent, Reason: err.Error()}
@@ -37,25 +37,26 @@
 	if notSent != nil {
 		return *notSent
 	}
-	sent, notSent := e.beginSend(a, c)
+	endSend, notSent := e.beginSend(a, c)
 	if notSent != nil {
 		return *notSent
 	}
-	defer sent()
+	defer endSend()
 	deadline, _ := ctx.Deadline()
 	q := engine.NewQuery(e.addr, engine.StartRequest{CallID: a.CallID, Class: a.Class, Statement: a.Statement,
 		TimeoutMS: max(time.Until(deadline).Milliseconds(), 1), GrantMB: int64(math.Ceil(a.GrantMB)), Priority: a.Priority, IdempotencyKey: a.IdempotencyKey})
-	res, lastCall, err := e.converse(ctx, c, q, a.OnProgress, sent)
+	res, lastCallAt, err := e.converse(ctx, c, q, a.OnProgress, endSend)
 	if res != nil && err == nil {
 		return e.result(res)
 	}
 	if ctx.Err() == nil && !a.Exclusive && errors.Is(err, errUnreachable) {
 		return lostResult(err) // a cancellation would not reach the endpoint either
 	}
-	return e.abandon(ctx, a, err, e.prepareCancel(a, lastCall, deadline))
+	return e.abandon(ctx, a, err, e.prepareCancel(a, lastCallAt, deadline))
 }
 
-// connect returns a connection for an attempt. Where the attempt must not start it returns its result instead.
+// connect returns a connection for an attempt. Where the attempt must not start, connect returns the attempt's
+// result instead.
 func (e *engineClient) connect(ctx context.Context, a routing.AttemptSpec) (*pooledConn, *routing.Result) {
 	c, err := e.conns.get(ctx)
 	if err != nil {
@@ -72,17 +73,18 @@
 }
 
 // beginSend checks right before the first byte whether the attempt may still start. Where it must not, beginSend returns
-// its result instead. sent must be called once the byte has been written or will not be; further calls do nothing.
-func (e *engineClient) beginSend(a routing.AttemptSpec, c *pooledConn) (sent func(), notSent *routing.Result) {
+// the attempt's result instead. endSend must be called once the byte has been written or will not be; further calls do
+// nothing.
+func (e *engineClient) beginSend(a routing.AttemptSpec, c *pooledConn) (endSend func(), notSent *routing.Result) {
 	if a.BeginSend == nil {
 		return func() {}, nil
 	}
-	sent, ok := a.BeginSend()
+	endSend, ok := a.BeginSend()
 	if !ok {
 		e.conns.put(c)
 		return nil, &routing.Result{Outcome: decide.OutcomeNotSent, Reason: "request answered before the first byte was sent"}
 	}
-	return sent, nil
+	return endSend, nil
 }
 
 // connectFailure returns the result of an attempt that got no connection and so did not run.
@@ -97,45 +99,45 @@
 }
 
 // converse makes calls for a query until it ends. A lost or corrupted answer is requested again on a new
-// connection. That starts nothing at the endpoint, so it is safe for loads too. lastCall is the time of the
+// connection. That starts nothing at the endpoint, so it is safe for loads too. lastCallAt is the time of the
 // latest call for the query. Where ctx ends between two calls, result and error are nil.
-func (e *engineClient) converse(ctx context.Context, c *pooledConn, q *engine.Query, onProgress func(decide.ProgressKind, float64), written func()) (res *engine.Result, lastCall time.Time, err error) {
+func (e *engineClient) converse(ctx context.Context, c *pooledConn, q *engine.Query, onProgress func(decide.ProgressKind, float64), onWritten func()) (res *engine.Result, lastCallAt time.Time, err error) {
 	out := q.EncodeStart()
-	for lost := 0; ; {
-		step, answered, err := e.exchange(ctx, c, q, out, onProgress, &lastCall, written)
+	for lostAnswers := 0; ; {
+		step, answered, err := e.exchange(ctx, c, q, out, onProgress, &lastCallAt, onWritten)
 		if answered {
-			lost = 0
+			lostAnswers = 0
 		}
 		if step.Result != nil || ctx.Err() != nil {
-			return step.Result, lastCall, err
+			return step.Result, lastCallAt, err
 		}
 		if err != nil {
-			if lost++; lost > maxLostAnswers {
-				return nil, lastCall, err
+			if lostAnswers++; lostAnswers > maxLostAnswers {
+				return nil, lastCallAt, err
 			}
 		}
-		fresh, derr := e.conns.redial(ctx)
+		newConn, derr := e.conns.redial(ctx)
 		if derr != nil {
-			return nil, lastCall, errors.Join(err, derr)
+			return nil, lastCallAt, errors.Join(err, derr)
 		}
-		c = fresh
+		c = newConn
 		out = q.EncodeResume()
 	}
 }
 
 // exchange makes calls on one connection until the query ends or needs a new connection, and returns the
 // connection to the pool or drops it. answered reports whether any answer was valid.
-func (e *engineClient) exchange(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, onProgress func(decide.ProgressKind, float64), lastCall *time.Time, written func()) (step engine.Step, answered bool, err error) {
+func (e *engineClient) exchange(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, onProgress func(decide.ProgressKind, float64), lastCallAt *time.Time, onWritten func()) (step engine.Step, answered bool, err error) {
 	e.conns.use(ctx, c, func() (reusable bool) {
 		for step.Result == nil && !step.NeedsNewConnection && err == nil {
-			*lastCall = time.Now()
-			step, err = call(ctx, c, q, out, written)
+			*lastCallAt = time.Now()
+			step, err = call(ctx, c, q, out, onWritten)
 			answered = answered || err == nil
 			out = step.Send
 			if n := step.Progress; err == nil && n != nil {
 				onProgress(progressKinds[n.Kind], n.Value)
 			} else if step.InvalidProgress {
-				e.conns.recordViolation(&e.conns.pool.invalidNotes, "note")
+				e.conns.recordViolation(&e.conns.pool.invalidProgress, "note")
 			}
 		}
 		return step.KeepConnection
@@ -143,17 +145,18 @@
 	return step, answered, err
 }
 
+// progressKinds maps the kinds of progress of the protocol to those of the decisions.
 var progressKinds = map[engine.ProgressKind]decide.ProgressKind{
 	engine.ProgressRatio:   decide.ProgressRatio,
 	engine.ProgressSpilled: decide.ProgressSpilled,
 	engine.ProgressWaiting: decide.ProgressWaiting,
 }
 
-// call writes one call, calls written, and reads the answer, which must be complete within answerTimeout.
-func call(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, written func()) (engine.Step, error) {
+// call writes one call, calls onWritten, and reads the answer, which must be complete within answerTimeout.
+func call(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, onWritten func()) (engine.Step, error) {
 	deadline := time.Now().Add(answerTimeout)
 	err := c.Write(ctx, out, deadline)
-	written()
+	onWritten()
 	if err != nil {
 		return engine.Step{}, fmt.Errorf("write: %w", err)
 	}
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -14,7 +14,7 @@
 	"aniseloft/internal/transport/violations"
 )
 
-// errNoDescriptors is returned where the pool's budget of descriptors is used up.
+// errNoDescriptors is returned where the pool's budget of file descriptors is used up.
 var errNoDescriptors = errors.New("no descriptor left for a connection to an engine")
 
 // pooledConn is a connection to an endpoint. It is owned by one call or, while idle, by the pool.
@@ -26,14 +26,17 @@
 // Pool holds the connections to all endpoints within a budget of descriptors. It is safe for
 // concurrent use.
 type Pool struct {
-	limit          int // maximum number of open connections
-	connectTimeout time.Duration
-	maxIdle        time.Duration
+	limit          int           // maximum number of open connections
+	connectTimeout time.Duration // time limit to establish a connection
+	maxIdle        time.Duration // how long a connection is kept idle
 	log            *slog.Logger
-	counts         struct{ dialled, reused, stolen, expired, stale, exhausted, resumed atomic.Int64 }
-	invalidReports violations.Counter
-	invalidNotes   violations.Counter
-	cancellations  *cancellations
+	// counts holds the numbers of dialled connections, of reused ones, of idle connections closed to give
+	// their descriptor to another endpoint (stolen), after maxIdle (expired) or as unusable (stale), of
+	// dials that found no descriptor (exhausted), and of new connections to resume a query (resumed).
+	counts          struct{ dialled, reused, stolen, expired, stale, exhausted, resumed atomic.Int64 }
+	invalidReports  violations.Counter // load reports with an invalid field
+	invalidProgress violations.Counter // progress of queries that can't be used
+	cancellations   *cancellations
 
 	// mu guards the fields below and the state of each endpointPool.
 	mu        sync.Mutex
@@ -55,7 +58,7 @@
 	c := &p.counts
 	return fmt.Sprintf("counters engine_connections open=%d limit=%d dialled=%d reused=%d stolen=%d expired=%d stale=%d spent=%d resumed=%d odd_reports=%d odd_notes=%d\n",
 		p.open, p.limit, c.dialled.Load(), c.reused.Load(), c.stolen.Load(), c.expired.Load(), c.stale.Load(), c.exhausted.Load(), c.resumed.Load(),
-		p.invalidReports.Count(), p.invalidNotes.Count())
+		p.invalidReports.Count(), p.invalidProgress.Count())
 }
 
 // endpoint adds an empty pool for one endpoint and returns it.
--- a/internal/transport/upstream/pool_test.go
+++ b/internal/transport/upstream/pool_test.go
@@ -98,16 +98,16 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	go func() { // an engine that sends nothing and keeps connections open
-		var held []net.Conn
+		var openConns []net.Conn
 		for {
 			c, err := l.Accept()
 			if err != nil {
-				for _, c := range held {
+				for _, c := range openConns {
 					_ = c.Close()
 				}
 				return
 			}
-			held = append(held, c)
+			openConns = append(openConns, c)
 		}
 	}()
 	for name, race := range map[string]func(own, other *endpointPool) (got *pooledConn, stolen bool){
--- a/internal/transport/upstream/restclient.go
+++ b/internal/transport/upstream/restclient.go
@@ -25,7 +25,7 @@
 	user string
 }
 
-// Run runs one attempt. No other call uses its connection at the same time.
+// Run runs one attempt. No other call uses the attempt's connection at the same time.
 func (r *restClient) Run(ctx context.Context, a routing.AttemptSpec) routing.Result {
 	c, notSent := r.connect(ctx, a)
 	if notSent != nil {
@@ -37,14 +37,14 @@
 			return routing.Result{Outcome: decide.OutcomeNotSent, Reason: err.Error()}
 		}
 	}
-	sent, notSent := r.beginSend(a, c)
+	endSend, notSent := r.beginSend(a, c)
 	if notSent != nil {
 		return *notSent
 	}
-	defer sent()
+	defer endSend()
 	q := rest.NewUpstreamQuery(r.addr, rest.StartRequest{CallID: a.CallID, Class: a.Class, User: r.user, Statement: a.Statement, Timeout: a.Timeout, IdempotencyKey: a.IdempotencyKey,
 		Stream: a.Sink != nil})
-	res, err := r.converse(ctx, c, q, a.Sink, sent)
+	res, err := r.converse(ctx, c, q, a.Sink, endSend)
 	if res != nil {
 		return routing.Result{Outcome: restOutcomes[res.Outcome], Body: res.Body, Streamed: a.Sink != nil, ActualWork: res.ActualWorkMS,
 			ActualMemoryMB: res.ActualMemoryMB, Reason: res.Reason}
@@ -57,6 +57,7 @@
 	return r.abandon(ctx, a, err, cancel)
 }
 
+// restOutcomes maps the outcomes of the REST protocol to those of the decisions.
 var restOutcomes = map[rest.Outcome]decide.Outcome{
 	rest.OutcomeSucceeded:  decide.OutcomeSucceeded,
 	rest.OutcomeFailed:     decide.OutcomeError,
@@ -74,14 +75,14 @@
 	}
 }
 
-// converse is engineClient.converse for this protocol, in which a query can't be polled before the first answer
-// has named a URI.
-func (r *restClient) converse(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, sink routing.ResultSink, written func()) (*rest.Result, error) {
+// converse makes calls for a query until it ends, as engineClient.converse does. In this protocol a query can't be
+// polled before the first answer has named a URI.
+func (r *restClient) converse(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, sink routing.ResultSink, onWritten func()) (*rest.Result, error) {
 	out := q.EncodeStart()
-	for lost := 0; ; {
-		step, answered, err := r.exchange(ctx, c, q, out, sink, written)
+	for lostAnswers := 0; ; {
+		step, answered, err := r.exchange(ctx, c, q, out, sink, onWritten)
 		if answered {
-			lost = 0
+			lostAnswers = 0
 		}
 		if errors.Is(err, errResultSink) {
 			return nil, err
@@ -90,30 +91,30 @@
 			return step.Result, err
 		}
 		if err != nil {
-			lost++
+			lostAnswers++
 		}
 		out = q.EncodeResume()
-		fresh, derr := r.conns.redial(ctx) // without a URI to poll, this still shows whether the endpoint is up
+		newConn, derr := r.conns.redial(ctx) // without a URI to poll, this still shows whether the endpoint is up
 		if derr != nil {
 			return nil, errors.Join(err, derr)
 		}
-		if out == nil || lost > maxLostAnswers {
-			r.conns.put(fresh)
+		if out == nil || lostAnswers > maxLostAnswers {
+			r.conns.put(newConn)
 			return nil, err
 		}
-		c = fresh
+		c = newConn
 	}
 }
 
 // exchange makes calls on one connection until the query ends or needs a new connection, and returns the
 // connection to the pool or drops it. answered reports whether any answer was valid.
-func (r *restClient) exchange(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, sink routing.ResultSink, written func()) (step rest.Step, answered bool, err error) {
+func (r *restClient) exchange(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, sink routing.ResultSink, onWritten func()) (step rest.Step, answered bool, err error) {
 	r.conns.use(ctx, c, func() (reusable bool) {
 		for deadline := time.Now().Add(restAnswerTimeout); step.Result == nil && !step.NeedsNewConnection && err == nil; {
 			if len(out) > 0 {
 				deadline = time.Now().Add(restAnswerTimeout)
 			}
-			step, err = restCall(ctx, c, q, out, deadline, written)
+			step, err = restCall(ctx, c, q, out, deadline, onWritten)
 			if err == nil && len(step.Page) > 0 {
 				if serr := sink.WritePage(ctx, step.Page); serr != nil {
 					step.Result, err = nil, fmt.Errorf("%w: %w", errResultSink, serr)
@@ -127,11 +128,11 @@
 	return step, answered, err
 }
 
-// restCall writes a call, if there is one, calls written, and feeds the bytes of one read to the query.
-func restCall(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, deadline time.Time, written func()) (rest.Step, error) {
+// restCall writes a call, if there is one, calls onWritten, and feeds the bytes of one read to the query.
+func restCall(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, deadline time.Time, onWritten func()) (rest.Step, error) {
 	if len(out) > 0 {
 		err := c.Write(ctx, out, deadline)
-		written()
+		onWritten()
 		if err != nil {
 			return rest.Step{}, err
 		}
--- a/internal/transport/upstream/shortcalls.go
+++ b/internal/transport/upstream/shortcalls.go
@@ -22,7 +22,7 @@
 const shortCallTimeout = 250 * time.Millisecond
 
 // shortCall makes one short call on a connection that no query is using. Short calls are idempotent, so a call is
-// repeated once where its connection fails, as an idle one may have been closed.
+// repeated once where its connection fails, as an idle connection may have been closed by the endpoint.
 func (e *engineClient) shortCall(ctx context.Context, message []byte) (status int, report string, err error) {
 	c, err := e.conns.get(ctx)
 	if err != nil {
