--- a/internal/fleetconf/fleetconf.go
+++ b/internal/fleetconf/fleetconf.go
@@ -11,8 +11,8 @@
 // File is the path of the file, relative to the working directory.
 const File = "deploy/fleet.json"
 
-// strict rejects unknown and misspelt fields.
-var strict = jsoniter.Config{CaseSensitive: true, DisallowUnknownFields: true}.Froze()
+// strictCodec rejects unknown and misspelt fields.
+var strictCodec = jsoniter.Config{CaseSensitive: true, DisallowUnknownFields: true}.Froze()
 
 // Replica is one member of the consensus group.
 type Replica struct {
@@ -24,10 +24,10 @@
 type Config struct {
 	Schema       string    `json:"$schema"`
 	Installation string    `json:"installation"` // empty: disabled
-	Generation   uint64    `json:"generation"`   // grows with each change of the replicas
-	Backend      string    `json:"by,omitempty"` // what grants leases: BackendConsensus, the default, or BackendRecord
+	Generation   uint64    `json:"generation"`   // number of this list of replicas; grows with each change of the list
+	Backend      string    `json:"by,omitempty"` // lease backend: BackendConsensus, the default, or BackendRecord
 	Replicas     []Replica `json:"seats"`        // 1, 3 or 5; the first bootstraps the group
-	Directory    string    `json:"directory"`    // of the replica's database and the followed fences; must survive restarts
+	Directory    string    `json:"directory"`    // directory of the replica's database and of the file of followed fences; must survive restarts
 	Jobs         []string  `json:"jobs"`         // done by one coordinator for all; each coordinator does all other jobs itself
 	LeaseMS      float64   `json:"lease_ms"`     // length of a lease in milliseconds; 0: the default
 	DriftBound   float64   `json:"drift_bound"`  // upper bound on how far the rate of a clock differs from 1; 0: the default
@@ -37,13 +37,13 @@
 // Lease backends, as Config.Backend.
 const (
 	BackendConsensus = "council" // a consensus group of coordinators
-	BackendRecord    = "record"  // rows of the shared REST record, by the record's clock
+	BackendRecord    = "record"  // rows of the shared REST record (an SQL database), by the clock of that database
 )
 
 // Parse parses and validates the content of the file. The error is the FieldError of the first fault.
 func Parse(raw []byte) (Config, error) {
 	var c Config
-	if err := strict.Unmarshal(raw, &c); err != nil {
+	if err := strictCodec.Unmarshal(raw, &c); err != nil {
 		return c, FieldError{"/", err.Error(), "see schema/fleet.schema.json for the fields and their types"}
 	}
 	if faults := c.Validate(); len(faults) > 0 {
--- a/internal/fleetconf/validate.go
+++ b/internal/fleetconf/validate.go
@@ -33,7 +33,7 @@
 // fieldErrors collects faults in the order in which they are found.
 type fieldErrors []FieldError
 
-// addIf adds a fault if bad is true. pointer is a format string for args.
+// addIf adds a fault if bad is true. pointer is the JSON pointer to the field, as a format string for args.
 func (l *fieldErrors) addIf(bad bool, problem, remedy, pointer string, args ...any) {
 	if bad {
 		*l = append(*l, FieldError{fmt.Sprintf(pointer, args...), problem, remedy})
--- a/internal/protocol/admin/command.go
+++ b/internal/protocol/admin/command.go
@@ -13,9 +13,9 @@
 
 // Verbs of the protocol.
 const (
-	Status  Verb = iota // whether this process can serve
-	Suspend             // take the endpoint out of rotation
-	Restore             // end the suspension of the endpoint
+	Status  Verb = iota // report whether this process can serve requests
+	Suspend             // send no new requests to the named endpoint
+	Restore             // end the suspension of the named endpoint
 	Pause               // begin a drain: send clients away
 	Resume              // end the drain
 )
@@ -49,7 +49,7 @@
 	return c.Verb.String()
 }
 
-// Errors of a line that is not a valid command. The response is a NAK with the text of the error.
+// Errors of a line that is not a valid command. The response to the line is a NAK with the text of the error.
 var (
 	ErrTooLong      = errors.New("line too long")
 	ErrNotText      = errors.New("not text")
--- a/internal/protocol/admin/parser.go
+++ b/internal/protocol/admin/parser.go
@@ -10,10 +10,10 @@
 
 var errAlreadyRead = errors.New("admin: the call was read already")
 
-// Parser reads the one line of a connection. It is not safe for concurrent use.
+// Parser reads the only command line of a connection. It is not safe for concurrent use.
 type Parser struct {
-	buffer []byte
-	done   bool
+	buffer []byte // the incomplete line
+	done   bool   // the line was complete or too long, or Finish was called
 }
 
 // Feed takes bytes as they come. It returns done once the line is complete or too long; err then says why the line is
--- a/internal/protocol/engine/calls.go
+++ b/internal/protocol/engine/calls.go
@@ -29,7 +29,8 @@
 	return &ResponseParser{httpmsg.NewResponseParser(maxBodyBytes)}
 }
 
-// Feed takes bytes. The status is 0 until the response is complete; loadReport can be parsed by ParseLoadReport.
+// Feed takes bytes of the response. The status is 0 until the response is complete; loadReport can be parsed by
+// ParseLoadReport. keepConnection reports whether the connection can carry another request.
 func (p *ResponseParser) Feed(b []byte) (status int, loadReport string, keepConnection bool, err error) {
 	p.parser.Feed(b)
 	m, err := p.parser.Next()
--- a/internal/protocol/engine/query.go
+++ b/internal/protocol/engine/query.go
@@ -16,9 +16,9 @@
 
 // Limits of the protocol.
 const (
-	MaxResultBytes = 48000
-	maxPageBytes   = 6000
-	maxPages       = 4096
+	MaxResultBytes = 48000    // all pages of a result
+	maxPageBytes   = 6000     // one page of a result
+	maxPages       = 4096     // of a result
 	maxBodyBytes   = 16 << 10 // body of any response: a page, or a line of text
 	columns        = 3        // per row
 )
@@ -37,10 +37,10 @@
 // Outcomes of a query.
 const (
 	OutcomeSucceeded  Outcome = iota + 1
-	OutcomeFailed             // it may have run
-	OutcomeOverloaded         // it never ran
-	OutcomeExpired            // its time was up before it started: it never ran
-	OutcomeAnswerLost         // it may have run: its connection was lost, and the engine does not know it
+	OutcomeFailed             // the query may have run
+	OutcomeOverloaded         // the query never ran: the engine is overloaded
+	OutcomeExpired            // the query never ran: its timeout passed before it started
+	OutcomeAnswerLost         // the query may have run: its connection was lost, and the engine does not know the query
 )
 
 // StartRequest holds the parameters of a query to be started.
@@ -48,7 +48,7 @@
 	CallID, Class  string
 	Statement      []byte
 	TimeoutMS      int64
-	GrantMB        int64  // 0: not sent
+	GrantMB        int64  // memory granted to the query, in MB; 0: not sent
 	Priority       int    // -1: not sent, the engine chooses it
 	IdempotencyKey string // empty: none
 }
@@ -57,18 +57,18 @@
 type Result struct {
 	Outcome        Outcome
 	Body           []byte
-	ActualWorkMS   float64 // on one core; 0: not reported
-	ActualMemoryMB float64 // 0: not reported
+	ActualWorkMS   float64 // work of the query in ms on one core; 0: not reported
+	ActualMemoryMB float64 // memory used by the query in MB; 0: not reported
 	LoadReport     string  // see ParseLoadReport
 	Reason         string
 }
 
 // Step tells the caller what to do after bytes from the engine.
 type Step struct {
-	Send               []byte    // to be written next on this connection
+	Send               []byte    // request to be written next on this connection
 	Result             *Result   // set when the query has ended
 	KeepConnection     bool      // set with Result: the connection can carry another request
-	NeedsNewConnection bool      // EncodeResume continues on another connection
+	NeedsNewConnection bool      // the request of EncodeResume is to be sent on a new connection
 	Progress           *Progress // of a query that is still running
 	InvalidProgress    bool      // the response had a progress that cannot be used
 }
@@ -76,9 +76,9 @@
 type state int
 
 const (
-	starting state = iota
-	running
-	paging
+	starting state = iota // the engine has not responded yet
+	running               // the engine has acknowledged the query, or the query was resumed on a new connection
+	paging                // at least one page received
 	ended
 )
 
@@ -88,10 +88,10 @@
 	start        StartRequest
 	state        state
 	parser       *httpmsg.Parser
-	acknowledged bool // the engine has responded that the query runs
-	pageCount    int
-	nextPage     int
-	result       Result
+	acknowledged bool   // the engine has responded that the query runs
+	pageCount    int    // number of pages of the result
+	nextPage     int    // number of the page to request next
+	result       Result // the result as received so far
 }
 
 // NewQuery returns a query that has not been sent.
--- a/internal/protocol/fleet/fleet.go
+++ b/internal/protocol/fleet/fleet.go
@@ -115,9 +115,9 @@
 
 // Decoder splits a stream of bytes into the frames of one installation. It is not safe for concurrent use.
 type Decoder struct {
-	installation uint64
+	installation uint64 // frames of other installations are rejected
 	buf          []byte // received bytes that do not form a complete frame yet
-	err          error  // the first error; it is final
+	err          error  // the first error in the stream, which every later Feed returns
 }
 
 // NewDecoder returns a decoder for a new connection.
--- a/internal/protocol/httpmsg/parser.go
+++ b/internal/protocol/httpmsg/parser.go
@@ -35,14 +35,14 @@
 
 // Parser splits a stream of bytes into messages. It is not safe for concurrent use.
 type Parser struct {
-	responses    bool // false: requests
-	maxBodyBytes int
+	responses    bool // the stream consists of responses; false: of requests
+	maxBodyBytes int  // larger bodies are rejected
 	phase        phase
-	buffer       []byte
+	buffer       []byte   // received bytes that are not parsed yet
 	message      *Message // the message being read
-	remaining    int      // bytes of its body or chunk
+	remaining    int      // size in bytes of the body or chunk that is read next
 	interimCount int      // 1xx heads before the next response
-	err          error    // why phase is broken
+	err          error    // error that was found in the stream; set if phase is broken
 }
 
 // NewResponseParser returns a parser of responses with bodies of at most maxBodyBytes.
--- a/internal/protocol/journal/journal.go
+++ b/internal/protocol/journal/journal.go
@@ -27,16 +27,16 @@
 	Kind        string  `json:"kind"`
 	Cell        int     `json:"cell"`
 	State       string  `json:"state"`
-	StartedAtMS float64 `json:"started_ms"` // Unix time; 0: long ago
+	StartedAtMS float64 `json:"started_ms"` // start of the engine, Unix time in ms; 0: long ago
 }
 
 // Update is a change of the endpoint list.
 type Update struct {
-	Snapshot  bool       `json:"full"` // Endpoints is the complete list; otherwise those that changed
+	Snapshot  bool       `json:"full"` // Endpoints is the complete list; otherwise it holds the endpoints that changed
 	Endpoints []Endpoint `json:"servers"`
 }
 
-// Event is one numbered update.
+// Event is one update with its position in the sequence of events.
 type Event struct {
 	Position int64  `json:"pos"`
 	Update   Update `json:"hosts"`
--- a/internal/protocol/jsonrpc/message.go
+++ b/internal/protocol/jsonrpc/message.go
@@ -21,19 +21,19 @@
 		ID                string
 		Method            string
 		CallID            string  // 16 hex digits
-		TimeoutMS         float64 // until the client gives up
-		EstimatedWorkMS   float64 // on one core
-		EstimatedMemoryMB float64
-		IdempotencyKey    string // the same for all attempts of one request; empty: none
-		IsRetry           bool   // the client has marked it as a retry
+		TimeoutMS         float64 // time until the client gives up
+		EstimatedWorkMS   float64 // estimated work in ms on one core
+		EstimatedMemoryMB float64 // estimated memory in MB
+		IdempotencyKey    string  // the same for all attempts of one request; empty: none
+		IsRetry           bool    // the client has marked the request as a retry
 		Statement         []byte
 	}
 	// Cancel cancels the open request with the ID.
 	Cancel struct{ ID string }
 	// HealthCheck asks whether the coordinator accepts requests.
 	HealthCheck struct{ ID string }
-	// Invalid is a message that cannot be accepted. ID is "null" if it has no usable one; Response is the response
-	// line.
+	// Invalid is a message that cannot be accepted. ID is "null" if the message has no usable ID; Response is the
+	// response line.
 	Invalid struct {
 		ID       string
 		Response []byte
@@ -54,6 +54,7 @@
 	methodHealthCheck = "alive"
 )
 
+// envelope holds the protocol's fields that all messages share.
 type envelope struct {
 	Version string              `json:"jsonrpc"`
 	ID      jsoniter.RawMessage `json:"id"`
--- a/internal/protocol/jsonrpc/parser.go
+++ b/internal/protocol/jsonrpc/parser.go
@@ -18,7 +18,7 @@
 // Parser splits the bytes of one connection into messages. It is not safe for concurrent use.
 type Parser struct {
 	buffer  []byte // an unfinished line
-	scanned int    // length of the start of buffer that is known to hold no line feed
+	scanned int    // number of bytes at the start of buffer that are known to hold no line feed
 }
 
 // Buffered returns the size of the unfinished message in bytes.
--- a/internal/protocol/rest/page.go
+++ b/internal/protocol/rest/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// defaultColumns is the number of columns of a result without rows. All results of the platform have as many.
+// defaultColumns is the number of columns of a result without rows. All results of the platform have 3 columns.
 const defaultColumns = 3
 
 // SplitPages splits rows of text, as engines return them, into pages of at most size bytes, each with at least one row.
--- a/internal/protocol/rest/request.go
+++ b/internal/protocol/rest/request.go
@@ -46,12 +46,13 @@
 	SubmitRequest struct {
 		User, Class, IdempotencyKey, Host string
 		Statement                         []byte
-		TimeoutMS                         float64 // 0: that of the class
-		EstimatedWorkMS                   float64 // on one core; 0: no estimate
-		EstimatedMemoryMB                 float64 // 0: no estimate
+		TimeoutMS                         float64 // time until the client gives up; 0: the deadline of the class
+		EstimatedWorkMS                   float64 // estimated work in ms on one core; 0: no estimate
+		EstimatedMemoryMB                 float64 // estimated memory in MB; 0: no estimate
 		Close                             bool
 	}
-	// PageRequest asks for page Token of a query. Slug is the secret part of its address.
+	// PageRequest asks for the page with number Token of a query's result. Slug is the secret part of the address
+	// of the query's pages.
 	PageRequest struct {
 		ID, Slug, Host string
 		Token          int
--- a/internal/protocol/rest/upstream.go
+++ b/internal/protocol/rest/upstream.go
@@ -15,7 +15,7 @@
 
 var (
 	// errCorruptResponse is returned for a response that violates the protocol. EncodeResume repeats the request,
-	// unless it was the start.
+	// unless that request was the start of the query.
 	errCorruptResponse = errors.New("rest: corrupt response")
 	errInvalidNextURI  = errors.New("invalid next URI")
 )
@@ -29,18 +29,18 @@
 // Outcomes of a query.
 const (
 	OutcomeSucceeded  Outcome = iota + 1
-	OutcomeFailed             // it may have run
-	OutcomeOverloaded         // it never ran
+	OutcomeFailed             // the query may have run
+	OutcomeOverloaded         // the query never ran: the engine is overloaded
 )
 
 // StartRequest holds the parameters of a query to be started.
 type StartRequest struct {
 	CallID, Class, User string
 	Statement           []byte
-	IdempotencyKey      string // empty: CallID is used instead
-	Timeout             time.Duration
-	// Stream returns the rows of each page in its Step and keeps none of them; the size of the result is then
-	// unlimited.
+	IdempotencyKey      string        // empty: CallID is used instead
+	Timeout             time.Duration // maximum run time of the query at the engine
+	// Stream makes Feed return the rows of each page in a Step and keep none of them; the size of the result is
+	// then unlimited.
 	Stream bool
 }
 
@@ -48,18 +48,18 @@
 type Result struct {
 	Outcome        Outcome
 	Body           []byte
-	ActualWorkMS   float64 // of CPU; 0: not reported
-	ActualMemoryMB float64 // 0: not reported
+	ActualWorkMS   float64 // CPU time of the query in ms; 0: not reported
+	ActualMemoryMB float64 // peak memory of the query in MB; 0: not reported
 	Reason         string
 }
 
 // Step tells the caller what to do after bytes from the engine.
 type Step struct {
-	Send               []byte  // to be written next on this connection
+	Send               []byte  // request to be written next on this connection
 	Result             *Result // set when the query has ended
-	Page               []byte  // rows of a stream, also with a Result; to be stored before the rest of the step
+	Page               []byte  // rows of a stream, also with a Result; to be stored before the rest of the step is carried out
 	KeepConnection     bool    // set with Result: the connection can carry another query
-	NeedsNewConnection bool    // EncodeResume continues on another connection
+	NeedsNewConnection bool    // the request of EncodeResume is to be sent on a new connection
 }
 
 // UpstreamQuery is one query at an engine that speaks this protocol. It is not safe for concurrent use.
@@ -67,12 +67,12 @@
 	host      string
 	start     StartRequest
 	parser    *httpmsg.Parser
-	nextPath  string // path of the last page request; empty until the first response
-	responses int    // number of responses with a next URI
-	body      []byte
-	page      []byte // rows of a stream, for the next step
-	workMS    float64
-	memoryMB  float64
+	nextPath  string  // path of the last page request; empty until the first response
+	responses int     // number of responses with a next URI
+	body      []byte  // rows received so far; empty for a stream
+	page      []byte  // rows of the latest page of a stream, for the Step that Feed returns
+	workMS    float64 // largest CPU time reported so far
+	memoryMB  float64 // largest peak memory reported so far
 }
 
 // NewUpstreamQuery returns a query that has not been sent.
@@ -106,7 +106,8 @@
 	return httpmsg.AppendRequest(nil, "GET", q.nextPath, q.host, nil, nil)
 }
 
-// EncodeCancel returns the request that cancels the query, or nil if the engine has not sent an address for it yet.
+// EncodeCancel returns the request that cancels the query, or nil if the engine has not sent the address of the query
+// yet.
 func (q *UpstreamQuery) EncodeCancel() []byte {
 	if q.nextPath == "" {
 		return nil
