--- a/internal/protocol/admin/command.go
+++ b/internal/protocol/admin/command.go
@@ -38,7 +38,7 @@
 // Command is one command of an operator.
 type Command struct {
 	Verb       Verb
-	EndpointID string // for Suspend and Restore
+	EndpointID string // ID of the endpoint, for Suspend and Restore
 }
 
 // String returns the command line without its line feed.
--- a/internal/protocol/engine/loadreport.go
+++ b/internal/protocol/engine/loadreport.go
@@ -26,7 +26,7 @@
 			invalid = true
 			continue
 		}
-		if _, again := values[name]; again {
+		if _, isRepeated := values[name]; isRepeated {
 			repeated[name], invalid = true, true
 		}
 		values[name] = v
--- a/internal/protocol/engine/query.go
+++ b/internal/protocol/engine/query.go
@@ -16,9 +16,9 @@
 
 // Limits of the protocol.
 const (
-	MaxResultBytes = 48000    // all pages of a result
-	maxPageBytes   = 6000     // one page of a result
-	maxPages       = 4096     // of a result
+	MaxResultBytes = 48000    // size of all pages of a result
+	maxPageBytes   = 6000     // size of one page of a result
+	maxPages       = 4096     // number of pages of a result
 	maxBodyBytes   = 16 << 10 // body of any response: a page, or a line of text
 	columns        = 3        // per row
 )
@@ -69,7 +69,7 @@
 	Result             *Result   // set when the query has ended
 	KeepConnection     bool      // set with Result: the connection can carry another request
 	NeedsNewConnection bool      // the request of EncodeResume is to be sent on a new connection
-	Progress           *Progress // of a query that is still running
+	Progress           *Progress // progress of a query that is still running
 	InvalidProgress    bool      // the response had a progress that cannot be used
 }
 
--- a/internal/protocol/httpmsg/parser_test.go
+++ b/internal/protocol/httpmsg/parser_test.go
@@ -51,7 +51,7 @@
 		_, err := p.Next()
 		require.ErrorIs(t, err, want, stream)
 		p.Feed([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
-		_, again := p.Next()
-		require.Equal(t, err, again, "the error must be final")
+		_, laterErr := p.Next()
+		require.Equal(t, err, laterErr, "the error must be final")
 	}
 }
--- a/internal/protocol/jsonrpc/message.go
+++ b/internal/protocol/jsonrpc/message.go
@@ -195,7 +195,7 @@
 
 // parseRetryMark parses the optional mark of a retry. The protocol does not specify whether 1 is a string or a number,
 // so both are accepted.
-func parseRetryMark(raw []byte) (marked, ok bool) {
+func parseRetryMark(raw []byte) (isRetry, ok bool) {
 	switch string(raw) {
 	case `"1"`, "1":
 		return true, true
--- a/internal/protocol/rest/upstream.go
+++ b/internal/protocol/rest/upstream.go
@@ -210,8 +210,8 @@
 	return &Result{o, q.body, q.workMS, q.memoryMB, reason}
 }
 
-// encodeRows encodes rows as the platform's lines of text. ok is false if a value would break its row, such as one with
-// a tab.
+// encodeRows encodes rows as the platform's lines of text. ok is false if a value would break its row, such as a value
+// with a tab.
 func encodeRows(rows [][]any) (page []byte, ok bool) {
 	for _, row := range rows {
 		start := len(page)
@@ -235,8 +235,8 @@
 	return page, true
 }
 
-// pathOf returns the path and query of an engine's next URI. The host is ignored, so that an engine cannot send the
-// coordinator elsewhere. The path is empty if there is no next URI.
+// pathOf returns the path and query of an engine's next URI. The host is ignored, so that an engine cannot direct
+// the coordinator to another address. The path is empty if there is no next URI.
 func pathOf(uri string) (string, error) {
 	if uri == "" {
 		return "", nil
--- a/internal/transport/clients/admin.go
+++ b/internal/transport/clients/admin.go
@@ -49,7 +49,7 @@
 }
 
 // readCall reads from a connection until a call is complete, executes it and returns the answer. Input
-// that is no valid call is answered with an error. It returns nil where no answer is to be sent.
+// that is not a valid call is answered with an error. It returns nil where no answer is to be sent.
 func (s *AdminServer) readCall(ctx context.Context, c *listener.Conn) (answer []byte) {
 	var parser admin.Parser
 	buf := make([]byte, admin.MaxLineBytes)
--- a/internal/transport/clients/close_test.go
+++ b/internal/transport/clients/close_test.go
@@ -172,8 +172,8 @@
 	transporttest.Receive(t, closed)
 }
 
-// ReceivingMessage reports a client that is sending a request, so that a shutdown waits for it, but not one that stopped in
-// the middle of a request.
+// ReceivingMessage reports a client that is sending a request, so that a shutdown waits for the request, but not a
+// client that stopped in the middle of a request.
 func TestClientSendingMessageIsReported(t *testing.T) {
 	srv, _ := jsonrpcServer(t, false)
 	l := newListener(t, 4, srv.Serve)
--- a/internal/transport/clients/wire_bytes_test.go
+++ b/internal/transport/clients/wire_bytes_test.go
@@ -144,7 +144,7 @@
 	golden.Equal(t, "testdata/rest-server.txt", []byte(out.String()))
 }
 
-// Covers the answers of the admin server to valid calls and to lines that are no valid call.
+// Covers the answers of the admin server to valid calls and to lines that are not valid calls.
 func TestAdminServerWireBytes(t *testing.T) {
 	a := &AdminServer{Execute: func(c admin.Command) []byte { return admin.Ack("did " + c.String()) }, Log: slog.New(slog.DiscardHandler)}
 	out := &transporttest.Transcript{}
--- a/internal/transport/coordination/conn.go
+++ b/internal/transport/coordination/conn.go
@@ -109,8 +109,8 @@
 // logRejected logs a connection whose peer violated the protocol. A connection from another installation is logged only
 // if it is the first rejected connection, as its peer keeps reconnecting.
 func (n *Node) logRejected(c *conn, err error) {
-	first := n.counters.rejectedConns.Add(1) == 1
-	if first || !errors.Is(err, fleet.ErrOtherInstallation) {
+	isFirst := n.counters.rejectedConns.Add(1) == 1
+	if isFirst || !errors.Is(err, fleet.ErrOtherInstallation) {
 		n.Log.Warn("fleet connection rejected", "remote", c.socket.RemoteAddr().String(), "reason", err)
 	}
 }
--- a/internal/transport/coordination/disk.go
+++ b/internal/transport/coordination/disk.go
@@ -59,7 +59,7 @@
 }
 
 // openDisk opens a replica's database in dir, or creates it. It returns an error wrapping ErrDiskInUse,
-// ErrForeignDisk or a DiskVersionError, or one that says where the database is damaged.
+// ErrForeignDisk or a DiskVersionError, or an error that says where the database is damaged.
 func openDisk(dir string, installation uint64) (*disk, consensus.PersistentState, error) {
 	var state consensus.PersistentState
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -179,11 +179,11 @@
 // entries from its index on.
 func saveEntries(log *bbolt.Bucket, update *consensus.PersistentState, compactIndex uint64) error {
 	if update.Snapshot != nil {
-		last := update.Snapshot.GetMetadata().GetIndex()
+		lastReplaced := update.Snapshot.GetMetadata().GetIndex()
 		if compactIndex == 0 { // the leader's snapshot replaces the whole log
-			last = ^uint64(0)
+			lastReplaced = ^uint64(0)
 		}
-		if err := deleteEntries(log, 0, last); err != nil {
+		if err := deleteEntries(log, 0, lastReplaced); err != nil {
 			return err
 		}
 	}
--- a/internal/transport/coordination/disk_test.go
+++ b/internal/transport/coordination/disk_test.go
@@ -32,14 +32,14 @@
 	if count == 0 {
 		return update, compactIndex, lastIndex
 	}
-	first := lastIndex + 1
+	firstIndex := lastIndex + 1
 	if update.Snapshot == nil && lastIndex > 2 && rapid.Bool().Draw(rt, "again") {
-		first = lastIndex - 1 // a new leader overwrites entries that were not committed
+		firstIndex = lastIndex - 1 // a new leader overwrites entries that were not committed
 	}
 	for i := range uint64(count) {
-		update.Entries = append(update.Entries, &raftpb.Entry{Index: new(first + i), Term: new(rapid.Uint64().Draw(rt, "t")), Data: []byte("x")})
+		update.Entries = append(update.Entries, &raftpb.Entry{Index: new(firstIndex + i), Term: new(rapid.Uint64().Draw(rt, "t")), Data: []byte("x")})
 	}
-	return update, compactIndex, first + uint64(count) - 1
+	return update, compactIndex, firstIndex + uint64(count) - 1
 }
 
 // After any sequence of saves openDisk must return the state that PersistentState.Merge computes from them.
--- a/internal/transport/coordination/node.go
+++ b/internal/transport/coordination/node.go
@@ -1,5 +1,5 @@
 // Package coordination connects a coordinator to the fleet over TCP. It runs a lease client, and a consensus replica
-// with its disk if the configuration names this coordinator as one. All decisions are made in internal/lease and
+// with its disk if the configuration names this coordinator as a replica. All decisions are made in internal/lease and
 // internal/consensus. The package needs the raft library and bbolt, which a lean build leaves out.
 package coordination
 
@@ -50,9 +50,9 @@
 	name         string
 	installation uint64           // fleet.InstallationID of the configured installation
 	diskFault    func() error     // runs before each write to the replica's disk, see InjectDiskFaults
-	draining     atomic.Bool      // set by Drain, cleared when leadership is transferred
+	draining     atomic.Bool      // leadership is still to be transferred: set by Drain, cleared by transferLeadership
 	reconfigured chan struct{}    // signals a new conf to the replica goroutine; holds one signal
-	tasks        chan replicaTask // for the replica goroutine; bounded, see enqueue
+	tasks        chan replicaTask // tasks for the replica goroutine; bounded, see enqueue
 	replicaHost  *replicaHost
 	counters     counters
 
@@ -140,8 +140,8 @@
 }
 
 func (n *Node) newResolver(conf fleetconf.Config) *lease.LeaderResolver {
-	first := int(n.Self().Incarnation % uint64(len(conf.Replicas)))
-	return lease.NewLeaderResolver(conf.ReplicaNames(), first, conf.Timing().LeaseTTL)
+	firstReplica := int(n.Self().Incarnation % uint64(len(conf.Replicas)))
+	return lease.NewLeaderResolver(conf.ReplicaNames(), firstReplica, conf.Timing().LeaseTTL)
 }
 
 // config returns the current configuration.
--- a/internal/transport/discovery/rates_test.go
+++ b/internal/transport/discovery/rates_test.go
@@ -19,14 +19,14 @@
 
 // countingService is a discovery service that counts connections and calls per 100 ms, and can be made to fail.
 type countingService struct {
-	mu     sync.Mutex
-	addr   string
-	start  time.Time
-	dials  map[int]int // connections by interval of 100 ms since start
-	calls  map[int]int // calls by interval of 100 ms since start
-	broken bool        // accepts connections and closes them at once
-	held   bool        // accepts calls and does not answer
-	conns  map[net.Conn]bool
+	mu          sync.Mutex
+	addr        string
+	start       time.Time
+	dials       map[int]int       // connections by interval of 100 ms since start
+	calls       map[int]int       // calls by interval of 100 ms since start
+	closesConns bool              // the service accepts connections and closes them at once
+	holdsCalls  bool              // the service accepts calls and does not answer
+	conns       map[net.Conn]bool // open connections
 }
 
 // count adds 1 to the count of the current interval of 100 ms. The caller holds c.mu.
@@ -45,7 +45,7 @@
 		switch s {
 		case http.StateNew:
 			c.conns[conn] = true
-			if c.count(c.dials); c.broken {
+			if c.count(c.dials); c.closesConns {
 				_ = conn.Close()
 			}
 		case http.StateClosed:
@@ -54,10 +54,10 @@
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
 		c.count(c.calls)
-		held := c.held
+		holdsCalls := c.holdsCalls
 		wait, _ := strconv.Atoi(r.URL.Query().Get("max_wait"))
 		c.mu.Unlock()
-		if held {
+		if holdsCalls {
 			<-r.Context().Done()
 			return
 		}
@@ -74,10 +74,11 @@
 	return c
 }
 
-func (c *countingService) set(broken, held bool) {
+// set changes how the service fails, and closes its open connections.
+func (c *countingService) set(closesConns, holdsCalls bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken, c.held = broken, held
+	c.closesConns, c.holdsCalls = closesConns, holdsCalls
 	for conn := range c.conns {
 		_ = conn.Close()
 	}
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -68,7 +68,7 @@
 func TestBrokenWatchResumesAtPosition(t *testing.T) {
 	answer := pollAnswer(3, entry(2, false, oneLeaving), entry(3, false, twoActive))
 	hold := func(net.Conn, int) { <-t.Context().Done() }
-	for name, broken := range map[string]func(c net.Conn){
+	for name, failPoll := range map[string]func(c net.Conn){
 		"silent":         func(c net.Conn) { hold(c, 0) },
 		"ends mid-list":  func(c net.Conn) { _, _ = io.WriteString(c, answer[:len(answer)-40]); _ = c.Close() },
 		"stops mid-list": func(c net.Conn) { _, _ = io.WriteString(c, answer[:len(answer)-40]); hold(c, 0) },
@@ -97,7 +97,7 @@
 					close(listSent)
 					return
 				}
-				broken(c)
+				failPoll(c)
 				_ = c.Close()
 			}, func(c net.Conn, tail int) {
 				tails <- tail
--- a/internal/transport/discovery/wire_bytes_test.go
+++ b/internal/transport/discovery/wire_bytes_test.go
@@ -32,7 +32,7 @@
 	golden.Equal(t, "testdata/shared-list.txt", []byte(strings.Join(append(h.published, string(out)), "\n")+"\n"))
 }
 
-// Covers a first poll of the discovery service, and one from a later position.
+// Covers the first poll of the discovery service, and a poll from a later position.
 func TestDiscoveryWireBytes(t *testing.T) {
 	dispatcher, _ := transporttest.Dispatcher(t, false)
 	addr, out := transporttest.TranscriptServer(t, pollAnswer(1, entry(1, true, oneActive)))
--- a/internal/transport/leasetable/conformance_test.go
+++ b/internal/transport/leasetable/conformance_test.go
@@ -68,7 +68,7 @@
 		return n
 	}
 	replica := start(t.Context(), t, "replica")
-	replica.Drain() // it only runs the group's replica, and takes no lease
+	replica.Drain() // this node only runs the group's replica, and takes no lease
 	go replica.Run(t.Context())
 	return backend{start: start}
 }
@@ -144,7 +144,7 @@
 // cluster holds three coordinators that compete for the job.
 type cluster struct {
 	nodes  []leasebackend.Backend
-	stops  []context.CancelFunc // by node; stop it without a release of its lease, as in a crash
+	stops  []context.CancelFunc // one function per node, which stops it without a release of its lease, as in a crash
 	target target
 }
 
@@ -178,7 +178,7 @@
 	}
 }
 
-// eventually waits for a condition. The timeout allows for a slow machine and is no requirement.
+// eventually waits for a condition. The timeout allows for a slow machine and is not a requirement on speed.
 func eventually(t *testing.T, condition func() bool, msgAndArgs ...any) {
 	t.Helper()
 	require.Eventually(t, condition, 20*time.Second, 5*time.Millisecond, msgAndArgs...)
@@ -201,32 +201,32 @@
 			var doubleHolders atomic.Int64
 			go c.countDoubleHolders(t.Context(), &doubleHolders)
 			eventually(t, func() bool { return c.holder() >= 0 })
-			first := c.holder()
-			c.eventuallyOperates(t, first)
+			firstHolder := c.holder()
+			c.eventuallyOperates(t, firstHolder)
 
-			c.nodes[first].Drain()
-			eventually(t, func() bool { n := c.holder(); return n >= 0 && n != first })
-			second := c.holder()
-			c.eventuallyOperates(t, second)
+			c.nodes[firstHolder].Drain()
+			eventually(t, func() bool { n := c.holder(); return n >= 0 && n != firstHolder })
+			secondHolder := c.holder()
+			c.eventuallyOperates(t, secondHolder)
 
-			c.stops[second]() // crash
-			third := 3 - first - second
-			c.eventuallyOperates(t, third)
-			require.False(t, c.nodes[second].Holds(job) && c.nodes[third].Holds(job))
+			c.stops[secondHolder]()                       // crash
+			thirdHolder := 3 - firstHolder - secondHolder // the indexes of the three nodes add up to 3
+			c.eventuallyOperates(t, thirdHolder)
+			require.False(t, c.nodes[secondHolder].Holds(job) && c.nodes[thirdHolder].Holds(job))
 
 			c.target.skipFences(1000)
-			c.eventuallyOperates(t, third)
+			c.eventuallyOperates(t, thirdHolder)
 			require.Greater(t, c.target.highestFence(), lease.Fence(1000))
 
 			claimed := c.target.claimFence()
-			c.eventuallyOperates(t, third)
+			c.eventuallyOperates(t, thirdHolder)
 			require.Greater(t, c.target.highestFence(), claimed)
 
 			if b.setDown != nil {
 				b.setDown(true)
 				eventually(t, func() bool { return c.holder() < 0 }, "a coordinator still holds the job while the backend is down")
 				b.setDown(false)
-				c.eventuallyOperates(t, third)
+				c.eventuallyOperates(t, thirdHolder)
 			}
 			require.Zero(t, doubleHolders.Load(), "two coordinators held the job at the same time")
 		})
--- a/internal/transport/listener/conn.go
+++ b/internal/transport/listener/conn.go
@@ -226,7 +226,7 @@
 	return c.partialReads > 1 && time.Since(c.partialSince) < messageTimeout
 }
 
-// idleSince returns the time since when the connection is idle: its last activity or its latest bytes. ok is
+// idleSince returns the time since when the connection is idle: the later of its last activity and its latest bytes. ok is
 // false while it has open requests or unhandled messages, or is being closed. Each piece of a message
 // counts as activity, so that a slow sender is not idle, but one that stopped in the middle is.
 func (c *Conn) idleSince() (at time.Time, ok bool) {
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -203,8 +203,8 @@
 	l.serving.Wait()
 }
 
-// closeAll closes all connections and the listener. Without the latter, clients that keep connecting would keep the backlog
-// filled and the process alive.
+// closeAll closes all connections and the listener. If the listener stayed open, clients that keep connecting would
+// keep the backlog filled and the process alive.
 func (l *Listener) closeAll() {
 	l.cutOff.Store(true)
 	_ = l.tcp.Close()
--- a/internal/transport/netconn/conn.go
+++ b/internal/transport/netconn/conn.go
@@ -20,7 +20,7 @@
 // lateDataWait is how long a read whose deadline has passed still waits for bytes that have already arrived.
 const lateDataWait = time.Millisecond
 
-// Conn is a buffered connection. At most one goroutine may read and one may write at a time; Interrupt and
+// Conn is a buffered connection. At most one goroutine may read and one goroutine may write at a time; Interrupt and
 // Close may be called from any goroutine.
 type Conn struct {
 	raw  net.Conn
--- a/internal/transport/netconn/inspect.go
+++ b/internal/transport/netconn/inspect.go
@@ -32,9 +32,9 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peek checks, without waiting, for an unread byte: n is 1 if there is one, and 0 with a nil error if the
-// peer has closed. The error is EAGAIN if there is neither. It uses the descriptor, as Read would fail on a
-// connection whose last deadline has passed.
+// peek checks, without waiting, for an unread byte: n is 1 if there is an unread byte, and 0 with a nil error if
+// the peer has closed the connection. The error is EAGAIN if there is no unread byte and no close. peek uses the
+// descriptor, as Read would fail on a connection whose last deadline has passed.
 func peek(c net.Conn) (n int, err error) {
 	cerr := withDescriptor(c, func(fd int) {
 		var b [1]byte
--- a/internal/transport/upstream/cancellations.go
+++ b/internal/transport/upstream/cancellations.go
@@ -19,7 +19,7 @@
 // endpoint. It is safe for concurrent use.
 type cancellations struct {
 	mu      sync.Mutex
-	pending map[cancelKey]*pendingCancel // in progress, or given up without an answer
+	pending map[cancelKey]*pendingCancel // cancellations in progress, or given up without an answer
 }
 
 // cancelKey is the address of an endpoint and the id of a call.
@@ -46,7 +46,7 @@
 	return func(err error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		// The endpoint may still read an unanswered cancellation, unless no connection was established for it.
+		// The endpoint may still read an unanswered cancellation, unless no connection was established to send it.
 		neverSent := errors.Is(err, errNoDescriptors) || netconn.IsDialError(err)
 		if t.pending[key] == p && (err == nil || neverSent) {
 			delete(t.pending, key)
--- a/internal/transport/upstream/endpointpool.go
+++ b/internal/transport/upstream/endpointpool.go
@@ -41,7 +41,7 @@
 
 	idle   []*pooledConn // idle connections, the most recently used last
 	open   int           // number of connections, idle or in use
-	closed bool          // connections are no longer kept: they are dropped after their calls
+	closed bool          // close was called: connections in use are dropped after their calls
 }
 
 // recordViolation counts a protocol violation of the endpoint.
--- a/internal/transport/upstream/pool_test.go
+++ b/internal/transport/upstream/pool_test.go
@@ -82,7 +82,7 @@
 		call := req.Header.Get("Request-Id")
 		if call == "second" {
 			close(secondReceived)
-			time.Sleep(time.Millisecond) // on the same connection, the duplicate would arrive before this answer
+			time.Sleep(time.Millisecond) // lets the duplicate arrive before this answer, if both use the same connection
 		}
 		_, _ = io.WriteString(c, row(call))
 		if call == "first" {
