--- a/internal/emulator/live/addresses_test.go
+++ b/internal/emulator/live/addresses_test.go
@@ -13,7 +13,7 @@
 	"aniseloft/scenarios"
 )
 
-// addresses returns where a rehearsal's engines and coordinators listen.
+// addresses returns the addresses on which a rehearsal's engines and coordinators listen.
 func (d *Rehearsal) addresses() (addresses []string) {
 	for _, c := range d.coordinators {
 		addresses = append(addresses, c.listen)
@@ -26,8 +26,8 @@
 	return append(addresses, d.gossipAddresses...)
 }
 
-// A coordinator listens with SO_REUSEPORT, and its port is free while it is down. Only hosts of its own keep the clients
-// of another rehearsal away.
+// A coordinator listens with SO_REUSEPORT, and its port is free while it is down. If two rehearsals shared a host, clients of
+// one could reach a coordinator of the other.
 func TestConcurrentRehearsalsShareNoHost(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "mute")
 	out, err := exec.Command("go", "build", "-o", program, "./testdata/mute").CombinedOutput()
@@ -47,7 +47,7 @@
 	for rehearsal := range rehearsals {
 		ended.Go(func() {
 			var once sync.Once
-			defer once.Do(listening.Done) // one that fails does not block the others
+			defer once.Do(listening.Done) // a failed rehearsal does not block the others
 			control := func(_ context.Context, c *Controller) {
 				mu.Lock()
 				for _, address := range c.rehearsal.addresses() {
@@ -59,7 +59,7 @@
 				}
 				mu.Unlock()
 				once.Do(listening.Done)
-				listening.Wait() // until all run
+				listening.Wait() // until all rehearsals listen
 			}
 			_, err := Run(context.Background(), s, Options{Seed: uint64(rehearsal), Coordinator: program, Control: control})
 			if err != nil {
--- a/internal/emulator/live/client.go
+++ b/internal/emulator/live/client.go
@@ -11,7 +11,7 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// client sends one query, over all its tries.
+// client sends one query, and sends it again as long as it retries.
 type client struct {
 	rehearsal *Rehearsal
 	query     scenario.Query
@@ -19,41 +19,41 @@
 	tries     int
 }
 
-// try sends the query once. While it is open, and a while longer, the judge knows it by its ID for the engines.
+// try sends the query once. Engines can look the request up by its ID until requestRetentionMS after its end.
 func (cl *client) try() {
 	d := cl.rehearsal
 	now := d.clock.Now()
 	cl.tries++
 	until := clients.TryDeadline(d.scenario, cl.query, &cl.state, now)
-	index := d.pickCoordinator(cl.query.Zone)
-	if index < 0 {
+	coordinator := d.pickCoordinator(cl.query.Zone)
+	if coordinator < 0 {
 		cl.end(observer.Lost, 0)
 		return
 	}
-	t := &try{client: cl, id: cl.tryID(), attempt: &attempt{
-		query: cl.query, coordinator: index,
-		request: &observer.Request{
+	t := &try{client: cl, id: cl.tryID(), request: &clientRequest{
+		query: cl.query, coordinator: coordinator,
+		observed: &observer.Request{
 			Name: fmt.Sprintf("request %d.%d", cl.query.Number, cl.tries), Class: cl.query.Class, Key: cl.query.DataSet, Until: until,
 		},
 	}}
 	d.requestSent(now, t)
-	t.attempt.sentAt = now
+	t.request.sentAt = now
 	class := d.scenario.Classes[cl.query.Class]
-	withdraw, err := d.clientPools[index].send(class.Name, cl.params(t.id, until), t.answered)
+	cancel, err := d.clientPools[coordinator].send(class.Name, cl.params(t.id, until), t.answered)
 	if err != nil {
-		d.judge.with(func(o *observer.Observer) { o.ClientDisconnected(now, index, t.attempt.request) }) // it never arrived
+		d.sharedObserver.with(func(o *observer.Observer) { o.ClientDisconnected(now, coordinator, t.request.observed) }) // not sent
 		t.finish(observer.Lost, 0)
 		return
 	}
-	d.clock.after(until+d.scenario.Rules.AnswerSlackMS+socketSlackMS+1, func() { t.timeOut(withdraw) })
+	d.clock.after(until+d.scenario.Rules.AnswerSlackMS+socketSlackMS+1, func() { t.timeOut(cancel) })
 }
 
-// tryID is the request ID of the client's current try.
+// tryID returns the request ID of the client's current try.
 func (cl *client) tryID() string {
 	return fmt.Sprintf("%016x", uint64(cl.query.Number)<<8|uint64(cl.tries))
 }
 
-// params are the parameters of a JSON-RPC request; the time left is in ms.
+// params returns the parameters of a JSON-RPC request; its ttl is the time until the deadline, in ms.
 func (cl *client) params(id string, until float64) map[string]any {
 	d := cl.rehearsal
 	class := d.scenario.Classes[cl.query.Class]
@@ -80,33 +80,33 @@
 	return d.frontProxy.Pick(zone)
 }
 
-// requestSent makes a try known to the engines and the observer.
+// requestSent registers a request, before it is sent, for the engines and with the observer.
 func (d *Rehearsal) requestSent(now float64, t *try) {
-	index := t.attempt.coordinator
+	coordinator := t.request.coordinator
 	d.mu.Lock()
-	paused := d.paused[index]
+	paused := d.paused[coordinator]
 	d.mu.Unlock()
-	d.judge.mu.Lock()
-	defer d.judge.mu.Unlock()
-	d.judge.calls[t.id] = t.attempt
-	d.judge.observer.RequestReceived(now, index, t.attempt.request)
+	d.sharedObserver.mu.Lock()
+	defer d.sharedObserver.mu.Unlock()
+	d.sharedObserver.requests[t.id] = t.request
+	d.sharedObserver.inner.RequestReceived(now, coordinator, t.request.observed)
 	if paused {
-		d.judge.observer.CoordinatorPaused(index)
+		d.sharedObserver.inner.CoordinatorPaused(coordinator)
 	}
 }
 
-// try is one request of a client. It ends once: with an answer, the loss of its connection or its timeout.
+// try is one request of a client. Its first end counts: an answer, the loss of its connection or its timeout.
 type try struct {
 	client  *client
 	id      string
-	attempt *attempt
+	request *clientRequest
 	once    sync.Once
 }
 
 // rejectedCode is the JSON-RPC error code of a request that was rejected and may be retried.
 const rejectedCode = -32000
 
-// answered handles the answer; nil: the connection ended without one.
+// answered handles the answer. Nil means that the connection ended without one.
 func (t *try) answered(a *answer, arrivedAt time.Time) {
 	d := t.client.rehearsal
 	if a == nil {
@@ -115,11 +115,11 @@
 		return
 	}
 	result, retryAfterMS := a.outcome()
-	d.requestAnswered(d.clock.Of(arrivedAt), t.attempt, result)
+	d.requestAnswered(d.clock.FromWallTime(arrivedAt), t.request, result)
 	t.finish(result, retryAfterMS)
 }
 
-// outcome is what the answer is to its client, and when a rejected one may retry.
+// outcome returns the result for the client and, if the request was rejected, the time after which it may retry.
 func (a *answer) outcome() (result observer.TryResult, retryAfterMS float64) {
 	switch {
 	case a.Result != nil:
@@ -130,78 +130,78 @@
 	return observer.Failed, 0
 }
 
-// finish ends the try. The judge knows its ID for a while longer, as late messages may still reach an engine.
+// finish ends the try. The request stays registered for requestRetentionMS, as late messages may still reach an engine.
 func (t *try) finish(result observer.TryResult, retryAfterMS float64) {
 	d := t.client.rehearsal
 	t.once.Do(func() {
 		t.client.end(result, retryAfterMS)
-		d.clock.after(d.clock.Now()+attemptRetentionMS, func() {
-			d.judge.mu.Lock()
-			delete(d.judge.calls, t.id)
-			d.judge.mu.Unlock()
+		d.clock.after(d.clock.Now()+requestRetentionMS, func() {
+			d.sharedObserver.mu.Lock()
+			delete(d.sharedObserver.requests, t.id)
+			d.sharedObserver.mu.Unlock()
 		})
 	})
 }
 
-// timeOut ends a try without an answer in time, and withdraws its request.
-func (t *try) timeOut(withdraw func()) {
+// timeOut ends a try whose answer is late, and cancels its request.
+func (t *try) timeOut(cancel func()) {
 	d := t.client.rehearsal
 	t.once.Do(func() {
-		withdraw()
-		d.judge.with(func(o *observer.Observer) {
-			o.ClientDisconnected(d.clock.Now(), t.attempt.coordinator, t.attempt.request)
+		cancel()
+		d.sharedObserver.with(func(o *observer.Observer) {
+			o.ClientDisconnected(d.clock.Now(), t.request.coordinator, t.request.observed)
 		})
 		t.client.end(observer.Failed, 0)
 	})
 }
 
 const (
-	socketSlackMS      = 50.0   // the protocol's allowance on real sockets, for every time limit
-	attemptRetentionMS = 5000.0 // ms
+	socketSlackMS      = 50.0   // added to every time limit of the protocol on real sockets
+	requestRetentionMS = 5000.0 // how long engines can look up a request after its end
 )
 
-func (d *Rehearsal) requestAnswered(at float64, c *attempt, kind observer.TryResult) {
-	d.judge.with(func(o *observer.Observer) {
-		o.AnswerReceived(at, c.coordinator, c.request, kind)
-		if kind == observer.Served && !c.served {
-			c.served = true
-			o.Totals().Served += c.doneWork
+func (d *Rehearsal) requestAnswered(at float64, r *clientRequest, result observer.TryResult) {
+	d.sharedObserver.with(func(o *observer.Observer) {
+		o.AnswerReceived(at, r.coordinator, r.observed, result)
+		if result == observer.Served && !r.served {
+			r.served = true
+			o.Totals().Served += r.doneWork
 		}
 	})
 }
 
-// crossingWindowMS is how long before a close, by the page, a request may have been sent that crosses it, with what real
-// sockets take: its client sends it again.
-const crossingWindowMS = 50.0 + socketSlackMS
+// closeCrossingWindowMS is how long before the loss of its connection a request may have been sent and still count as crossing
+// the coordinator's close: the protocol allows 50 ms, to which socketSlackMS is added. The client sends such a request again.
+const closeCrossingWindowMS = 50.0 + socketSlackMS
 
-// connectionLost handles a connection that ended without an answer: a violation, unless its coordinator was killed, or the
-// request crossed the close and Options.Unanswered judges it.
+// connectionLost handles a connection that ended without an answer. That is a violation, unless the coordinator was killed, or
+// the request crossed the close, where Options.Unanswered decides.
 func (d *Rehearsal) connectionLost(at float64, t *try) {
-	c := t.attempt
-	killed := at <= d.forgivenUntil(c.coordinator)
-	crossed := d.options.Unanswered != nil && at-c.sentAt <= crossingWindowMS
+	r := t.request
+	killed := at <= d.lossExcusedUntil(r.coordinator)
+	crossed := d.options.Unanswered != nil && at-r.sentAt <= closeCrossingWindowMS
 	if crossed && !killed {
-		d.options.Unanswered(c.coordinator, t.id)
+		d.options.Unanswered(r.coordinator, t.id)
 	}
-	d.judge.with(func(o *observer.Observer) {
-		o.ClientDisconnected(at, c.coordinator, c.request)
+	d.sharedObserver.with(func(o *observer.Observer) {
+		o.ClientDisconnected(at, r.coordinator, r.observed)
 		if !killed && !crossed {
-			o.Violate(observer.RuleOneAnswer, at, "%s: its connection ended without an answer, %.1f ms after it was sent", c.request.Name, at-c.sentAt)
+			o.Violate(observer.RuleOneAnswer, at, "%s: its connection ended without an answer, %.1f ms after it was sent", r.observed.Name, at-r.sentAt)
 		}
 	})
 }
 
-// end ends a try: the client is served, retries by its habit, or gives up.
+// end ends a try: the client is served, retries as its habit says, or gives up.
 func (cl *client) end(result observer.TryResult, retryAfterMS float64) {
 	d, now := cl.rehearsal, cl.rehearsal.clock.Now()
 	wait, again := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
-	d.judge.with(func(o *observer.Observer) { o.TryEnded(now, &cl.state, result, !again) })
+	d.sharedObserver.with(func(o *observer.Observer) { o.TryEnded(now, &cl.state, result, !again) })
 	if !again {
 		d.activeClients.Done()
 		return
 	}
 	d.clock.after(now+wait, func() {
-		d.judge.with(func(o *observer.Observer) { o.Retry(d.clock.Now(), &cl.state) })
+		d.sharedObserver.with(func(o *observer.Observer) { o.Retry(d.clock.Now(), &cl.state) })
 		cl.try()
 	})
 }
--- a/internal/emulator/live/client_pool.go
+++ b/internal/emulator/live/client_pool.go
@@ -12,13 +12,14 @@
 	"aniseloft/internal/emulator/receivetime"
 )
 
-// maxRequestsPerConnection is the number of open requests on one connection, by the protocol.
+// maxRequestsPerConnection is the protocol's limit on open requests on one connection.
 const maxRequestsPerConnection = 32
 
-// clientPool holds the clients' connections to one coordinator. A goroutine for each reads its answers until it closes.
+// clientPool holds the clients' connections to one coordinator. One goroutine per connection reads answers until the connection
+// closes.
 type clientPool struct {
 	addr        string
-	fixed       bool       // no further connection is opened
+	fixed       bool       // opens no further connection
 	mu          sync.Mutex // guards connections and their fields
 	connections []*clientConnection
 	readers     sync.WaitGroup
@@ -28,12 +29,12 @@
 	*receivetime.Conn
 	pool      *clientPool
 	lastID    int
-	pending   map[int]answerHandler
-	withdrawn map[int]answerHandler // whose answer may have been on its way
+	pending   map[int]answerHandler // by request ID
+	cancelled map[int]answerHandler // by request ID; the answer may have been sent before the cancellation arrived
 	closed    bool
 }
 
-// answerHandler is called with an answer and the time at which it arrived, or with nil when the connection ends without one.
+// answerHandler is called with an answer and its arrival time, or with nil when the connection ends without an answer.
 type answerHandler func(a *answer, arrivedAt time.Time)
 
 type answer struct {
@@ -49,53 +50,53 @@
 	} `json:"error"`
 }
 
-// errNoConnection says that a pool's connections have ended, or have no room.
+// errNoConnection is returned when all connections of a fixed pool are closed or at their limit of open requests.
 var errNoConnection = errors.New("no open connection to the coordinator")
 
 // close closes the connections.
-func (d *clientPool) close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.connections {
+func (p *clientPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.connections {
 		_ = c.Close()
 	}
 }
 
-// connection returns one with room for a request, or a new one. The caller holds mu.
-func (d *clientPool) connection() (*clientConnection, error) {
-	for _, c := range d.connections {
+// connection returns a connection below its limit of open requests, and opens one if there is none. The caller holds mu.
+func (p *clientPool) connection() (*clientConnection, error) {
+	for _, c := range p.connections {
 		if len(c.pending) < maxRequestsPerConnection {
 			return c, nil
 		}
 	}
-	if d.fixed {
+	if p.fixed {
 		return nil, errNoConnection
 	}
-	raw, err := net.DialTimeout("tcp", d.addr, 2*time.Second)
+	raw, err := net.DialTimeout("tcp", p.addr, 2*time.Second)
 	if err != nil {
-		return nil, fmt.Errorf("coordinator: %w", err)
+		return nil, fmt.Errorf("connect to the coordinator: %w", err)
 	}
 	timed, err := receivetime.New(raw.(*net.TCPConn))
 	if err != nil {
-		return nil, fmt.Errorf("coordinator: %w", err)
+		return nil, fmt.Errorf("connection to the coordinator: %w", err)
 	}
-	c := &clientConnection{Conn: timed, pool: d, pending: map[int]answerHandler{}, withdrawn: map[int]answerHandler{}}
-	d.connections = append(d.connections, c)
-	d.readers.Go(c.read)
+	c := &clientConnection{Conn: timed, pool: p, pending: map[int]answerHandler{}, cancelled: map[int]answerHandler{}}
+	p.connections = append(p.connections, c)
+	p.readers.Go(c.read)
 	return c, nil
 }
 
-// send sends a request and calls done with the answer, or with nil when the connection ends. Withdraw cancels the request;
-// done is then called only if an answer was on its way. The error is that of a request that was not sent.
-func (d *clientPool) send(method string, params map[string]any, done answerHandler) (withdraw func(), err error) {
-	return d.sendInPieces(method, params, 0, done)
+// send sends a request and calls done with the answer, or with nil when the connection ends. The returned function cancels the
+// request; done is then called only if the coordinator had already sent an answer. An error means that the request was not sent.
+func (p *clientPool) send(method string, params map[string]any, done answerHandler) (cancel func(), err error) {
+	return p.sendInPieces(method, params, 0, done)
 }
 
-// sendInPieces is send with a pause in the middle of the message; 0: none.
-func (d *clientPool) sendInPieces(method string, params map[string]any, gap time.Duration, done answerHandler) (withdraw func(), err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c, err := d.connection()
+// sendInPieces does what send does, with a pause of gap in the middle of the message; 0: no pause.
+func (p *clientPool) sendInPieces(method string, params map[string]any, gap time.Duration, done answerHandler) (cancel func(), err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c, err := p.connection()
 	if err != nil {
 		return nil, err
 	}
@@ -109,21 +110,21 @@
 	line = append(line, '\n')
 	if gap > 0 {
 		half := len(line) / 2
-		_, _ = c.Write(line[:half]) // an error shows at the second piece too
+		_, _ = c.Write(line[:half]) // after an error the second Write fails too
 		line = line[half:]
 		time.Sleep(gap)
 	}
 	if _, err := c.Write(line); err != nil {
 		delete(c.pending, id)
 		_ = c.Close()
-		return nil, fmt.Errorf("coordinator: %w", err)
+		return nil, fmt.Errorf("send to the coordinator: %w", err)
 	}
 	return func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
+		p.mu.Lock()
+		defer p.mu.Unlock()
 		if c.pending[id] != nil && !c.closed {
 			delete(c.pending, id)
-			c.withdrawn[id] = done
+			c.cancelled[id] = done
 			_, _ = fmt.Fprintf(c, "{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{\"id\":%d}}\n", id)
 		}
 	}, nil
@@ -140,36 +141,36 @@
 		if json.Unmarshal(line, &a) != nil {
 			break
 		}
-		if done := c.take(a.ID); done != nil {
+		if done := c.takeHandler(a.ID); done != nil {
 			done(&a, c.LatestRead())
 		}
 	}
 	_ = c.Close()
 	c.pool.mu.Lock()
 	c.closed = true
-	open := c.pending
+	unanswered := c.pending
 	c.pending = map[int]answerHandler{}
-	for i, o := range c.pool.connections {
-		if o == c {
+	for i, other := range c.pool.connections {
+		if other == c {
 			c.pool.connections = append(c.pool.connections[:i:i], c.pool.connections[i+1:]...)
 			break
 		}
 	}
 	c.pool.mu.Unlock()
-	for _, done := range open {
+	for _, done := range unanswered {
 		done(nil, time.Time{})
 	}
 }
 
-// take returns the handler of the answer to a request, once.
-func (c *clientConnection) take(id int) answerHandler {
+// takeHandler removes and returns the handler of a request's answer; nil: the request is unknown or already answered.
+func (c *clientConnection) takeHandler(id int) answerHandler {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	done := c.pending[id]
 	if done == nil {
-		done = c.withdrawn[id]
+		done = c.cancelled[id]
 	}
 	delete(c.pending, id)
-	delete(c.withdrawn, id)
+	delete(c.cancelled, id)
 	return done
 }
--- a/internal/emulator/live/controller.go
+++ b/internal/emulator/live/controller.go
@@ -8,7 +8,7 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// Controller injects faults into a rehearsal's coordinators. Requests that are lost by them violate no rule, as with a crash.
+// Controller injects faults into a rehearsal's coordinators. Requests that a kill loses violate no rule, as in a crash.
 type Controller struct {
 	rehearsal *Rehearsal
 	ctx       context.Context
@@ -17,7 +17,7 @@
 // Now returns the time of the rehearsal, in ms.
 func (r *Controller) Now() float64 { return r.rehearsal.clock.Now() }
 
-// At calls f at a time of the rehearsal, unless it has been stopped.
+// At calls f at a time of the rehearsal, in ms, unless the rehearsal has been stopped by then.
 func (r *Controller) At(ms float64, f func()) {
 	r.rehearsal.clock.after(ms, func() {
 		if r.ctx.Err() == nil {
@@ -26,13 +26,13 @@
 	})
 }
 
-// Running reports whether a coordinator runs.
+// Running reports whether a coordinator has been started and not been ended since.
 func (r *Controller) Running(n int) bool { return !r.rehearsal.isDown(r.rehearsal.coordinators[n]) }
 
-// Kill ends a coordinator at once.
+// Kill ends a coordinator with SIGKILL.
 func (r *Controller) Kill(n int) { r.rehearsal.killCoordinator(n) }
 
-// frontProxyDrainDelay is how long after SIGTERM the front proxy still opens connections, by the protocol.
+// frontProxyDrainDelay is how long after a coordinator's SIGTERM the protocol lets the front proxy open connections to it.
 const frontProxyDrainDelay = 300 * time.Millisecond
 
 // Terminate shuts a coordinator down gracefully, and waits until it has ended.
@@ -41,17 +41,17 @@
 	if r.rehearsal.isDown(p) {
 		return
 	}
-	r.rehearsal.note("coordinator %d is told to end", n)
+	r.rehearsal.note("coordinator %d is shut down with SIGTERM", n)
 	time.AfterFunc(frontProxyDrainDelay, func() {
 		r.rehearsal.frontProxyMu.Lock()
 		defer r.rehearsal.frontProxyMu.Unlock()
 		r.rehearsal.frontProxy.SetAlive(n, false)
 	})
 	r.rehearsal.stopCoordinator(p, syscall.SIGTERM)
-	r.rehearsal.judge.with(func(o *observer.Observer) { o.CoordinatorStarted(n) })
+	r.rehearsal.sharedObserver.with(func(o *observer.Observer) { o.CoordinatorStarted(n) })
 }
 
-// Start starts a coordinator again. Clients return once it serves.
+// Start starts a coordinator again, waits until it serves, and has the front proxy send clients to it.
 func (r *Controller) Start(n int) error {
 	p := r.rehearsal.coordinators[n]
 	if !r.rehearsal.isDown(p) {
@@ -68,35 +68,36 @@
 	return nil
 }
 
-// Reload makes a coordinator read its files again.
+// Reload sends SIGHUP, on which a coordinator reads its files again.
 func (r *Controller) Reload(n int) { r.signal(n, syscall.SIGHUP) }
 
-// Pause stops a coordinator's process until Resume.
+// Pause stops a coordinator's process with SIGSTOP until Resume.
 func (r *Controller) Pause(n int) {
 	if r.signal(n, syscall.SIGSTOP) {
-		r.rehearsal.note("coordinator %d stands still", n)
+		r.rehearsal.note("coordinator %d is paused with SIGSTOP", n)
 		r.setPaused(n, true)
 		r.rehearsal.afterDetection(func() { r.rehearsal.frontProxy.SetAlive(n, false) })
 	}
 }
 
-// Resume resumes a paused coordinator.
+// Resume continues a paused coordinator.
 func (r *Controller) Resume(n int) {
 	if r.signal(n, syscall.SIGCONT) {
-		r.rehearsal.note("coordinator %d goes on", n)
+		r.rehearsal.note("coordinator %d is resumed with SIGCONT", n)
 		r.setPaused(n, false)
-		// It may have been told to end, or have been killed, before the proxy finds it alive again.
+		// It may have been shut down or killed before the proxy detects that it is alive again.
 		r.rehearsal.afterDetection(func() { r.rehearsal.frontProxy.SetAlive(n, !r.rehearsal.isDown(r.rehearsal.coordinators[n])) })
 	}
 }
 
-func (r *Controller) setPaused(n int, on bool) {
+func (r *Controller) setPaused(n int, paused bool) {
 	r.rehearsal.mu.Lock()
-	r.rehearsal.paused[n] = on
+	r.rehearsal.paused[n] = paused
 	r.rehearsal.mu.Unlock()
-	r.rehearsal.judge.with(func(o *observer.Observer) { o.CoordinatorPaused(n) })
+	r.rehearsal.sharedObserver.with(func(o *observer.Observer) { o.CoordinatorPaused(n) })
 }
 
+// signal reports whether a running coordinator got the signal.
 func (r *Controller) signal(n int, sig syscall.Signal) bool {
 	r.rehearsal.mu.Lock()
 	defer r.rehearsal.mu.Unlock()
--- a/internal/emulator/live/coordinators.go
+++ b/internal/emulator/live/coordinators.go
@@ -17,18 +17,18 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// coordinator is one real coordinator. The rehearsal's mu guards cmd, ended and down.
+// coordinator is one coordinator process. The rehearsal's mu guards cmd, ended and down.
 type coordinator struct {
 	index    int
 	listen   string
 	cmd      *exec.Cmd
-	ended    chan struct{}
-	down     bool
-	starts   int
-	seedRand *rand.Rand
+	ended    chan struct{} // closed when the process has exited
+	down     bool          // its end was requested
+	starts   int           // so far
+	seedRand *rand.Rand    // draws the seed of each start
 }
 
-// Limits of a coordinator, as the platform sets them.
+// Limits of a coordinator. The platform sets those on memory and sockets.
 const (
 	coordinatorMemoryMB = 192
 	coordinatorSockets  = 1024
@@ -38,7 +38,7 @@
 func (d *Rehearsal) startCoordinators(ctx context.Context) error {
 	var err error
 	if d.directory, err = os.MkdirTemp("", "rehearsal-"); err != nil {
-		return fmt.Errorf("rehearsal: %w", err)
+		return fmt.Errorf("rehearsal directory: %w", err)
 	}
 	seeds := des.Stream(d.options.Seed, "coordinators")
 	if d.scenario.Coordinators.GossipAllowed {
@@ -49,7 +49,7 @@
 	for n := range d.scenario.Coordinators.Count {
 		addr, err := d.network.FreeTCPAddress(coordinatorHosts, n)
 		if err != nil {
-			return fmt.Errorf("rehearsal: %w", err)
+			return fmt.Errorf("coordinator address: %w", err)
 		}
 		d.coordinators = append(d.coordinators, &coordinator{index: n, listen: addr, seedRand: rand.New(rand.NewPCG(seeds.Uint64(), 1))})
 		d.clientPools = append(d.clientPools, &clientPool{addr: addr})
@@ -65,12 +65,12 @@
 	return nil
 }
 
-// reserveGossipAddresses chooses an address for each coordinator's datagrams.
+// reserveGossipAddresses chooses the address on which each coordinator receives its peers' datagrams.
 func (d *Rehearsal) reserveGossipAddresses() error {
 	for n := range d.scenario.Coordinators.Count {
 		addr, err := d.network.FreeUDPAddress(gossipHosts, n)
 		if err != nil {
-			return fmt.Errorf("rehearsal: %w", err)
+			return fmt.Errorf("gossip address: %w", err)
 		}
 		d.gossipAddresses = append(d.gossipAddresses, addr)
 	}
@@ -78,25 +78,25 @@
 }
 
 func (d *Rehearsal) startCoordinator(p *coordinator) error {
-	conf, err := d.config(p.index, p.listen, p.seedRand.Uint64())
+	configJSON, err := d.config(p.index, p.listen, p.seedRand.Uint64())
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(d.directory, fmt.Sprintf("n%d.json", p.index))
-	if err := os.WriteFile(path, conf, 0o600); err != nil {
-		return fmt.Errorf("configuration: %w", err)
+	if err := os.WriteFile(path, configJSON, 0o600); err != nil {
+		return fmt.Errorf("write the coordinator's configuration: %w", err)
 	}
-	name := d.options.Coordinator
+	executable := d.options.Coordinator
 	if d.options.Program != nil {
-		name = d.options.Program(p.index, p.starts)
+		executable = d.options.Program(p.index, p.starts)
 	}
 	p.starts++
-	program, err := filepath.Abs(name)
+	program, err := filepath.Abs(executable)
 	if err != nil {
-		return fmt.Errorf("coordinator: %w", err)
+		return fmt.Errorf("path of the coordinator's program: %w", err)
 	}
 	cmd := exec.Command(program)
-	cmd.Dir = d.directory // no operator's file applies there
+	cmd.Dir = d.directory // holds no operators' files
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_LISTEN="+p.listen, fmt.Sprintf("LB_NAME=n%d", p.index))
 	cmd.Stdout, cmd.Stderr = d.options.Log, d.options.Log
 	if d.options.Environment != nil {
@@ -104,7 +104,7 @@
 		cmd.Dir, cmd.Env, cmd.Stdout, cmd.Stderr = dir, append(cmd.Env, env...), log, log
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("coordinator: %w; name the program with --coordinator", err)
+		return fmt.Errorf("start a coordinator: %w; set the path of its program with --coordinator", err)
 	}
 	d.mu.Lock()
 	p.cmd, p.ended, p.down = cmd, make(chan struct{}), false
@@ -115,17 +115,18 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if !p.down && p.cmd == cmd {
-			d.judge.with(func(o *observer.Observer) {
-				o.Violate(observer.RuleOneAnswer, d.clock.Now(), "coordinator %d ended by itself", p.index)
+			d.sharedObserver.with(func(o *observer.Observer) {
+				o.Violate(observer.RuleOneAnswer, d.clock.Now(), "coordinator %d exited unexpectedly", p.index)
 			})
 		}
 	}(p, p.ended)
 	return nil
 }
 
-// config returns a coordinator's configuration with the current endpoint list, of which it counts as notified from now on.
+// config returns a coordinator's configuration with the current endpoint list. The coordinator counts as notified of that list
+// from now on.
 func (d *Rehearsal) config(n int, listen string, seed uint64) ([]byte, error) {
-	set, err := d.scenario.SettingsJSON(n)
+	settings, err := d.scenario.SettingsJSON(n)
 	if err != nil {
 		return nil, err
 	}
@@ -142,23 +143,23 @@
 		}
 		entries = d.discovery.withServiceAddresses(n, entries)
 	}
-	whole := map[string]any{"name": fmt.Sprintf("n%d", n), "listen": listen, "seed": fmt.Sprintf("%016x", seed),
+	fields := map[string]any{"name": fmt.Sprintf("n%d", n), "listen": listen, "seed": fmt.Sprintf("%016x", seed),
 		"limits":  map[string]any{"cores": 1.0, "memory_mb": coordinatorMemoryMB, "sockets": coordinatorSockets},
-		"journal": journal, "known": map[string]any{"pos": len(entries), "entries": entries}, "settings": json.RawMessage(set)}
-	if n < len(d.gossipAddresses) { // each has an address of its own; there is no way to all at once
+		"journal": journal, "known": map[string]any{"pos": len(entries), "entries": entries}, "settings": json.RawMessage(settings)}
+	if n < len(d.gossipAddresses) { // datagrams go to each peer's own address: there is no broadcast address
 		peers := d.gossipAddresses
 		if d.options.GossipAddresses != nil {
 			if peers, err = d.options.GossipAddresses(n, peers); err != nil {
 				return nil, err
 			}
 		}
-		whole["peer_listen"], whole["peers"] = d.gossipAddresses[n], peers
+		fields["peer_listen"], fields["peers"] = d.gossipAddresses[n], peers
 	}
-	conf, err := json.Marshal(whole)
+	configJSON, err := json.Marshal(fields)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("encode the coordinator's configuration: %w", err)
 	}
-	return conf, nil
+	return configJSON, nil
 }
 
 // waitUntilServing polls a coordinator until its health check passes.
@@ -182,15 +183,16 @@
 		}
 		select {
 		case <-p.ended:
-			return fmt.Errorf("coordinator %d ended at its start; see its log", p.index)
+			return fmt.Errorf("coordinator %d exited before it served; see its log", p.index)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("coordinator %d was not ready in %v", p.index, startTimeout)
+	return fmt.Errorf("coordinator %d did not pass its health check within %v; see its log", p.index, startTimeout)
 }
 
+// stopCoordinator sends a signal, and SIGKILL if the process still runs 10 s later.
 func (d *Rehearsal) stopCoordinator(p *coordinator, sig syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -208,8 +210,9 @@
 	}
 }
 
-// forgivenUntil is the time until which lost connections of a coordinator are due to its kill; negative: none.
-func (d *Rehearsal) forgivenUntil(n int) float64 {
+// lossExcusedUntil returns the time until which lost connections of a coordinator count as the effect of its kill. It is
+// negative if the coordinator was not killed in the last killGraceMS.
+func (d *Rehearsal) lossExcusedUntil(n int) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at, ok := d.killedAt[n]; ok && d.clock.Now() < at+killGraceMS {
@@ -218,7 +221,7 @@
 	return -1
 }
 
-// killGraceMS is how long after a kill the end of a connection may be noticed.
+// killGraceMS is how long after the kill of a coordinator the end of its connections may be noticed.
 const killGraceMS = 1000.0
 
 func (d *Rehearsal) killCoordinator(n int) {
@@ -228,7 +231,7 @@
 	d.mu.Lock()
 	d.killedAt[n] = d.clock.Now()
 	d.mu.Unlock()
-	d.judge.with(func(o *observer.Observer) { o.CoordinatorCrashed(n) })
+	d.sharedObserver.with(func(o *observer.Observer) { o.CoordinatorCrashed(n) })
 	d.stopCoordinator(d.coordinators[n], syscall.SIGKILL)
 	d.note("coordinator %d is killed", n)
 	d.afterDetection(func() { d.frontProxy.SetAlive(n, false) })
@@ -243,9 +246,9 @@
 // afterDetection calls f, which changes the front proxy's view, after the proxy's detection delay.
 func (d *Rehearsal) afterDetection(f func()) {
 	d.frontProxyMu.Lock()
-	notice := d.frontProxy.DetectionDelay()
+	delay := d.frontProxy.DetectionDelay()
 	d.frontProxyMu.Unlock()
-	d.clock.after(d.clock.Now()+notice, func() {
+	d.clock.after(d.clock.Now()+delay, func() {
 		d.frontProxyMu.Lock()
 		defer d.frontProxyMu.Unlock()
 		f()
--- a/internal/emulator/live/discovery.go
+++ b/internal/emulator/live/discovery.go
@@ -4,25 +4,25 @@
 	"aniseloft/decide"
 )
 
-// endpointChanged publishes a change after its detection delay, and once discovery is up.
+// endpointChanged publishes a state of an engine after its detection and propagation delays, or later if discovery is down.
 func (d *Rehearsal) endpointChanged(e *Engine, state decide.EndpointState, unresponsive bool) {
 	d.mu.Lock()
-	r := d.scenario.Discovery.DetectionMS
+	detectionMS := d.scenario.Discovery.DetectionMS
 	if unresponsive {
-		r = d.scenario.Discovery.UnresponsiveDetectionMS
+		detectionMS = d.scenario.Discovery.UnresponsiveDetectionMS
 	}
-	wait := r.Draw(d.discoveryRand) + d.discoveryDelayMS + d.scenario.Discovery.PropagationMS.Draw(d.discoveryRand)
+	delay := detectionMS.Draw(d.discoveryRand) + d.discoveryDelayMS + d.scenario.Discovery.PropagationMS.Draw(d.discoveryRand)
 	d.mu.Unlock()
 	publish := func() {
 		e.mu.Lock()
-		stale := unresponsive && !e.unresponsive // responsive again before the removal was detected
+		stale := unresponsive && !e.unresponsive // the engine answered again before its removal was detected
 		entry := d.listEntry(e, state)
 		e.mu.Unlock()
 		if !stale {
 			d.discovery.publish(false, entry)
 		}
 	}
-	d.clock.after(d.clock.Now()+wait, func() {
+	d.clock.after(d.clock.Now()+delay, func() {
 		if _, _, down := d.discovery.entriesAfter(0); down {
 			d.mu.Lock()
 			d.pendingUpdates = append(d.pendingUpdates, publish)
@@ -33,7 +33,7 @@
 	})
 }
 
-// publishPending publishes what has waited, if discovery is up again.
+// publishPending publishes the changes that were delayed while discovery was down, if it is up again.
 func (d *Rehearsal) publishPending(up bool) {
 	if !up {
 		return
--- a/internal/emulator/live/discovery_service.go
+++ b/internal/emulator/live/discovery_service.go
@@ -20,7 +20,7 @@
 
 func endpointID(id uint32) decide.EndpointID { return decide.EndpointID(id) }
 
-// entry is one watch event of the journal service.
+// entry is one watch event of the journal service, as it encodes it.
 type entry struct {
 	Pos   int `json:"pos"`
 	Hosts struct {
@@ -30,6 +30,7 @@
 	} `json:"hosts"`
 }
 
+// server is an engine in the endpoint list.
 type server struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -45,29 +46,29 @@
 var stateNames = map[decide.EndpointState]string{decide.EndpointReady: "active", decide.EndpointDraining: "leaving", decide.EndpointRemoved: "left"}
 var statesByName = map[string]decide.EndpointState{"active": decide.EndpointReady, "leaving": decide.EndpointDraining, "left": decide.EndpointRemoved}
 
-// discoveryService is the journal service that lists the engines. It listens on an address for each coordinator, so that it knows
-// whom it notifies.
+// discoveryService is the journal service that lists the engines. It listens on one address per coordinator, so that it can tell
+// which coordinator it notifies.
 type discoveryService struct {
-	mu             sync.Mutex
+	mu             sync.Mutex // guards entries, changed and down
 	entries        []entry
-	changed        chan struct{}
+	changed        chan struct{} // closed at each change, then replaced
 	down           bool
-	notified       func(coord int, s server)
-	serviceAddress func(coord int, to, addr string) (string, error) // nil: directly
-	notifyAll      bool                                             // all coordinators count as notified of what is published
+	notified       func(coord int, s server)                             // called for each entry that a coordinator receives
+	serviceAddress func(coord int, service, addr string) (string, error) // see Options.ServiceAddress
+	notifyAll      bool                                                  // all coordinators count as notified of an entry once it is published
 	servers        []*http.Server
 	addrs          []string
 }
 
-func newDiscoveryService(coordinators int, told func(coord int, s server)) (*discoveryService, error) {
-	j := &discoveryService{changed: make(chan struct{}), notified: told}
-	for c := range coordinators {
+func newDiscoveryService(coordinators int, notify func(coord int, s server)) (*discoveryService, error) {
+	j := &discoveryService{changed: make(chan struct{}), notified: notify}
+	for coord := range coordinators {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("journal service: %w", err)
+			return nil, fmt.Errorf("start the journal service: %w", err)
 		}
 		srv := &http.Server{ReadHeaderTimeout: 5 * time.Second, ErrorLog: discardLog,
-			Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { j.serve(c, w, r) })}
+			Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { j.serve(coord, w, r) })}
 		j.servers, j.addrs = append(j.servers, srv), append(j.addrs, l.Addr().String())
 		go func() { _ = srv.Serve(l) }()
 	}
@@ -80,6 +81,7 @@
 	}
 }
 
+// publish adds an event with the complete list (full) or with changed engines.
 func (j *discoveryService) publish(full bool, servers ...server) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -88,9 +90,9 @@
 	e.Hosts.Version, e.Hosts.Full, e.Hosts.Servers = e.Pos, full, servers
 	j.entries = append(j.entries, e)
 	if j.notifyAll {
-		for c := range j.addrs {
+		for coord := range j.addrs {
 			for _, s := range servers {
-				j.notified(c, s)
+				j.notified(coord, s)
 			}
 		}
 	}
@@ -106,13 +108,14 @@
 	j.changed = make(chan struct{})
 }
 
-// entriesAfter returns the events after a position, a channel that is closed on the next change, and whether the service is down.
-func (j *discoveryService) entriesAfter(tail int) (l []entry, wake chan struct{}, down bool) {
+// entriesAfter returns the events after a position, a channel that is closed at the next change, and whether the service is down.
+func (j *discoveryService) entriesAfter(tail int) (events []entry, wake chan struct{}, down bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.entries[min(max(tail, 0), len(j.entries)):], j.changed, j.down
 }
 
+// serve answers a poll for events after a position, at the latest after max_wait, which counts as 5 s at most.
 func (j *discoveryService) serve(coord int, w http.ResponseWriter, r *http.Request) {
 	tail, err1 := strconv.Atoi(r.URL.Query().Get("tail"))
 	wait, err2 := strconv.Atoi(r.URL.Query().Get("max_wait"))
@@ -122,12 +125,12 @@
 	}
 	end := time.After(time.Duration(min(wait, 5000)) * time.Millisecond)
 	for {
-		l, wake, down := j.entriesAfter(tail)
+		events, wake, down := j.entriesAfter(tail)
 		if down {
 			panic(http.ErrAbortHandler) // the connection ends without an answer
 		}
-		if len(l) > 0 {
-			j.write(coord, w, l)
+		if len(events) > 0 {
+			j.write(coord, w, events)
 			return
 		}
 		select {
@@ -141,12 +144,12 @@
 	}
 }
 
-// withServiceAddresses returns the events with the addresses by which a coordinator reaches the engines.
-func (j *discoveryService) withServiceAddresses(coord int, l []entry) []entry {
+// withServiceAddresses returns the events with the addresses at which a coordinator connects to the engines.
+func (j *discoveryService) withServiceAddresses(coord int, events []entry) []entry {
 	if j.serviceAddress == nil {
-		return l
+		return events
 	}
-	out := slices.Clone(l)
+	out := slices.Clone(events)
 	for i := range out {
 		out[i].Hosts.Servers = slices.Clone(out[i].Hosts.Servers)
 		for k := range out[i].Hosts.Servers {
@@ -159,29 +162,30 @@
 	return out
 }
 
-func (j *discoveryService) write(coord int, w http.ResponseWriter, l []entry) {
+// write answers a poll, and counts its coordinator as notified.
+func (j *discoveryService) write(coord int, w http.ResponseWriter, events []entry) {
 	j.mu.Lock()
 	pos := len(j.entries)
 	j.mu.Unlock()
-	if len(l) > 0 {
-		pos = l[len(l)-1].Pos
+	if len(events) > 0 {
+		pos = events[len(events)-1].Pos
 	}
-	b, err := json.Marshal(map[string]any{"pos": pos, "entries": j.withServiceAddresses(coord, l)})
+	b, err := json.Marshal(map[string]any{"pos": pos, "entries": j.withServiceAddresses(coord, events)})
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	_, _ = w.Write(b)
-	for _, e := range l {
+	for _, e := range events {
 		for _, s := range e.Hosts.Servers {
 			j.notified(coord, s)
 		}
 	}
 }
 
-// notifyObserver returns the function that notifies the observer of a coordinator's watch events.
-func notifyObserver(b *judge, clock func() float64) func(int, server) {
+// notifyObserver returns a function that records a coordinator's watch events with the observer.
+func notifyObserver(shared *sharedObserver, now func() float64) func(int, server) {
 	return func(coord int, s server) {
-		b.with(func(o *observer.Observer) { o.EndpointNotified(clock(), coord, s.engine, statesByName[s.State]) })
+		shared.with(func(o *observer.Observer) { o.EndpointNotified(now(), coord, s.engine, statesByName[s.State]) })
 	}
 }
--- a/internal/emulator/live/engine.go
+++ b/internal/emulator/live/engine.go
@@ -1,6 +1,6 @@
-// Package live puts the emulator's engines behind real loopback sockets, with the journal
+// Package live serves the emulator's engines on real loopback sockets, with the journal
 // service that lists them, and rehearses days with real coordinators: the same engine
-// model, troubles and observer as in virtual time, driven by the wall clock.
+// model, faults and observer as in virtual time, driven by the wall clock.
 package live
 
 import (
@@ -19,67 +19,67 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// Engine is one engine on a socket, which speaks the engines' protocol. Timers and connections share it under mu.
+// Engine serves one engine model on a socket, with the engines' protocol. Timers and connections share it; mu guards it.
 type Engine struct {
-	scenario       *scenario.Scenario
-	clock          Clock
-	judge          *judge
-	place          int
-	host           string // where it listens
-	zone           int
-	endpoint       uint32
-	addr           string
-	build          engine.Config
-	meanWork       func(class int) float64
-	server         *http.Server
-	mu             sync.Mutex
-	resumed        *sync.Cond
-	model          *engine.Engine
-	slowdown       float64 // a multiple of the other engines' execution times; 0 stands for 1
-	queries        map[string]*engineQuery
-	lastJobID      uint64
-	running        bool
-	draining       bool
-	removed        bool
-	stalled        bool
-	unresponsive   bool
-	startedAt      float64 // 0: before the rehearsal
-	timer          *time.Timer
-	endedWork      engine.WorkTotals
-	drawError      func() bool
-	drawPlan       func(class int) float64                        // draws the multiple of its work that an attempt takes
-	neighbourRatio float64                                        // part of the machine that another program uses
-	reportDelayMS  float64                                        // added to reports
-	receivedAt     func(local, remote net.Addr) (time.Time, bool) // see Options.ReceivedAt
+	scenario         *scenario.Scenario
+	clock            Clock
+	sharedObserver   *sharedObserver
+	index            int
+	host             string // where it listens
+	zone             int
+	endpoint         uint32
+	addr             string
+	build            engine.Config
+	meanWork         func(class int) float64
+	server           *http.Server
+	mu               sync.Mutex
+	resumed          *sync.Cond
+	model            *engine.Engine
+	slowdown         float64 // a multiple of the other engines' execution times; 0 stands for 1
+	queries          map[string]*engineQuery
+	lastJobID        uint64
+	running          bool
+	draining         bool
+	removed          bool
+	stalled          bool
+	unresponsive     bool
+	startedAt        float64 // 0: it was warm when the rehearsal began
+	timer            *time.Timer
+	endedWork        engine.WorkTotals
+	drawError        func() bool
+	drawPlanMultiple func(class int) float64                        // draws the factor by which an attempt multiplies its work
+	neighbourRatio   float64                                        // part of the cores and disks that another program uses
+	reportDelayMS    float64                                        // added to the delay of load reports
+	receivedAt       func(local, remote net.Addr) (time.Time, bool) // see Options.ReceivedAt
 }
 
-// engineQuery is a query that the engine holds.
+// engineQuery is a query that the engine runs or whose result it holds.
 type engineQuery struct {
 	job        *engine.Job
-	attempt    *attempt
-	ended      chan struct{}
-	status     int // a status
+	request    *clientRequest
+	ended      chan struct{} // closed once status is set
+	status     int           // HTTP status of its end; 0: the process ended
 	polledAt   float64
 	reported   bool    // the observer knows its end
-	progressAt float64 // when its last progress report was due
-	// Progress reports so far: of its ratio, and of the memory that it lacks.
+	progressAt float64 // when the latest progress report was due
+	// Progress reports sent so far: of its completed ratio, and of its missing memory.
 	ratioReports, spillReports int
 }
 
 const (
-	longPollTimeout = 250 * time.Millisecond // of a query's end
+	longPollTimeout = 250 * time.Millisecond // for the end of a query
 	resultRows      = "a\tb\tc\n"
 )
 
-// Listen opens the engine's address, the same one each time.
+// listen listens on the engine's address, which it keeps for later processes.
 func (e *Engine) listen() error {
-	at := e.addr
-	if at == "" {
-		at = e.host + ":0"
+	address := e.addr
+	if address == "" {
+		address = e.host + ":0"
 	}
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("engine %d: %w", e.place, err)
+		return fmt.Errorf("engine %d: %w", e.index, err)
 	}
 	e.addr = l.Addr().String()
 	e.server = &http.Server{Handler: http.HandlerFunc(e.serve), ReadHeaderTimeout: 5 * time.Second, ErrorLog: discardLog,
@@ -88,14 +88,14 @@
 		},
 		ConnState: func(_ net.Conn, st http.ConnState) {
 			if st == http.StateNew {
-				e.judge.with(func(o *observer.Observer) { o.Totals().Handshakes++ })
+				e.sharedObserver.with(func(o *observer.Observer) { o.Totals().Handshakes++ })
 			}
 		}}
 	go func(s *http.Server) { _ = s.Serve(engineListener{l}) }(e.server)
 	return nil
 }
 
-// engineListener accepts connections that know when their bytes arrived.
+// engineListener accepts connections that record when their bytes arrived.
 type engineListener struct{ net.Listener }
 
 // Accept waits for the next connection.
@@ -105,9 +105,9 @@
 		return nil, err
 	}
 	c := accepted.(*net.TCPConn)
-	_ = c.SetLinger(0) // a process that dies resets its connections
+	_ = c.SetLinger(0) // a close resets the connection, as the death of a process does
 	timed, err := receivetime.New(c)
-	if err != nil { // it has been reset already
+	if err != nil { // the connection has already been reset
 		return c, nil
 	}
 	return timed, nil
@@ -116,7 +116,7 @@
 // connectionKey is the key of a request's connection in its context.
 type connectionKey struct{}
 
-// sentAt returns when the first byte of a request left its coordinator.
+// sentAt returns the time at which the first byte of a request left its coordinator.
 func (e *Engine) sentAt(r *http.Request) float64 {
 	c, timed := r.Context().Value(connectionKey{}).(*receivetime.Conn)
 	if !timed {
@@ -124,21 +124,21 @@
 	}
 	if e.receivedAt != nil {
 		if at, passedProxy := e.receivedAt(c.LocalAddr(), c.RemoteAddr()); passedProxy {
-			return e.clock.Of(at)
+			return e.clock.FromWallTime(at)
 		}
 	}
-	return e.clock.Of(c.MessageBegan())
+	return e.clock.FromWallTime(c.MessageBegan())
 }
 
-// startProcess starts a new process; started is when it begins to warm up.
-func (e *Engine) startProcess(started, slow float64) error {
+// startProcess starts a new process. It warms up from the time started on; a negative one makes it warm.
+func (e *Engine) startProcess(started, fleetSlowdown float64) error {
 	if err := e.listen(); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model = engine.New(e.build, e.clock.Now(), started)
-	e.model.SetSlowdown(e.clock.Now(), slow*max(e.slowdown, 1))
+	e.model.SetSlowdown(e.clock.Now(), fleetSlowdown*max(e.slowdown, 1))
 	e.model.SetNeighbourRatio(e.clock.Now(), e.neighbourRatio)
 	e.model.SetReportDelay(e.clock.Now(), e.reportDelayMS)
 	e.queries = map[string]*engineQuery{}
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// terminate ends the process: connections are reset and queries lost.
+// terminate ends the process: its connections are reset and its queries are lost.
 func (e *Engine) terminate() {
 	e.mu.Lock()
 	if !e.running {
@@ -156,11 +156,11 @@
 	e.advance()
 	e.running = false
 	e.model.Terminate(e.clock.Now())
-	b, left := e.model.WorkTotals()
-	e.endedWork.In, e.endedWork.Done, e.endedWork.Dropped = e.endedWork.In+b.In, e.endedWork.Done+b.Done, e.endedWork.Dropped+b.Dropped+left
-	for _, r := range e.queries {
-		r.finish(0)
-		e.attemptEnded(r, decide.OutcomeReset)
+	totals, left := e.model.WorkTotals()
+	e.endedWork.In, e.endedWork.Done, e.endedWork.Dropped = e.endedWork.In+totals.In, e.endedWork.Done+totals.Done, e.endedWork.Dropped+totals.Dropped+left
+	for _, q := range e.queries {
+		q.finish(0)
+		e.attemptEnded(q, decide.OutcomeReset)
 	}
 	e.resumed.Broadcast()
 	server := e.server
@@ -168,10 +168,10 @@
 	_ = server.Close()
 }
 
-// advance brings the model up to now, handles what ended and sets the next timer. The caller holds mu.
+// advance advances the model to the current time, handles the queries that ended and sets the next timer. The caller holds mu.
 func (e *Engine) advance() {
 	now := e.clock.Now()
-	for at := e.model.Next(); at <= now; at = e.model.Next() { // timers fire late: each end has its own time
+	for at := e.model.Next(); at <= now; at = e.model.Next() { // timers fire late: each end is handled at its own time
 		e.jobsEnded(e.model.Advance(at))
 	}
 	e.jobsEnded(e.model.Advance(now))
@@ -179,11 +179,11 @@
 		e.timer.Stop()
 	}
 	next := e.model.Next()
-	for id, r := range e.queries { // a query that nobody polls is cancelled
-		if now-r.polledAt > e.scenario.Engines.OrphanMS {
-			e.model.Cancel(now, r.job.ID)
-			r.finish(http.StatusInternalServerError)
-			e.attemptEnded(r, decide.OutcomeTimeout)
+	for id, q := range e.queries { // a query that is no longer polled is cancelled
+		if now-q.polledAt > e.scenario.Engines.OrphanMS {
+			e.model.Cancel(now, q.job.ID)
+			q.finish(http.StatusInternalServerError)
+			e.attemptEnded(q, decide.OutcomeTimeout)
 			delete(e.queries, id)
 		}
 	}
@@ -191,7 +191,7 @@
 		next = min(next, now+e.scenario.Engines.OrphanMS/4)
 	}
 	if !math.IsInf(next, 1) {
-		e.timer = time.AfterFunc(time.Until(e.clock.At(next)), func() {
+		e.timer = time.AfterFunc(time.Until(e.clock.WallTime(next)), func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if e.running {
@@ -203,19 +203,19 @@
 
 func (e *Engine) jobsEnded(ends []engine.End) {
 	for _, end := range ends {
-		r := end.Job.Owner.(*engineQuery)
+		q := end.Job.Owner.(*engineQuery)
 		switch {
 		case end.Expired:
-			r.finish(http.StatusGatewayTimeout)
+			q.finish(http.StatusGatewayTimeout)
 		case e.drawError():
-			r.finish(http.StatusInternalServerError)
+			q.finish(http.StatusInternalServerError)
 		default:
-			r.finish(http.StatusOK)
+			q.finish(http.StatusOK)
 		}
 	}
 }
 
-// changeModel applies a fault to the model of a running engine.
+// changeModel applies a fault to the model, if the engine runs.
 func (e *Engine) changeModel(f func(now float64)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -227,7 +227,7 @@
 	e.resumed.Broadcast()
 }
 
-// waitUntilResponsive waits while the engine is stalled or unresponsive. It reports whether the process still runs. The caller
+// waitUntilResponsive waits while the engine is stalled or unresponsive, and reports whether the process still runs. The caller
 // holds mu.
 func (e *Engine) waitUntilResponsive() bool {
 	for e.running && (e.stalled || e.unresponsive) {
@@ -236,14 +236,15 @@
 	return e.running
 }
 
-func (e *Engine) workTotals() (b engine.WorkTotals, left float64) {
+// workTotals returns the sums of the work of all processes so far; left is the work that is not done yet, in ms.
+func (e *Engine) workTotals() (totals engine.WorkTotals, left float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b = e.endedWork
+	totals = e.endedWork
 	if e.running {
 		e.advance()
-		now, l := e.model.WorkTotals()
-		b.In, b.Done, b.Dropped, left = b.In+now.In, b.Done+now.Done, b.Dropped+now.Dropped, l
+		current, currentLeft := e.model.WorkTotals()
+		totals.In, totals.Done, totals.Dropped, left = totals.In+current.In, totals.Done+current.Done, totals.Dropped+current.Dropped, currentLeft
 	}
-	return b, left
+	return totals, left
 }
--- a/internal/emulator/live/engine_http.go
+++ b/internal/emulator/live/engine_http.go
@@ -15,12 +15,13 @@
 	"aniseloft/internal/routing"
 )
 
-func (r *engineQuery) finish(status int) {
+// finish ends a query with a status, unless it has ended.
+func (q *engineQuery) finish(status int) {
 	select {
-	case <-r.ended:
+	case <-q.ended:
 	default:
-		r.status = status
-		close(r.ended)
+		q.status = status
+		close(q.ended)
 	}
 }
 
@@ -42,19 +43,19 @@
 	if err != nil {
 		return
 	}
-	var c *attempt
+	var request *clientRequest
 	if r.Method == http.MethodPost && r.URL.Path == queryPath {
-		if c = e.judge.find(r.Header.Get("Request-Id")); c == nil {
-			c = e.unknownQuery(r.Header.Get("Kind"), string(body))
+		if request = e.sharedObserver.findRequest(r.Header.Get("Request-Id")); request == nil {
+			request = e.unknownQuery(r.Header.Get("Kind"), string(body))
 		}
-		if c == nil || len(body) == 0 {
+		if request == nil || len(body) == 0 {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		// It counts as sent also while the process is stalled.
+		// The attempt counts as sent even while the process is stalled.
 		sentAt := e.sentAt(r)
-		e.observe(c, func(o *observer.Observer) {
-			o.AttemptSent(sentAt, c.coordinator, c.request, endpointID(e.endpoint), e.zone)
+		e.observe(request, func(o *observer.Observer) {
+			o.AttemptSent(sentAt, request.coordinator, request.observed, endpointID(e.endpoint), e.zone)
 		})
 	}
 	e.mu.Lock()
@@ -65,16 +66,16 @@
 	e.advance()
 	switch {
 	case r.URL.Path == gaugesPath || r.URL.Path == healthPath:
-		e.judge.with(func(o *observer.Observer) { o.Totals().Probes++ })
+		e.sharedObserver.with(func(o *observer.Observer) { o.Totals().Probes++ })
 		w.Header().Set("Load-Report", e.loadReport())
-	case c != nil:
-		e.startQuery(w, r, c)
+	case request != nil:
+		e.startQuery(w, r, request)
 	default:
 		e.serveQuery(w, r, string(body))
 	}
 }
 
-// serveQuery handles a request about a query that the engine holds, or has held. The caller holds mu.
+// serveQuery handles an HTTP request about a query that the engine holds or has held. The caller holds mu.
 func (e *Engine) serveQuery(w http.ResponseWriter, r *http.Request, body string) {
 	path := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(path) < 2 || path[0] != "data" {
@@ -96,7 +97,7 @@
 	}
 }
 
-// prioritize sets a query's priority. A nil query and a body that is not a number change nothing.
+// prioritize sets a query's priority. It ignores a nil query and a body that is not a number.
 func (e *Engine) prioritize(q *engineQuery, body string) {
 	if q == nil {
 		return
@@ -121,52 +122,53 @@
 	e.advance()
 }
 
-func headerInt(r *http.Request, name string, otherwise int64) int64 {
+// headerInt returns the integer in a header, or fallback.
+func headerInt(r *http.Request, name string, fallback int64) int64 {
 	if n, err := strconv.ParseInt(r.Header.Get(name), 10, 64); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-func (e *Engine) startQuery(w http.ResponseWriter, r *http.Request, c *attempt) {
+func (e *Engine) startQuery(w http.ResponseWriter, r *http.Request, request *clientRequest) {
 	id, now := r.Header.Get("Request-Id"), e.clock.Now()
 	if e.draining {
-		e.rejectOverloaded(w, c, http.StatusServiceUnavailable)
+		e.rejectOverloaded(w, request, http.StatusServiceUnavailable)
 		return
 	}
 	e.lastJobID++
-	q := &engineQuery{attempt: c, ended: make(chan struct{}), polledAt: now, progressAt: now, job: engine.NewJob(e.scenario, c.query, e.meanWork(c.query.Class))}
-	q.job.Work *= e.drawPlan(c.query.Class)
-	q.job.ID, q.job.Coordinator, q.job.Owner = e.lastJobID, c.coordinator, q
+	q := &engineQuery{request: request, ended: make(chan struct{}), polledAt: now, progressAt: now, job: engine.NewJob(e.scenario, request.query, e.meanWork(request.query.Class))}
+	q.job.Work *= e.drawPlanMultiple(request.query.Class)
+	q.job.ID, q.job.Coordinator, q.job.Owner = e.lastJobID, request.coordinator, q
 	if q.job.Priority = 1; e.scenario.Engines.Priorities {
 		q.job.Priority = int(min(max(headerInt(r, "X-Weight-Class", 1), 0), maxPriority))
 	}
 	if e.scenario.Engines.Grants {
 		q.job.GrantMB = headerInt(r, "X-Reserve", 0)
 	}
-	q.job.Expires = now + float64(headerInt(r, "Timeout-Ms", int64(e.scenario.Classes[c.query.Class].DeadlineMS)))
+	q.job.Expires = now + float64(headerInt(r, "Timeout-Ms", int64(e.scenario.Classes[request.query.Class].DeadlineMS)))
 	switch e.model.Start(now, q.job) {
 	case engine.Rejected:
-		e.rejectOverloaded(w, c, http.StatusServiceUnavailable)
+		e.rejectOverloaded(w, request, http.StatusServiceUnavailable)
 		return
 	case engine.Overloaded:
-		e.judge.with(func(o *observer.Observer) {
+		e.sharedObserver.with(func(o *observer.Observer) {
 			o.EngineOverloaded(now, endpointID(e.endpoint), e.model.NotifiedLoadRatio(func(from int) bool { return o.KnowsEndpoint(from, endpointID(e.endpoint)) }))
 		})
 		e.removed = true
 		go e.terminate()
 		panic(http.ErrAbortHandler)
 	}
-	e.observe(c, func(o *observer.Observer) { o.AttemptStarted(now, c.request) })
+	e.observe(request, func(o *observer.Observer) { o.AttemptStarted(now, request.observed) })
 	e.queries[id] = q
 	e.advance()
 	e.longPoll(w, q)
 }
 
-// loadReport encodes the engine's load report, with the fields of the scenario.
+// loadReport encodes the engine's load report with the fields that the scenario selects.
 func (e *Engine) loadReport() string {
-	rep := e.model.Report(e.clock.Now())
-	values := map[string]float64{"inflight": rep.InFlight, "queue": rep.Queue, "util": rep.Util, "x1": rep.Disk, "x0": rep.Memory}
+	report := e.model.Report(e.clock.Now())
+	values := map[string]float64{"inflight": report.InFlight, "queue": report.Queue, "util": report.Util, "x1": report.Disk, "x0": report.Memory}
 	var parts []string
 	for _, name := range e.scenario.Engines.ReportFields {
 		parts = append(parts, fmt.Sprintf("%s:%.3f", name, values[name]))
@@ -174,25 +176,25 @@
 	return strings.Join(parts, ";")
 }
 
-// addProgress adds a progress report to an answer of 202 when one is due. A query that spills reports its ratio and its missing
-// memory in turn.
+// addProgress adds a progress report to a 202 answer when one is due. A query that spills reports its completed ratio and its
+// missing memory in turn.
 func (e *Engine) addProgress(w http.ResponseWriter, q *engineQuery) {
-	every, now := e.scenario.Engines.ProgressMS, e.clock.Now()
-	if every <= 0 || now-q.progressAt < every {
+	interval, now := e.scenario.Engines.ProgressMS, e.clock.Now()
+	if interval <= 0 || now-q.progressAt < interval {
 		return
 	}
 	e.advance()
-	n, here := e.model.Progress(now, q.job.ID)
-	if !here {
+	progress, held := e.model.Progress(now, q.job.ID)
+	if !held {
 		return
 	}
-	q.progressAt += every
-	kind, value := "so_far", n.Ratio
+	q.progressAt += interval
+	kind, value := "so_far", progress.Ratio
 	switch {
-	case n.WaitReason > 0:
-		kind, value = "waiting", float64(n.WaitReason)
-	case n.MissingMB > 0 && q.spillReports < q.ratioReports:
-		kind, value = "lacking", float64(n.MissingMB)
+	case progress.WaitReason > 0:
+		kind, value = "waiting", float64(progress.WaitReason)
+	case progress.MissingMB > 0 && q.spillReports < q.ratioReports:
+		kind, value = "lacking", float64(progress.MissingMB)
 		q.spillReports++
 	default:
 		q.ratioReports++
@@ -201,45 +203,46 @@
 	w.Header().Set("X-Num", strconv.FormatFloat(value, 'f', 3, 64))
 }
 
-// unknownQuery returns a query that no client of the rehearsal sent, as when only engines are served: it needs what its class
-// needs on average. Nil: there is no such class.
-func (e *Engine) unknownQuery(class, statement string) *attempt {
-	for i, k := range e.scenario.Classes {
-		if k.Name == class {
-			return &attempt{query: scenario.Query{Class: i, DataSet: routing.TableGroup(statement), Work: e.meanWork(i), IORatio: (k.IORatio.Min + k.IORatio.Max) / 2, NeedMB: k.MemoryMB}}
+// unknownQuery returns a request that no client of the rehearsal sent, as when only engines are served. Its query needs the
+// average of its class. It is nil if there is no such class.
+func (e *Engine) unknownQuery(class, statement string) *clientRequest {
+	for i, candidate := range e.scenario.Classes {
+		if candidate.Name == class {
+			return &clientRequest{query: scenario.Query{Class: i, DataSet: routing.TableGroup(statement), Work: e.meanWork(i), IORatio: (candidate.IORatio.Min + candidate.IORatio.Max) / 2, NeedMB: candidate.MemoryMB}}
 		}
 	}
 	return nil
 }
 
-// observe passes what happens to a client's query to the observer.
-func (e *Engine) observe(c *attempt, f func(o *observer.Observer)) {
-	if c.request != nil {
-		e.judge.with(f)
+// observe calls f with the observer if a client of the rehearsal sent the request.
+func (e *Engine) observe(request *clientRequest, f func(o *observer.Observer)) {
+	if request.observed != nil {
+		e.sharedObserver.with(f)
 	}
 }
 
-// attemptEnded notifies the observer of a query's end, once.
-func (e *Engine) attemptEnded(q *engineQuery, out decide.Outcome) {
+// attemptEnded notifies the observer of a query's end, the first time that it is called for the query.
+func (e *Engine) attemptEnded(q *engineQuery, outcome decide.Outcome) {
 	if q.reported {
 		return
 	}
 	q.reported = true
-	e.observe(q.attempt, func(o *observer.Observer) {
-		o.AttemptEnded(e.clock.Now(), q.attempt.coordinator, q.attempt.request, out)
+	e.observe(q.request, func(o *observer.Observer) {
+		o.AttemptEnded(e.clock.Now(), q.request.coordinator, q.request.observed, outcome)
 	})
 }
 
-// rejectOverloaded answers that a query never ran.
-func (e *Engine) rejectOverloaded(w http.ResponseWriter, c *attempt, status int) {
-	e.observe(c, func(o *observer.Observer) {
-		o.AttemptEnded(e.clock.Now(), c.coordinator, c.request, decide.OutcomeOverloaded)
+// rejectOverloaded answers with a status that a query never ran.
+func (e *Engine) rejectOverloaded(w http.ResponseWriter, request *clientRequest, status int) {
+	e.observe(request, func(o *observer.Observer) {
+		o.AttemptEnded(e.clock.Now(), request.coordinator, request.observed, decide.OutcomeOverloaded)
 	})
 	w.Header().Set("Never-Ran", "1")
 	w.WriteHeader(status)
 }
 
-// longPoll answers once a query has ended, or with 202 after longPollTimeout. The caller holds mu, which is released meanwhile.
+// longPoll answers once a query has ended, or with 202 after longPollTimeout. The caller holds mu; longPoll releases it while it
+// waits.
 func (e *Engine) longPoll(w http.ResponseWriter, q *engineQuery) {
 	if q == nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -274,20 +277,20 @@
 	}
 	switch q.status {
 	case http.StatusOK:
-		e.judge.mu.Lock()
-		q.attempt.doneWork = q.job.Total()
-		e.judge.mu.Unlock()
+		e.sharedObserver.mu.Lock()
+		q.request.doneWork = q.job.Total()
+		e.sharedObserver.mu.Unlock()
 		q.polledAt = e.clock.Now()
 		e.attemptEnded(q, decide.OutcomeSucceeded)
 		w.Header().Set("X-Batches", "1")
 		if e.scenario.Engines.ReportsCost {
-			w.Header().Set("X-Spent", strconv.FormatFloat(q.attempt.query.Work, 'f', 3, 64))
-			w.Header().Set("X-Wanted", strconv.FormatFloat(q.attempt.query.NeedMB, 'f', 1, 64))
+			w.Header().Set("X-Spent", strconv.FormatFloat(q.request.query.Work, 'f', 3, 64))
+			w.Header().Set("X-Wanted", strconv.FormatFloat(q.request.query.NeedMB, 'f', 1, 64))
 		}
 		_, _ = io.WriteString(w, resultRows)
 	case http.StatusGatewayTimeout:
 		q.reported = true
-		e.rejectOverloaded(w, q.attempt, q.status)
+		e.rejectOverloaded(w, q.request, q.status)
 	default:
 		e.attemptEnded(q, decide.OutcomeError)
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/emulator/live/events.go
+++ b/internal/emulator/live/events.go
@@ -8,11 +8,12 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
+// note adds a line to the report's timeline.
 func (d *Rehearsal) note(format string, args ...any) {
-	d.judge.with(func(o *observer.Observer) { o.Note(d.clock.Now(), format, args...) })
+	d.sharedObserver.with(func(o *observer.Observer) { o.Note(d.clock.Now(), format, args...) })
 }
 
-// handleEvent starts or ends a fault.
+// handleEvent applies an event of the timeline: the start, a change or the end of a fault.
 func (d *Rehearsal) handleEvent(ctx context.Context, event scenario.Event) {
 	switch event.Kind {
 	case scenario.EventSlowFleet:
@@ -21,13 +22,13 @@
 		d.setReportDelay(event.Value)
 	case scenario.EventDiscoveryDown:
 		d.discovery.setDown(event.Value > 0)
-		d.note("roster out of reach: %t", event.Value > 0)
+		d.note("journal service unreachable: %t", event.Value > 0)
 		d.publishPending(event.Value == 0)
 	case scenario.EventDiscoveryDelay:
 		d.mu.Lock()
 		d.discoveryDelayMS = event.Value
 		d.mu.Unlock()
-		d.note("roster %.0f ms behind", event.Value)
+		d.note("watch events delayed by a further %.0f ms", event.Value)
 	case scenario.EventCoordinatorCrash:
 		d.killCoordinator(event.Coordinator)
 	case scenario.EventCoordinatorStart:
@@ -51,7 +52,7 @@
 			e.neighbourRatio = event.Value
 			e.model.SetNeighbourRatio(now, event.Value)
 		})
-		d.note("another program takes %.2f of engine %d", event.Value, e.place)
+		d.note("another program uses %.2f of the cores and disks of engine %d", event.Value, e.index)
 	case scenario.EventJoin, scenario.EventReturn:
 		d.startEngine(e)
 	case scenario.EventDrain:
@@ -70,7 +71,7 @@
 	for _, e := range d.engines {
 		e.changeModel(func(now float64) { e.model.SetSlowdown(now, slowdown*max(e.slowdown, 1)) })
 	}
-	d.note("engines %.2f times slower", slowdown)
+	d.note("all engines slowed down by a factor of %.2f", slowdown)
 }
 
 func (d *Rehearsal) setEngineSlowdown(e *Engine, slowdown float64) {
@@ -79,7 +80,7 @@
 		e.slowdown = slowdown
 		e.model.SetSlowdown(now, fleetSlowdown*max(e.slowdown, 1))
 	})
-	d.note("engine %d %.2f times slower than the rest", e.place, slowdown)
+	d.note("engine %d slowed down by a factor of %.2f compared with the others", e.index, slowdown)
 }
 
 func (d *Rehearsal) currentFleetSlowdown() float64 {
@@ -95,7 +96,7 @@
 		e.mu.Unlock()
 		e.changeModel(func(now float64) { e.model.SetReportDelay(now, delayMS) })
 	}
-	d.note("load reports %.0f ms later", delayMS)
+	d.note("load reports delayed by a further %.0f ms", delayMS)
 }
 
 func (d *Rehearsal) startEngine(e *Engine) {
@@ -107,7 +108,7 @@
 		d.note("%v", err)
 		return
 	}
-	d.note("engine %d starts cold", e.place)
+	d.note("engine %d starts cold", e.index)
 	d.endpointChanged(e, decide.EndpointReady, false)
 }
 
@@ -116,25 +117,25 @@
 		return
 	}
 	e.changeModel(func(float64) { e.draining = true })
-	d.note("engine %d drains", e.place)
+	d.note("engine %d drains", e.index)
 	d.endpointChanged(e, decide.EndpointDraining, false)
 }
 
-// endEngine ends an engine's process, for good or until it starts again.
+// endEngine ends an engine's process. Unless it ends for good, it may be started again.
 func (d *Rehearsal) endEngine(e *Engine, forGood bool) {
 	if !e.isRunning() {
 		return
 	}
 	e.removed = e.removed || forGood
 	e.terminate()
-	d.note("engine %d ends", e.place)
+	d.note("engine %d: its process ended", e.index)
 	d.endpointChanged(e, decide.EndpointRemoved, false)
 }
 
-// setUnresponsive cuts an engine off the network, or connects it again. Its process goes on.
+// setUnresponsive stops an engine from answering, or lets it answer again. Its process keeps running.
 func (d *Rehearsal) setUnresponsive(e *Engine, unresponsive bool) {
 	e.changeModel(func(float64) { e.unresponsive = unresponsive })
-	d.note("engine %d silent: %t", e.place, unresponsive)
+	d.note("engine %d unresponsive: %t", e.index, unresponsive)
 	if unresponsive {
 		d.endpointChanged(e, decide.EndpointRemoved, true)
 	} else {
@@ -142,7 +143,7 @@
 	}
 }
 
-// restartCoordinator starts a coordinator, unless the end of another fault has started it.
+// restartCoordinator starts a coordinator, unless it runs because the end of another fault has started it.
 func (d *Rehearsal) restartCoordinator(ctx context.Context, index int) {
 	if len(d.coordinators) == 0 {
 		return
--- a/internal/emulator/live/judge.go
+++ b/internal/emulator/live/judge.go
@@ -7,31 +7,34 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// judge guards the observer, which is not safe for concurrent use, and the open requests of clients.
-type judge struct {
-	mu       sync.Mutex
-	observer *observer.Observer
-	calls    map[string]*attempt
+// sharedObserver lets goroutines share an observer, which is not safe for concurrent use, and holds the open requests of
+// clients.
+type sharedObserver struct {
+	mu       sync.Mutex // guards the fields below
+	inner    *observer.Observer
+	requests map[string]*clientRequest // by request ID
 }
 
-// attempt is a try as engines may receive it, from one coordinator.
-type attempt struct {
-	request     *observer.Request
+// clientRequest is one try of a client's query: a request to one coordinator, which engines look up by its ID.
+type clientRequest struct {
+	observed    *observer.Request
 	query       scenario.Query
 	coordinator int
-	sentAt      float64 // by its client
+	sentAt      float64 // when its client sent it
 	doneWork    float64 // work of the execution that succeeded
 	served      bool
 }
 
-func (b *judge) with(f func(o *observer.Observer)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	f(b.observer)
+// with calls f with the observer while it holds the lock.
+func (s *sharedObserver) with(f func(o *observer.Observer)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f(s.inner)
 }
 
-func (b *judge) find(id string) *attempt {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.calls[id]
+// findRequest returns the findRequest with an ID, or nil.
+func (s *sharedObserver) findRequest(id string) *clientRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.requests[id]
 }
--- a/internal/emulator/live/persistent_client.go
+++ b/internal/emulator/live/persistent_client.go
@@ -10,31 +10,31 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// persistentClient uses the connections that it opened to one coordinator until they are closed, whatever becomes of the
-// coordinator: with single and pipelined requests, messages in pieces, cancellations and closes of its own.
+// persistentClient uses the connections that it opened to one coordinator until they are closed, also while the coordinator
+// shuts down. It sends single and pipelined requests, messages in two pieces and cancellations.
 type persistentClient struct {
 	rehearsal   *Rehearsal
 	coordinator int
 	rand        *rand.Rand
-	pools       []*clientPool // of one connection each
+	pools       []*clientPool // one connection each
 	requests    sync.WaitGroup
-	unanswered  func(call string) // told of requests whose connection ended first
+	unanswered  func(requestID string) // called for a request whose connection ended before its answer
 }
 
 const (
 	persistentConnections = 4
-	persistentInterval    = 10 * time.Millisecond // between two actions
+	persistentInterval    = 10 * time.Millisecond // between two calls of act
 	pipelinedRequests     = 3
-	pieceGap              = 20 * time.Millisecond
+	pieceGap              = 20 * time.Millisecond // between the two pieces of a message
 )
 
-// queryShape is what kind of query a persistent client sends.
+// queryShape is the class and work of a persistent client's query.
 type queryShape struct {
 	class  int
 	workMS float64
 }
 
-// The shapes: look-ups, and a report that outlives each shutdown.
+// A look-up, and a report that takes longer than any shutdown.
 var (
 	shortQuery = queryShape{class: 0, workMS: 5}
 	longQuery  = queryShape{class: 1, workMS: 60000}
@@ -45,8 +45,8 @@
 
 var lastPersistentNumber atomic.Int64
 
-// newPersistentClient opens its connections. Those that can't be opened are left out.
-func (d *Rehearsal) newPersistentClient(coordinator int, rng *rand.Rand, unanswered func(call string)) *persistentClient {
+// newPersistentClient returns a client with up to persistentConnections open connections, without those that failed to open.
+func (d *Rehearsal) newPersistentClient(coordinator int, rng *rand.Rand, unanswered func(requestID string)) *persistentClient {
 	c := &persistentClient{rehearsal: d, coordinator: coordinator, rand: rng, unanswered: unanswered}
 	for range persistentConnections {
 		pool := &clientPool{addr: d.coordinators[coordinator].listen}
@@ -61,7 +61,7 @@
 	return c
 }
 
-// run uses the connections until stop is closed, then waits for the answers that are still due and closes what is open.
+// run uses the connections until stop is closed, then waits until all requests have ended and closes the connections.
 func (c *persistentClient) run(stop <-chan struct{}) {
 	if len(c.pools) > 0 {
 		c.request(c.pools[0], longQuery, 0)
@@ -84,7 +84,7 @@
 	}
 }
 
-// act does one thing on a connection; one that is closed by now is left alone.
+// act sends one or more requests in a randomly chosen pattern. On a closed connection it does nothing.
 func (c *persistentClient) act(pool *clientPool) {
 	switch c.rand.IntN(8) {
 	case 0:
@@ -94,16 +94,16 @@
 	case 1:
 		c.request(pool, shortQuery, pieceGap)
 	case 2:
-		if withdraw := c.request(pool, shortQuery, 0); withdraw != nil {
-			withdraw()
+		if cancelRequest := c.request(pool, shortQuery, 0); cancelRequest != nil {
+			cancelRequest()
 		}
 	default:
 		c.request(pool, shortQuery, 0)
 	}
 }
 
-// request sends a query, in two pieces where gap is not 0, and returns what cancels it; nil: it was not sent.
-func (c *persistentClient) request(pool *clientPool, shape queryShape, gap time.Duration) (withdraw func()) {
+// request sends a query, in two pieces if gap is not 0, and returns the function that cancels it; nil: it was not sent.
+func (c *persistentClient) request(pool *clientPool, shape queryShape, gap time.Duration) (cancelRequest func()) {
 	d := c.rehearsal
 	now := d.clock.Now()
 	class := d.scenario.Classes[shape.class]
@@ -111,33 +111,33 @@
 	cl := &client{rehearsal: d, tries: 1, query: scenario.Query{Number: int(number), Class: shape.class, DataSet: 1,
 		Work: shape.workMS, EstimatedWork: shape.workMS, NeedMB: class.MemoryMB, EstimatedMB: class.MemoryMB}}
 	until := now + class.DeadlineMS
-	t := &try{client: cl, id: cl.tryID(), attempt: &attempt{query: cl.query, coordinator: c.coordinator,
-		request: &observer.Request{Name: "persistent request " + cl.tryID(), Class: shape.class, Key: cl.query.DataSet, Until: until}}}
+	t := &try{client: cl, id: cl.tryID(), request: &clientRequest{query: cl.query, coordinator: c.coordinator,
+		observed: &observer.Request{Name: "persistent request " + cl.tryID(), Class: shape.class, Key: cl.query.DataSet, Until: until}}}
 	d.requestSent(now, t)
 	c.requests.Add(1)
 	end := sync.OnceFunc(c.requests.Done)
-	leave := func() {
-		d.judge.with(func(o *observer.Observer) { o.ClientDisconnected(d.clock.Now(), c.coordinator, t.attempt.request) })
+	disconnect := func() {
+		d.sharedObserver.with(func(o *observer.Observer) { o.ClientDisconnected(d.clock.Now(), c.coordinator, t.request.observed) })
 		end()
 	}
 	cancel, err := pool.sendInPieces(class.Name, cl.params(t.id, until), gap, func(a *answer, arrivedAt time.Time) {
 		if a == nil {
 			c.unanswered(t.id)
-			leave()
+			disconnect()
 			return
 		}
 		result, _ := a.outcome()
-		d.requestAnswered(d.clock.Of(arrivedAt), t.attempt, result)
+		d.requestAnswered(d.clock.FromWallTime(arrivedAt), t.request, result)
 		end()
 	})
 	if err != nil {
-		leave()
+		disconnect()
 		return nil
 	}
-	withdraw = func() {
+	cancelRequest = func() {
 		cancel()
-		leave()
+		disconnect()
 	}
-	d.clock.after(until+d.scenario.Rules.AnswerSlackMS+socketSlackMS+1, withdraw)
-	return withdraw
+	d.clock.after(until+d.scenario.Rules.AnswerSlackMS+socketSlackMS+1, cancelRequest)
+	return cancelRequest
 }
--- a/internal/emulator/live/rehearsal.go
+++ b/internal/emulator/live/rehearsal.go
@@ -21,35 +21,36 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// Options configure a rehearsal. Coordinators are named by their index.
+// Options configures a rehearsal. Its functions get a coordinator's index as n or coordinator.
 type Options struct {
 	Seed        uint64
-	Coordinator string    // path of the program; empty: serve engines only, without clients
-	Log         io.Writer // what coordinators print
-	Progress    func(nowMS, endMS float64)
-	// Program returns what a coordinator runs at a start, counted from 0. Nil: Coordinator.
+	Coordinator string                     // path of the program; empty: serve engines only, without clients
+	Log         io.Writer                  // receives the output of coordinators
+	Progress    func(nowMS, endMS float64) // called every 200 ms; nil: not called
+	// Program returns the path of the program that a coordinator runs at a start, counted from 0. Nil: Coordinator.
 	Program func(n, start int) string
-	// Environment returns a coordinator's working directory, with operators' files, what is added to its environment
-	// variables and its log. Nil: a directory of the rehearsal without such files, and Log.
+	// Environment returns a coordinator's working directory with the operators' files, further environment variables and
+	// its log. Nil: a directory of the rehearsal without operators' files, no further variables, and Log.
 	Environment func(n int) (dir string, env []string, log io.Writer)
-	// ServiceAddress returns the address by which a coordinator reaches a service, ToJournal or ToEngine, that listens at
-	// addr. Nil: directly.
-	ServiceAddress func(n int, to, addr string) (string, error)
-	// ReceivedAt returns when the message that an engine reads now from a connection, which it knows by these addresses, left
-	// its coordinator; false: the connection passes no proxy. Nil: none does.
+	// ServiceAddress returns the address at which a coordinator connects to a service, ToJournal or ToEngine, that listens
+	// at addr. Nil: addr itself.
+	ServiceAddress func(n int, service, addr string) (string, error)
+	// ReceivedAt returns when the message that an engine now reads left its coordinator. The engine names its connection by
+	// these two addresses. False means that the connection passes no proxy. Nil: no connection does.
 	ReceivedAt func(local, remote net.Addr) (time.Time, bool)
-	// Unanswered is told of a request that may have crossed the close of its connection by the coordinator, and judges it. Nil:
-	// no close may cross a request.
-	Unanswered func(coordinator int, call string)
-	// GossipAddresses returns the addresses to which a coordinator sends its peers' datagrams. Nil: directly.
+	// Unanswered is called with the ID of a request that may have crossed the coordinator's close of its connection, and decides
+	// whether that is a violation. Nil: it always is.
+	Unanswered func(coordinator int, requestID string)
+	// GossipAddresses returns the addresses to which a coordinator sends datagrams for its peers. Nil: peers itself.
 	GossipAddresses func(n int, peers []string) ([]string, error)
-	// Control is called at the start, to inject further faults into coordinators.
+	// Control is called at the start and may inject further faults into coordinators.
 	Control func(ctx context.Context, r *Controller)
-	// Serving is called once all services listen, with the configurations of coordinators that are started by hand.
+	// Serving is called once all services listen. Its config returns the configuration of a coordinator that is started by
+	// hand.
 	Serving func(journals []string, config func(n int, listen string) ([]byte, error)) error
 }
 
-// Services that a coordinator connects to.
+// The services that a coordinator connects to.
 const (
 	ToJournal = "journal"
 	ToEngine  = "engine"
@@ -62,17 +63,17 @@
 	engineHosts      = 20
 )
 
-// longAgo is a start time before the rehearsal, of an engine that is warm.
-const longAgo = -1
+// warmStartTime is the start time of an engine that is warm: before the rehearsal.
+const warmStartTime = -1
 
-// Rehearsal is a scenario on real sockets, in real time. Timers and connections call it from goroutines of their own.
+// Rehearsal runs a scenario on real sockets, in real time. Timers and connections call it from goroutines of their own.
 type Rehearsal struct {
 	scenario         *scenario.Scenario
 	options          Options
 	timeline         *scenario.Timeline
 	arrivals         *scenario.Arrivals
 	clock            Clock
-	judge            *judge
+	sharedObserver   *sharedObserver
 	engines          []*Engine
 	discovery        *discoveryService
 	frontProxyMu     sync.Mutex // guards frontProxy
@@ -85,28 +86,28 @@
 	fleetSlowdown    float64
 	discoveryDelayMS float64
 	directory        string
-	network          *loopback.Network // of the engines' and coordinators' addresses
+	network          *loopback.Network // holds the engines' and coordinators' addresses
 	mu               sync.Mutex        // guards fleetSlowdown, discoveryDelayMS, discoveryRand, the coordinators' processes and the fields below
 	killedAt         map[int]float64
 	paused           map[int]bool
-	pendingUpdates   []func() // watch events that wait while discovery is down
+	pendingUpdates   []func() // watch events delayed while discovery is down
 }
 
-// Run serves the engines of a scenario, or rehearses it with real coordinators, until its end or that of ctx.
+// Run rehearses a scenario with real coordinators, or serves only its engines, until the scenario or ctx ends.
 func Run(ctx context.Context, s *scenario.Scenario, opt Options) (*observer.Report, error) {
 	d := &Rehearsal{
 		scenario: s, options: opt, timeline: s.Timeline(opt.Seed), fleetSlowdown: 1, clock: newClock(),
 		killedAt: map[int]float64{}, paused: map[int]bool{},
-		judge: &judge{observer: observer.New(s, socketSlackMS), calls: map[string]*attempt{}},
+		sharedObserver: &sharedObserver{inner: observer.New(s, socketSlackMS), requests: map[string]*clientRequest{}},
 	}
 	d.arrivals = s.Arrivals(opt.Seed, d.timeline)
 	d.frontProxy = clients.NewFrontProxy(s, des.Stream(opt.Seed, "front"))
 	d.discoveryRand = des.Stream(opt.Seed, "roster")
 	var err error
 	if d.network, err = loopback.Claim(); err != nil {
-		return nil, fmt.Errorf("rehearsal: %w", err)
+		return nil, fmt.Errorf("addresses of the rehearsal: %w", err)
 	}
-	defer d.network.Release() // once close has ended all that listens there
+	defer d.network.Release() // after close, which ends all listeners on its addresses
 	defer d.close()
 	if err := d.startEngines(); err != nil {
 		return nil, err
@@ -125,20 +126,20 @@
 	return d.play(ctx)
 }
 
-// startEngines creates all engines of the timeline, starts those of the initial fleet and publishes them.
+// startEngines creates all engines of the timeline, starts those of the initial fleet and publishes them in the endpoint list.
 func (d *Rehearsal) startEngines() error {
 	d.createEngines()
-	service, err := newDiscoveryService(d.scenario.Coordinators.Count, notifyObserver(d.judge, d.clock.Now))
+	service, err := newDiscoveryService(d.scenario.Coordinators.Count, notifyObserver(d.sharedObserver, d.clock.Now))
 	if err != nil {
 		return err
 	}
 	service.serviceAddress = d.options.ServiceAddress
-	// In a drill coordinators may read the list for each other: it counts as notified once it is published.
+	// In a drill coordinators may pass the endpoint list on to each other, so that all count as notified once it is published.
 	service.notifyAll = d.options.Control != nil
 	d.discovery = service
 	var entries []server
 	for _, e := range d.engines[:d.scenario.Engines.Count] {
-		if err := e.startProcess(longAgo, 1); err != nil {
+		if err := e.startProcess(warmStartTime, 1); err != nil {
 			return err
 		}
 		entries = append(entries, d.listEntry(e, decide.EndpointReady))
@@ -147,11 +148,12 @@
 	return nil
 }
 
+// createEngines creates all engines of the timeline, without their processes.
 func (d *Rehearsal) createEngines() {
-	builds, ids := des.Stream(d.options.Seed, "engines"), des.Stream(d.options.Seed, "engine ids")
+	buildRand, idRand := des.Stream(d.options.Seed, "engines"), des.Stream(d.options.Seed, "engine ids")
 	errorRand, planRand := des.Stream(d.options.Seed, "errors"), des.Stream(d.options.Seed, "bad plans")
 	var randMu sync.Mutex // guards errorRand and planRand, which all engines share
-	drawPlan := func(class int) float64 {
+	drawPlanMultiple := func(class int) float64 {
 		randMu.Lock()
 		defer randMu.Unlock()
 		return engine.DrawPlanMultiple(d.scenario.Classes[class], planRand)
@@ -162,28 +164,29 @@
 		return errorRand.Float64() < d.scenario.Engines.ErrorRate
 	}
 	coreWorkRatio := d.arrivals.CoreWorkRatio()
-	for place := range d.timeline.EngineCount {
+	for index := range d.timeline.EngineCount {
 		e := &Engine{
-			scenario: d.scenario, clock: d.clock, judge: d.judge, place: place, host: d.network.Host(engineHosts, place),
-			zone: d.scenario.ZoneOf(place), endpoint: ids.Uint32(), build: engine.Draw(d.scenario, builds, coreWorkRatio), meanWork: d.arrivals.MeanWork,
-			drawPlan: drawPlan, drawError: drawError, receivedAt: d.options.ReceivedAt,
+			scenario: d.scenario, clock: d.clock, sharedObserver: d.sharedObserver, index: index, host: d.network.Host(engineHosts, index),
+			zone: d.scenario.ZoneOf(index), endpoint: idRand.Uint32(), build: engine.Draw(d.scenario, buildRand, coreWorkRatio), meanWork: d.arrivals.MeanWork,
+			drawPlanMultiple: drawPlanMultiple, drawError: drawError, receivedAt: d.options.ReceivedAt,
 		}
 		e.resumed = sync.NewCond(&e.mu)
 		d.engines = append(d.engines, e)
 	}
 }
 
+// listEntry returns an engine's entry in the endpoint list.
 func (d *Rehearsal) listEntry(e *Engine, state decide.EndpointState) server {
 	var started float64
 	if e.startedAt > 0 {
-		started = float64(d.clock.At(e.startedAt).UnixMilli())
+		started = float64(d.clock.WallTime(e.startedAt).UnixMilli())
 	}
 	return server{ID: fmt.Sprintf("s-%08x", e.endpoint), Addr: e.addr, Zone: d.scenario.Zones[e.zone], Kind: d.scenario.Engines.Kind,
-		Cell: e.place / 4, State: stateNames[state], Weight: 1, Started: started, engine: endpointID(e.endpoint)}
+		Cell: e.index / 4, State: stateNames[state], Weight: 1, Started: started, engine: endpointID(e.endpoint)}
 }
 
-// errStopped is the result of a rehearsal whose context ended first.
-var errStopped = errors.New("stopped before the day's end")
+// errStopped is returned by a rehearsal whose context ended before it did.
+var errStopped = errors.New("the rehearsal was stopped before its end")
 
 // play runs the scenario from its start to its end.
 func (d *Rehearsal) play(ctx context.Context) (*observer.Report, error) {
@@ -206,7 +209,7 @@
 	if d.options.Coordinator == "" {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(d.clock.At(end))):
+		case <-time.After(time.Until(d.clock.WallTime(end))):
 		}
 		return d.report()
 	}
@@ -224,13 +227,14 @@
 	for _, e := range d.engines {
 		e.mu.Lock()
 		if e.running {
-			e.model = engine.New(e.build, 0, longAgo)
+			e.model = engine.New(e.build, 0, warmStartTime)
 		}
 		e.mu.Unlock()
 	}
 }
 
-// endMS is when each client has its result: after the last arrival its longest deadline passes.
+// endMS returns the time by which each client has its result: the longest deadline and its slack after the last arrival. Without
+// clients it is the end of the scenario.
 func (d *Rehearsal) endMS() float64 {
 	if d.options.Coordinator == "" {
 		return d.scenario.DurationMS
@@ -242,7 +246,7 @@
 	return d.scenario.DurationMS + longest + d.scenario.Rules.AnswerSlackMS + socketSlackMS
 }
 
-// reportProgress reports the time until stop is closed.
+// reportProgress calls Options.Progress repeatedly until stop is closed.
 func (d *Rehearsal) reportProgress(end float64, stop <-chan struct{}) {
 	const interval = 200 * time.Millisecond
 	for {
@@ -267,16 +271,16 @@
 		select {
 		case <-ctx.Done():
 			return errStopped
-		case <-time.After(time.Until(d.clock.At(query.ArrivesAt))):
+		case <-time.After(time.Until(d.clock.WallTime(query.ArrivesAt))):
 		}
 		cl := &client{rehearsal: d, query: query, state: clients.NewClientQuery(d.scenario, query)}
 		d.activeClients.Add(1)
-		d.judge.with(func(o *observer.Observer) { o.FirstTry(&cl.state) })
+		d.sharedObserver.with(func(o *observer.Observer) { o.FirstTry(&cl.state) })
 		go cl.try()
 	}
 }
 
-// waitForClients waits until each client has its result, or somewhat longer than that may take.
+// waitForClients waits until each client has its result, until slack after end at the latest.
 func (d *Rehearsal) waitForClients(ctx context.Context, end float64) error {
 	const slack = 5 * time.Second
 	done := make(chan struct{})
@@ -288,29 +292,30 @@
 	case <-done:
 	case <-ctx.Done():
 		return errStopped
-	case <-time.After(time.Until(d.clock.At(end)) + slack):
+	case <-time.After(time.Until(d.clock.WallTime(end)) + slack):
 	}
 	return nil
 }
 
+// report ends the coordinators and returns the observer's report.
 func (d *Rehearsal) report() (*observer.Report, error) {
 	now := d.clock.Now()
-	var ends sync.WaitGroup
-	for _, p := range d.coordinators { // a planned end: nothing is open any more
-		ends.Go(func() { d.stopCoordinator(p, syscall.SIGTERM) })
+	var stopping sync.WaitGroup
+	for _, p := range d.coordinators { // a planned end: no request is open any more
+		stopping.Go(func() { d.stopCoordinator(p, syscall.SIGTERM) })
 	}
-	ends.Wait()
+	stopping.Wait()
 	for _, pool := range d.clientPools {
-		pool.readers.Wait() // an answer that is still unread may have come in time
+		pool.readers.Wait() // an answer that is not read yet may have arrived in time
 	}
 	var in, done, dropped, left float64
 	for _, e := range d.engines {
-		b, l := e.workTotals()
-		in, done, dropped, left = in+b.In, done+b.Done, dropped+b.Dropped, left+l
+		totals, engineLeft := e.workTotals()
+		in, done, dropped, left = in+totals.In, done+totals.Done, dropped+totals.Dropped, left+engineLeft
 	}
-	d.judge.mu.Lock()
-	defer d.judge.mu.Unlock()
-	o := d.judge.observer
+	d.sharedObserver.mu.Lock()
+	defer d.sharedObserver.mu.Unlock()
+	o := d.sharedObserver.inner
 	o.Finish(now)
 	t := o.Totals()
 	t.WorkIn, t.Dropped, t.Left, t.Wasted = in, dropped, left, max(done-t.Served, 0)
--- a/internal/emulator/live/shutdown.go
+++ b/internal/emulator/live/shutdown.go
@@ -13,13 +13,14 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// The page's earliest kill: the longest deadline, counted as 3 s where it is longer, and 0.7 s after SIGTERM.
+// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline, counted as 3 s where it is longer, plus
+// 0.7 s.
 const (
 	maxCountedDeadlineMS = 3000.0
 	killAfterDeadlineMS  = 700.0
 )
 
-// SignalSeries names the signals of a shutdown beside its SIGTERM.
+// SignalSeries names the signals that a coordinator receives at a shutdown, in their order.
 type SignalSeries string
 
 // The series of signals.
@@ -32,10 +33,10 @@
 	SignalsStatusBetween SignalSeries = "usr1, term, usr1"
 )
 
-// AllSignalSeries are the series that a shutdown may have.
+// AllSignalSeries lists all series of signals.
 var AllSignalSeries = []SignalSeries{SignalsTermOnly, SignalsTermTwice, SignalsHangupFirst, SignalsHangupAfter, SignalsManyHangups, SignalsStatusBetween}
 
-// earliestKill is how soon after SIGTERM the platform may kill a coordinator.
+// earliestKill returns the time after SIGTERM from which the platform may kill a coordinator.
 func (d *Rehearsal) earliestKill() time.Duration {
 	longest := 0.0
 	for _, class := range d.scenario.Classes {
@@ -44,25 +45,25 @@
 	return time.Duration((min(longest, maxCountedDeadlineMS) + killAfterDeadlineMS) * float64(time.Millisecond))
 }
 
-// Shutdown shuts a coordinator down as the platform does: SIGTERM with a series of other signals, while clients go on using
-// their open connections, and SIGKILL at the earliest time that the page names. A coordinator that is killed then violates
-// the rule of one answer. Unanswered is told of requests on connections that the coordinator closed; they violate a rule if
-// it had read them.
-func (r *Controller) Shutdown(n int, series SignalSeries, rng *rand.Rand, unanswered func(call string)) {
+// Shutdown shuts a coordinator down as the platform does: it sends a series of signals with SIGTERM while clients go on using
+// their open connections, and SIGKILL at the earliest time at which the platform may. A coordinator that has to be killed
+// violates the rule of one answer. Shutdown calls unanswered with the ID of each request whose connection the coordinator
+// closed without an answer; it violates a rule if the coordinator had read it.
+func (r *Controller) Shutdown(n int, series SignalSeries, rng *rand.Rand, unanswered func(requestID string)) {
 	d := r.rehearsal
 	p := d.coordinators[n]
 	if d.isDown(p) {
 		return
 	}
-	const before = 200 * time.Millisecond // the clients are at work when the signals come
+	const trafficBeforeSignals = 200 * time.Millisecond // requests are in flight when the signals arrive
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	users := d.newPersistentClient(n, rng, unanswered)
+	traffic := d.newPersistentClient(n, rng, unanswered)
 	go func() {
 		defer close(stopped)
-		users.run(stop)
+		traffic.run(stop)
 	}()
-	time.Sleep(before)
-	d.note("coordinator %d is told to end: %s", n, series)
+	time.Sleep(trafficBeforeSignals)
+	d.note("coordinator %d is shut down with signals: %s", n, series)
 	time.AfterFunc(frontProxyDrainDelay, func() {
 		d.frontProxyMu.Lock()
 		defer d.frontProxyMu.Unlock()
@@ -72,11 +73,11 @@
 	d.terminateAndKill(p, func() { r.signalsAfterTerm(n, series) }, noSignal)
 	close(stop)
 	<-stopped
-	d.judge.with(func(o *observer.Observer) { o.CoordinatorStarted(n) })
+	d.sharedObserver.with(func(o *observer.Observer) { o.CoordinatorStarted(n) })
 }
 
-// TerminateDuringStart starts a coordinator that is down and sends it SIGTERM so soon that it may not serve yet. It must be gone
-// before the kill, as from any other time; SIGTERM may end it before it can heed the signal.
+// TerminateDuringStart starts a coordinator that is down and sends it SIGTERM so soon that it may not serve yet. As in any
+// other shutdown, it must end before SIGKILL is due; SIGTERM may also end it before it has installed its signal handler.
 func (r *Controller) TerminateDuringStart(n int, after time.Duration) error {
 	d := r.rehearsal
 	p := d.coordinators[n]
@@ -86,39 +87,40 @@
 	if err := d.startCoordinator(p); err != nil {
 		return err
 	}
-	d.note("coordinator %d is told to end %v after its start", n, after)
+	d.note("coordinator %d receives SIGTERM %v after its start", n, after)
 	time.Sleep(after)
 	d.terminateAndKill(p, func() {}, syscall.SIGTERM)
-	d.judge.with(func(o *observer.Observer) { o.CoordinatorStarted(n) })
+	d.sharedObserver.with(func(o *observer.Observer) { o.CoordinatorStarted(n) })
 	return nil
 }
 
-// noSignal stands where no signal may end a process.
+// noSignal means that no signal may end the process.
 const noSignal = syscall.Signal(-1)
 
-// terminateAndKill sends SIGTERM, what comes after it, and SIGKILL at the page's earliest. A process that ends otherwise than
-// by itself with exit code 0, or by the allowed signal, violates the rule of one answer.
+// terminateAndKill sends SIGTERM, calls afterTerm, and sends SIGKILL after earliestKill if the process still runs. The process
+// must exit with code 0 or be ended by the allowed signal; anything else violates the rule of one answer.
 func (d *Rehearsal) terminateAndKill(p *coordinator, afterTerm func(), allowed syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := p.cmd, p.ended
 	p.down = true
 	d.mu.Unlock()
-	at := time.Now()
+	termSentAt := time.Now()
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	afterTerm()
 	select {
 	case <-ended:
-	case <-time.After(time.Until(at.Add(d.earliestKill()))):
+	case <-time.After(time.Until(termSentAt.Add(d.earliestKill()))):
 		_ = cmd.Process.Signal(syscall.SIGKILL)
 		<-ended
 	}
 	if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && (status.Signaled() && status.Signal() != allowed || status.ExitStatus() > 0) {
-		d.judge.with(func(o *observer.Observer) {
-			o.Violate(observer.RuleOneAnswer, d.clock.Now(), "coordinator %d: %v, %v after SIGTERM", p.index, cmd.ProcessState, time.Since(at).Round(time.Millisecond))
+		d.sharedObserver.with(func(o *observer.Observer) {
+			o.Violate(observer.RuleOneAnswer, d.clock.Now(), "coordinator %d: %v, %v after SIGTERM", p.index, cmd.ProcessState, time.Since(termSentAt).Round(time.Millisecond))
 		})
 	}
 }
 
+// signalGap is the time between SIGTERM and the signal before or after it.
 const signalGap = 20 * time.Millisecond
 
 func (r *Controller) signalsBeforeTerm(n int, series SignalSeries) {
@@ -148,59 +150,60 @@
 	}
 }
 
-// manyHangups sends ten SIGHUPs in a second, each other one over a file that can't be used.
+// manyHangups sends ten SIGHUPs in a second. Every other one, from the first, finds a configuration file that was cut in half.
 func (r *Controller) manyHangups(n int) {
 	const (
 		hangups = 10
 		spacing = 100 * time.Millisecond
 	)
 	path := filepath.Join(r.rehearsal.directory, fmt.Sprintf("n%d.json", n))
-	good, err := os.ReadFile(path)
+	valid, err := os.ReadFile(path)
 	if err != nil {
 		return
 	}
 	for i := range hangups {
-		content := good
+		content := valid
 		if i%2 == 0 {
-			content = good[:len(good)/2]
+			content = valid[:len(valid)/2]
 		}
 		_ = os.WriteFile(path, content, 0o600)
 		r.signal(n, syscall.SIGHUP)
 		time.Sleep(spacing)
 	}
-	_ = os.WriteFile(path, good, 0o600)
+	_ = os.WriteFile(path, valid, 0o600)
 }
 
-// Crowd opens connections to a coordinator that idle, stop in the middle of a message, or come and go, for a while.
+// Crowd opens connections to a coordinator that carry no complete request: they idle, stop in the middle of a message, or are
+// closed and opened again. It spreads their opening over half of the duration; they end with it.
 func (r *Controller) Crowd(n, connections int, duration time.Duration) {
 	d := r.rehearsal
-	d.note("a crowd of %d at coordinator %d", connections, n)
+	d.note("%d connections without requests are opened to coordinator %d", connections, n)
 	end := time.Now().Add(duration)
 	for i := range connections {
-		go d.joinCrowd(d.coordinators[n].listen, i, end)
+		go d.holdUnusedConnection(d.coordinators[n].listen, i, end)
 		time.Sleep(duration / time.Duration(2*connections))
 	}
 }
 
-// joinCrowd is one of a crowd. What it does goes by its number.
-func (d *Rehearsal) joinCrowd(addr string, number int, end time.Time) {
-	const stay = 100 * time.Millisecond // of one that comes and goes
+// holdUnusedConnection opens one of Crowd's connections again and again until end. The number decides how it behaves.
+func (d *Rehearsal) holdUnusedConnection(addr string, number int, end time.Time) {
+	const pause = 100 * time.Millisecond // between two connections, and the lifetime of a short one
 	for time.Now().Before(end) {
 		c, err := net.DialTimeout("tcp", addr, time.Second)
 		if err != nil {
-			time.Sleep(stay)
+			time.Sleep(pause)
 			continue
 		}
-		leaveAt := end
+		closeAt := end
 		switch number % 3 {
 		case 1:
 			_, _ = io.WriteString(c, `{"jsonrpc":"2.0",`)
 		case 2:
-			leaveAt = time.Now().Add(stay)
+			closeAt = time.Now().Add(pause)
 		}
-		_ = c.SetReadDeadline(leaveAt)
-		_, _ = c.Read(make([]byte, 1)) // until it is closed, or the time to leave
+		_ = c.SetReadDeadline(closeAt)
+		_, _ = c.Read(make([]byte, 1)) // until the coordinator closes it, or closeAt
 		_ = c.Close()
-		time.Sleep(stay)
+		time.Sleep(pause)
 	}
 }
