--- a/internal/emulator/loopback/network.go
+++ b/internal/emulator/loopback/network.go
@@ -1,7 +1,7 @@
 // Package loopback gives each run with real processes loopback addresses that no other run on the machine uses.
 //
 // A coordinator listens with SO_REUSEPORT, so that an upgrade can replace it. If two runs chose the same address, both
-// coordinators would listen there, and the kernel would spread the clients of either run over the two.
+// coordinators would listen on it, and the kernel would distribute the clients of each run over both.
 package loopback
 
 import (
@@ -17,20 +17,20 @@
 	lastNetwork  = 249
 	// claimPort is outside the range of ephemeral ports.
 	claimPort = 20000
-	// hostsPerSubnet is how many hosts of each /24 are used.
+	// hostsPerSubnet is the number of hosts used in each /24.
 	hostsPerSubnet = 200
 )
 
 // ErrNoneFree is returned when other runs have claimed all networks.
 var ErrNoneFree = errors.New("all loopback networks are claimed")
 
-// Network is a /16 of loopback addresses that its owner alone uses until Release, or until its process ends.
+// Network is a /16 of loopback addresses that only its owner uses, until Release or the end of the owner's process.
 type Network struct {
-	octet int          // the second of its addresses
-	claim net.Listener // without SO_REUSEPORT, so that only one run can listen there
+	octet int          // the second one of its addresses
+	claim net.Listener // without SO_REUSEPORT, so that only one run can listen on it
 }
 
-// Claim claims a network. Its errors are ErrNoneFree and those of the socket.
+// Claim claims a free network. It returns ErrNoneFree, or the error of a socket.
 func Claim() (*Network, error) {
 	for octet := firstNetwork; octet <= lastNetwork; octet++ {
 		claim, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", octet, claimPort))
@@ -44,17 +44,17 @@
 	return nil, ErrNoneFree
 }
 
-// Release lets other runs claim the network. The caller no longer uses its addresses.
+// Release lets other runs claim the network. The caller must no longer use its addresses.
 func (n *Network) Release() { _ = n.claim.Close() }
 
-// Host returns the host of the index-th process in a block of hosts for one use. A block takes one /24 for every 200
-// processes; the caller keeps blocks that far apart.
+// Host returns the address of the process with an index in a block. A block holds the processes of one kind and begins at the
+// /24 with its number. It takes one /24 for every 200 processes, so the caller must keep the numbers of blocks far enough apart.
 func (n *Network) Host(block, index int) string {
 	return fmt.Sprintf("127.%d.%d.%d", n.octet, block+index/hostsPerSubnet, 1+index%hostsPerSubnet)
 }
 
-// FreeTCPAddress returns an address of a host whose TCP port is free now. Within a claimed network it stays free for the
-// process that the host is meant for.
+// FreeTCPAddress returns an address with a free TCP port on a process's host. The port stays free until that process listens,
+// as no other process uses the host.
 func (n *Network) FreeTCPAddress(block, index int) (string, error) {
 	listener, err := net.Listen("tcp4", n.Host(block, index)+":0")
 	if err != nil {
@@ -64,7 +64,7 @@
 	return listener.Addr().String(), nil
 }
 
-// FreeUDPAddress is FreeTCPAddress for datagrams.
+// FreeUDPAddress does what FreeTCPAddress does, for UDP.
 func (n *Network) FreeUDPAddress(block, index int) (string, error) {
 	socket, err := net.ListenPacket("udp4", n.Host(block, index)+":0")
 	if err != nil {
--- a/internal/emulator/loopback/network_test.go
+++ b/internal/emulator/loopback/network_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// claim claims a network until the test's end.
 func claim(t *testing.T) *Network {
 	t.Helper()
 	n, err := Claim()
@@ -32,7 +33,7 @@
 	}
 }
 
-func TestAClaimHoldsUntilItsRelease(t *testing.T) {
+func TestClaimLastsUntilRelease(t *testing.T) {
 	n := claim(t)
 	_, err := net.Listen("tcp4", n.claim.Addr().String())
 	require.ErrorIs(t, err, syscall.EADDRINUSE)
--- a/internal/emulator/receivetime/conn.go
+++ b/internal/emulator/receivetime/conn.go
@@ -1,5 +1,5 @@
-// Package receivetime reads TCP connections together with the time at which the kernel received the bytes. An observer
-// that goes by these times does not take its own delay, on a busy machine, for a delay of the other side.
+// Package receivetime reads from TCP connections and records when the kernel received the bytes. An observer that uses
+// these times does not mistake its own delay on a busy machine for a delay of the other side.
 package receivetime
 
 import (
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a TCP connection that knows when its bytes arrived. One goroutine reads and one writes at a time; the times may
-// be read from any.
+// Conn is a TCP connection that records when its bytes arrived. One goroutine may read and one may write at a time; any
+// goroutine may ask for the times.
 type Conn struct {
 	*net.TCPConn
 	raw syscall.RawConn
@@ -24,27 +24,27 @@
 	mu             sync.Mutex // guards the fields below
 	latest         time.Time
 	messageBegan   time.Time
-	awaitsMessages bool // the next bytes that are read begin a message
+	atMessageStart bool // the next bytes that are read begin a message
 }
 
-// New has the kernel note the receive times of a connection's bytes. The connection belongs to the result from then on.
-// The kernel begins some milliseconds after it is first asked to; bytes that came before have the time of their Read.
+// New enables the kernel's receive time stamps on a connection, which then belongs to the returned Conn. The kernel starts
+// to take time stamps some milliseconds after they are first enabled; bytes that arrived before get the time of their Read.
 func New(c *net.TCPConn) (*Conn, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return nil, fmt.Errorf("receive times: %w", err)
+		return nil, fmt.Errorf("enable receive time stamps: %w", err)
 	}
 	var optionErr error
 	err = raw.Control(func(fd uintptr) {
 		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
 	})
 	if err = errors.Join(err, optionErr); err != nil {
-		return nil, fmt.Errorf("receive times: %w", err)
+		return nil, fmt.Errorf("enable receive time stamps: %w", err)
 	}
-	return &Conn{TCPConn: c, raw: raw, awaitsMessages: true}, nil
+	return &Conn{TCPConn: c, raw: raw, atMessageStart: true}, nil
 }
 
-// Read reads as the connection itself does, and notes when the bytes arrived.
+// Read reads like net.TCPConn, and records when the bytes arrived.
 func (c *Conn) Read(b []byte) (n int, err error) {
 	var control [64]byte
 	var controlSize int
@@ -64,11 +64,11 @@
 	case n == 0 && len(b) > 0:
 		return 0, io.EOF
 	}
-	c.received(receiveTime(control[:controlSize]))
+	c.recordReceive(receiveTime(control[:controlSize]))
 	return n, nil
 }
 
-// receiveTime decodes the kernel's time stamp; without one it is now.
+// receiveTime decodes the kernel's time stamp. Without one it returns the current time.
 func receiveTime(control []byte) time.Time {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err == nil {
@@ -82,33 +82,34 @@
 	return time.Now().Round(0)
 }
 
-func (c *Conn) received(at time.Time) {
+// recordReceive records the arrival of the bytes that were just read.
+func (c *Conn) recordReceive(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.latest = at
-	if c.awaitsMessages {
-		c.messageBegan, c.awaitsMessages = at, false
+	if c.atMessageStart {
+		c.messageBegan, c.atMessageStart = at, false
 	}
 }
 
-// Write writes as the connection itself does. The next bytes to be read begin a message.
+// Write writes like net.TCPConn. The next bytes that are read begin a message.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	c.awaitsMessages = true // before the other side can answer
+	c.atMessageStart = true // before the other side can answer
 	c.mu.Unlock()
 	return c.TCPConn.Write(b)
 }
 
-// LatestRead returns when the newest of the bytes that the last Read returned arrived. The kernel merges what waits
-// unread, so older bytes of one Read arrived then or before.
+// LatestRead returns the arrival time of the last Read's newest bytes. The kernel merges bytes that are not read yet, so
+// other bytes of that Read may have arrived earlier.
 func (c *Conn) LatestRead() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.latest
 }
 
-// MessageBegan returns when the first bytes that were read since the last Write arrived: on a connection whose sides take
-// turns, the beginning of the other side's message.
+// MessageBegan returns the arrival time of the first bytes that were read since the last Write. If the two sides of the
+// connection take turns, this is when the other side's message began to arrive.
 func (c *Conn) MessageBegan() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/receivetime/conn_test.go
+++ b/internal/emulator/receivetime/conn_test.go
@@ -12,8 +12,8 @@
 	"aniseloft/internal/emulator/receivetime"
 )
 
-// connected returns the two ends of a connection, the second of which knows its receive times.
-func connected(t *testing.T) (sender *net.TCPConn, receiver *receivetime.Conn) {
+// connect returns the two ends of a connection. The receiver records receive times.
+func connect(t *testing.T) (sender *net.TCPConn, receiver *receivetime.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -26,7 +26,7 @@
 	t.Cleanup(func() { _ = accepted.Close() })
 	receiver, err = receivetime.New(accepted.(*net.TCPConn))
 	require.NoError(t, err)
-	time.Sleep(100 * time.Millisecond) // the kernel begins to take times a little after it is asked to
+	time.Sleep(100 * time.Millisecond) // the kernel starts to take time stamps some milliseconds after they are enabled
 	return client.(*net.TCPConn), receiver
 }
 
@@ -36,9 +36,9 @@
 	require.NoError(t, err)
 }
 
-// A reader that comes late must not date the bytes by its own clock.
-func TestReceiveTimeIsThatOfTheArrival(t *testing.T) {
-	sender, receiver := connected(t)
+// A Read that comes late must return the time of the bytes' arrival, not of the Read.
+func TestReceiveTimeIsArrivalTime(t *testing.T) {
+	sender, receiver := connect(t)
 	before := time.Now()
 	write(t, sender, "first")
 	after := time.Now()
@@ -51,9 +51,9 @@
 	require.WithinRange(t, receiver.LatestRead(), before.Add(-clockResolution), after.Add(clockResolution))
 }
 
-// A message begins with its first bytes, whatever follows them, and the next one after the answer.
-func TestMessageBeginsWithItsFirstBytes(t *testing.T) {
-	sender, receiver := connected(t)
+// Further bytes of a message leave its beginning unchanged; the next message begins after the answer.
+func TestMessageBeganIsArrivalOfFirstBytes(t *testing.T) {
+	sender, receiver := connect(t)
 	b := make([]byte, 100)
 	read := func() {
 		t.Helper()
@@ -74,8 +74,8 @@
 	require.Equal(t, receiver.LatestRead(), receiver.MessageBegan())
 }
 
-func TestReadEndsWithTheConnectionAndItsDeadline(t *testing.T) {
-	sender, receiver := connected(t)
+func TestReadReturnsAtDeadlineAndEndOfConnection(t *testing.T) {
+	sender, receiver := connect(t)
 	require.NoError(t, receiver.SetReadDeadline(time.Now().Add(10*time.Millisecond)))
 	_, err := receiver.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
