--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy is a journal service and two engines on loopback, so that a
-// newcomer can try the coordinator. It answers every statement with a few rows.
+// Command toy serves a journal service and two engines on loopback addresses, to try
+// the coordinator with. The engines answer every statement with a few rows.
 package main
 
 import (
@@ -14,13 +14,13 @@
 
 const (
 	journalAddr = "127.0.0.1:7070"
-	pages       = 3
-	queryTime   = 120 * time.Millisecond
+	pages       = 3                      // of each result
+	queryTime   = 120 * time.Millisecond // of each query
 )
 
 var engineAddrs = []string{"127.0.0.1:9001", "127.0.0.1:9002"}
 
-// engine is one engine of the example; it drops a query a minute after its start.
+// engine is one engine of the example. It forgets a query one minute after the query's start.
 type engine struct {
 	addr    string
 	mu      sync.Mutex
@@ -46,7 +46,7 @@
 		e.poll(w, parts[1])
 	case len(parts) == 3 && r.Method == http.MethodGet:
 		w.Header().Set("X-Batch", parts[2])
-		e.page(w, parts[2])
+		e.writePage(w, parts[2])
 	case r.Method == http.MethodDelete && len(parts) == 2:
 		e.drop(parts[1])
 		w.WriteHeader(http.StatusNoContent)
@@ -63,7 +63,7 @@
 	e.mu.Unlock()
 }
 
-// poll answers with the first page, or with 202 where the query has not ended within 250 ms.
+// poll answers with the first page, or with 202 if the query has not ended within 250 ms.
 func (e *engine) poll(w http.ResponseWriter, id string) {
 	e.mu.Lock()
 	end, ok := e.queries[id]
@@ -80,12 +80,13 @@
 	w.Header().Set("X-Batches", strconv.Itoa(pages))
 	w.Header().Set("X-Spent", strconv.FormatInt(queryTime.Milliseconds(), 10))
 	w.Header().Set("X-Wanted", "64")
-	e.page(w, "0")
+	e.writePage(w, "0")
 }
 
-func (e *engine) page(w http.ResponseWriter, n string) {
+// writePage writes the rows of one page of a result.
+func (e *engine) writePage(w http.ResponseWriter, page string) {
 	for row := range 4 {
-		_, _ = fmt.Fprintf(w, "%s\tpage %s\trow %d\n", e.addr, n, row)
+		_, _ = fmt.Fprintf(w, "%s\tpage %s\trow %d\n", e.addr, page, row)
 	}
 }
 
@@ -99,16 +100,18 @@
 		return
 	}
 	var servers []string
-	for i, a := range engineAddrs {
+	for i, address := range engineAddrs {
 		servers = append(servers, fmt.Sprintf(
-			`{"id":"s-%08x","addr":%q,"zone":"hall-a","kind":"std-16","cell":0,"state":"active","weight":1,"started_ms":0}`, i+1, a))
+			`{"id":"s-%08x","addr":%q,"zone":"hall-a","kind":"std-16","cell":0,"state":"active","weight":1,"started_ms":0}`, i+1, address))
 	}
 	_, _ = fmt.Fprintf(w, `{"pos":1,"entries":[{"pos":1,"hosts":{"version":1,"full":true,"servers":[%s]}}]}`, strings.Join(servers, ","))
 }
 
 func main() {
-	for _, a := range engineAddrs {
-		go func() { log.Fatal(http.ListenAndServe(a, &engine{addr: a, queries: map[string]time.Time{}})) }()
+	for _, address := range engineAddrs {
+		go func() {
+			log.Fatal(http.ListenAndServe(address, &engine{addr: address, queries: map[string]time.Time{}}))
+		}()
 	}
 	log.Printf("journal service at %s, engines at %s", journalAddr, strings.Join(engineAddrs, " and "))
 	log.Fatal(http.ListenAndServe(journalAddr, http.HandlerFunc(serveJournal)))
