--- a/internal/emulator/live/engine.go
+++ b/internal/emulator/live/engine.go
@@ -33,7 +33,7 @@
 	meanWork         func(class int) float64
 	server           *http.Server
 	mu               sync.Mutex
-	resumed          *sync.Cond
+	resumed          *sync.Cond // broadcast when running, stalled or unresponsive may have changed
 	model            *engine.Engine
 	slowdown         float64 // a multiple of the other engines' execution times; 0 stands for 1
 	queries          map[string]*engineQuery
@@ -45,7 +45,7 @@
 	unresponsive     bool
 	startedAt        float64 // 0: it was warm when the rehearsal began
 	timer            *time.Timer
-	endedWork        engine.WorkTotals
+	endedWork        engine.WorkTotals // of earlier processes
 	drawError        func() bool
 	drawPlanMultiple func(class int) float64                        // draws the factor by which an attempt multiplies its work
 	neighbourRatio   float64                                        // part of the cores and disks that another program uses
