--- a/internal/drill/real_faults.go
+++ b/internal/drill/real_faults.go
@@ -58,7 +58,7 @@
 	case FaultShutdown:
 		r.shutDown(target, duration)
 	case FaultCrowd:
-		r.controller.Crowd(target, crowdConnections, duration)
+		r.controller.OpenUnusedConnections(target, crowdConnections, duration)
 	case FaultKillAll:
 		r.killAll(duration)
 	case FaultPause, FaultPauseBeforeWrite:
--- a/internal/emulator/live/shutdown.go
+++ b/internal/emulator/live/shutdown.go
@@ -173,9 +173,9 @@
 	_ = os.WriteFile(path, valid, 0o600)
 }
 
-// Crowd opens connections to a coordinator that carry no complete request: they idle, stop in the middle of a message, or are
-// closed and opened again. It spreads their opening over half of the duration; they end with it.
-func (r *Controller) Crowd(n, connections int, duration time.Duration) {
+// OpenUnusedConnections opens connections to a coordinator that carry no complete request: they idle, stop in the middle of a
+// message, or are closed and opened again. It spreads their opening over half of the duration; they end with it.
+func (r *Controller) OpenUnusedConnections(n, connections int, duration time.Duration) {
 	d := r.rehearsal
 	d.note("%d connections without requests are opened to coordinator %d", connections, n)
 	end := time.Now().Add(duration)
@@ -185,7 +185,7 @@
 	}
 }
 
-// holdUnusedConnection opens one of Crowd's connections again and again until end. The number decides how it behaves.
+// holdUnusedConnection opens a connection again and again until end. Its number decides how it behaves.
 func (d *Rehearsal) holdUnusedConnection(addr string, number int, end time.Time) {
 	const pause = 100 * time.Millisecond // between two connections, and the lifetime of a short one
 	for time.Now().Before(end) {
