--- a/decide/actions.go
+++ b/decide/actions.go
@@ -16,23 +16,23 @@
 		// attempt must not be sent, because endpoints may no longer deduplicate it. 0: no limit.
 		StartBefore Millis
 	}
-	// CancelAttempt stops waiting for an attempt.
+	// CancelAttempt cancels an attempt: the caller ends the call to the endpoint, so that the query stops.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Reject answers the request finally with a rejection; the client may safely retry.
+	// Reject gives the request its final answer, a rejection. The client may safely retry.
 	Reject struct {
 		ID         RequestID
-		RetryAfter Millis
+		RetryAfter Millis // time after which the client may retry; 0: not specified
 	}
-	// Fail answers the request finally with a failure. The request may have run, so a retry may not be safe.
+	// Fail gives the request its final answer, a failure. The request may have run: a retry may not be safe.
 	Fail struct{ ID RequestID }
 	// SetAttemptResources sets the memory grant and the priority of the request's attempts.
 	SetAttemptResources struct {
 		ID       RequestID
 		GrantMB  float64 // 0: no grant is requested
-		Priority int
+		Priority int     // from 0, the lowest, to 3
 	}
 	// StartTimer requests a TimerFired event with the same token after the given time.
 	StartTimer struct {
@@ -43,10 +43,10 @@
 	Probe struct{ Endpoint EndpointID }
 	// SendGossip sends a message to another balancer, or to AllPeers.
 	SendGossip struct {
-		To   int
+		To   int // index of the receiver, or AllPeers
 		Data []byte
 	}
-	// Log reports an event to operators.
+	// Log writes a log line for operators.
 	Log struct {
 		Message  LogMessage
 		Endpoint EndpointID
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -10,7 +10,7 @@
 	defaultPriority       = 1.0 // priority of an attempt that specifies none
 	maxPriority           = 3.0 // highest priority; 0 is the lowest
 	prioritiesPerDoubling = 2.0 // priority levels added when the relative value doubles
-	// A request with less than this many housekeeping periods left is answered instead of waiting longer.
+	// A request whose deadline is less than this many housekeeping periods away is answered at once.
 	nearDeadlinePeriods = 2.0
 	arrivalMeanRate     = 0.01 // weight of one arrival in the means of weight and work
 )
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	slowPlanRatio = 5.0   // an attempt that is this many times slower than usual has a bad query plan
+	slowPlanRatio = 5.0   // an attempt this many times slower than usual counts as having a bad query plan
 	minProgress   = 0.001 // lower bound on the progress ratio in projections
 	// Progress ratio below which an attempt that is projected to end past its deadline is given up.
 	maxGiveUpProgress = 0.5
-	minTimeout        = 0.001 // ms
+	minTimeout        = 0.001 // lower bound on the timeout of an attempt, in ms
 )
 
 // startAttempt starts an attempt at an endpoint and counts it in all components.
@@ -28,7 +28,7 @@
 	if !r.firstRun.mayHaveRun() {
 		r.firstRun = firstRun{now, e.EndpointInfo}
 	} else if c.Idempotency == IdempotentByKey {
-		startBefore = r.firstRun.startedAt + c.DedupWindow // connecting may delay the first byte past it
+		startBefore = r.firstRun.startedAt + c.DedupWindow // connecting may delay the first byte past that
 	}
 	b.endpoints.attach(r, e, c)
 	b.outliers.attemptStarted(e)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -11,7 +11,7 @@
 	rng      *rand.Rand // shared by all components: the order of draws affects all results
 	outbox   *outbox
 	requests map[RequestID]*request
-	sequence int // sequence number of the last arrival
+	sequence int // number of requests that have arrived; the last one's sequence number
 
 	endpoints    *endpointSet
 	subscription *subscription
@@ -28,11 +28,12 @@
 	prober       *prober
 	gossip       *gossip
 
-	timerStarted bool
-	timerDue     Millis
+	timerStarted bool   // the housekeeping timer is running
+	timerDue     Millis // time at which the housekeeping timer expires
 }
 
-// New returns a balancer that has no endpoints or requests yet. Its error is a *SettingsError.
+// New returns a balancer without endpoints and requests. For settings that can't be used, the error is a
+// *SettingsError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := checkSettings(&s); err != nil {
 		return nil, err
@@ -105,8 +106,8 @@
 // must not decrease from call to call.
 func (b *Balancer) Handle(now Millis, ev Event) []Action {
 	b.clock.now, b.outbox.actions = now, nil
-	period := b.clock.ticks(housekeepingTicks)
-	if b.timerStarted && now > b.timerDue+period {
+	housekeepingPeriod := b.clock.ticks(housekeepingTicks)
+	if b.timerStarted && now > b.timerDue+housekeepingPeriod {
 		b.clock.resumedAt = now
 	}
 	switch ev := ev.(type) {
@@ -129,8 +130,8 @@
 		b.housekeeping()
 	}
 	if !b.timerStarted {
-		b.timerStarted, b.timerDue = true, now+period
-		b.outbox.add(StartTimer{period, "tick"})
+		b.timerStarted, b.timerDue = true, now+housekeepingPeriod
+		b.outbox.add(StartTimer{housekeepingPeriod, "tick"})
 	}
 	return b.outbox.actions
 }
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -3,17 +3,20 @@
 import "math"
 
 const (
-	longThreadsPerCore  = 1.25 // queue bound of long classes, near the highest throughput
-	shortThreadsPerCore = 2.0  // queue bound of short classes, whose queries end soon
+	longThreadsPerCore  = 1.25 // queue bound of long classes in threads per core, near the highest throughput
+	shortThreadsPerCore = 2.0  // queue bound of short classes in threads per core; their queries end soon
 	saturatedThreads    = 1.75 // threads per core above which throughput falls
 	saturatedLatency    = 3.5  // ratio of latency to best latency that indicates saturation
-	idleThreadsPerCore  = 0.75 // threads per core assumed where latency is at its best
+	idleThreadsPerCore  = 0.75 // threads per core assumed at an endpoint whose latency is at its best
 
-	overloadedPause = 4.0 // housekeeping periods without new requests after a rejection for overload
-	overloadMaxAge  = 3.0 // shortest latency objectives for which such a rejection indicates saturation
+	// Time without new requests to an endpoint after a rejection for overload, in housekeeping periods.
+	overloadedPause = 4.0
+	// Time for which a rejection for overload indicates saturation, in multiples of the shortest latency
+	// objective.
+	overloadMaxAge = 3.0
 
-	// Time constant of the fleet's mean load, in shortest latency objectives. It is long because balancers
-	// that resume at the same time send bursts.
+	// Time constant of the fleet's mean load, in multiples of the shortest latency objective. It is long
+	// because balancers that resume at the same time send bursts.
 	fleetMeanTimeConstant = 8.0
 	// Weight of the fleet's mean load in the estimate for each endpoint. The whole mean would hide idle
 	// endpoints.
@@ -21,11 +24,15 @@
 	// Multiple of the queue bound up to which a share of sparse traffic is still admitted. Load information
 	// is late at all balancers: with a sharp bound, all would fill an endpoint and avoid it at the same time.
 	admissionRamp = 3.0
-	memoryJitter  = 0.4 // width of the random factor on expected memory, 0.8 to 1.2, for the same reason
+	// Width of the random factor on expected memory, 0.8 to 1.2. Its reason is that of admissionRamp:
+	// balancers with the same information must not all decide alike.
+	memoryJitter = 0.4
 
-	// Ratio of the estimate that an endpoint grants where requests can't specify one, by the engine protocol.
+	// Ratio of an endpoint's default grant to the request's memory estimate, as the engine protocol defines
+	// it. Endpoints grant it where requests can't specify a grant.
 	defaultGrantRatio = 1.25
-	// Ratio of a requested grant to the learned need. Memory granted beyond the need is lost to others.
+	// Ratio of a requested grant to the learned need. Memory granted beyond the need is not
+	// available to other queries.
 	grantMargin = 1.2
 )
 
@@ -33,7 +40,7 @@
 type fleetLoad struct {
 	requestsPerCore float64
 	memoryRatio     float64
-	observedAt      Millis
+	observedAt      Millis // time of the last load report that was averaged; never: none
 }
 
 // capacity decides whether an endpoint's class queue and memory admit one more request.
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -67,8 +67,9 @@
 	return true
 }
 
-// dispatchPending starts pending requests, highest value first. Once no endpoint has capacity for a request,
-// only requests of its class with a lower random draw are tried, because those are admitted first.
+// dispatchPending starts pending requests, highest value first; admission.takeSorted explains byOccupancy.
+// Once no endpoint has capacity for a request, only requests of its class with a lower random draw are tried,
+// because those are admitted first.
 func (b *Balancer) dispatchPending(byOccupancy bool) {
 	if len(b.admission.pending) == 0 || b.admission.atLimit {
 		return
@@ -85,13 +86,13 @@
 		if r.answered {
 			continue
 		}
-		locks := b.estimates.class(r).LocksGroup
-		blocked := 1-r.draw <= blockedDraw[r.Class] || locks && blockedGroups[r.Group]
+		locksGroup := b.estimates.class(r).LocksGroup
+		blocked := 1-r.draw <= blockedDraw[r.Class] || locksGroup && blockedGroups[r.Group]
 		if b.keyOrder.mayRun(r) && !blocked {
 			if b.dispatch(r) {
 				continue
 			}
-			if locks {
+			if locksGroup {
 				blockedGroups[r.Group] = true // requests of other groups may still find capacity
 			} else if r.attemptsStarted == 0 && !b.prober.awaitsAnswer(r) {
 				blockedDraw[r.Class] = 1 - r.draw
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -11,7 +11,7 @@
 //	dispatch.go       arrival, dispatch of pending requests
 //	admission.go      ranking by weight per ms of work, the queue of pending requests
 //	quota.go          tenant quotas
-//	keyorder.go       one request at a time for each key, in classes with OrderedByKey
+//	keyorder.go       one request at a time for each order key, in classes with OrderedByKey
 //	placement.go      candidate endpoints, the band over the average load, the final selection
 //	slowstart.go      budgets of endpoints that have just started
 //	capacity.go       class queues, memory grants, the fleet's mean load
@@ -20,10 +20,10 @@
 //	retry.go          idempotency, the retry budget
 //
 // The other files: endpointset.go and subscription.go keep the endpoint list, outlier.go ejects endpoints and
-// returns them after a trial, estimator.go learns work, memory and latency by class, gossip.go and
-// gossipcodec.go exchange load with other balancers, status.go reports the state of endpoints, log.go writes
-// log lines for operators. The interface is in events.go, actions.go, settings.go and validate.go; clock.go,
-// mean.go, endpoint.go and request.go hold the shared types.
+// returns them to rotation after a successful trial request, estimator.go learns work, memory and latency by
+// class, gossip.go and gossipcodec.go exchange load information with other balancers, status.go reports the
+// state of endpoints, log.go writes log lines for operators. The interface is in events.go, actions.go,
+// settings.go and validate.go; clock.go, mean.go, endpoint.go and request.go hold the shared types.
 //
 // Times are Millis on the caller's clock, work is in milliseconds on one core, memory in MB. Names with Ratio
 // hold dimensionless numbers.
--- a/decide/endpointset.go
+++ b/decide/endpointset.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// maxCachedOrders bounds the groups whose rendezvous order is cached.
+// maxCachedOrders is the largest number of groups whose rendezvous order is cached.
 const maxCachedOrders = 4096
 
 // endpointSet holds the endpoints of the endpoint list and this balancer's attempts in flight at them.
@@ -14,12 +14,12 @@
 	byID       map[EndpointID]*endpoint
 	sorted     []*endpoint            // by ID, so that decisions don't depend on map order
 	orders     map[uint64][]*endpoint // cache of the rendezvous order by group, for the current list
-	byTag      map[uint16]*endpoint   // by gossip tag; nil if endpoints share the tag
+	byTag      map[uint16]*endpoint   // endpoints by gossip tag; nil if several share the tag
 	readyCount int
-	cores      float64 // sum over sorted
+	cores      float64 // sum of the cores of all endpoints
 
-	attemptsStarted  int
-	attemptsInFlight int
+	attemptsStarted  int            // attempts that this balancer has started so far
+	attemptsInFlight int            // attempts of this balancer that have not ended
 	locksByGroup     map[uint64]int // number of attempts in flight, at all endpoints, that lock the group
 }
 
@@ -41,7 +41,7 @@
 		if e == nil || info.StartedAt > e.StartedAt {
 			e = s.replace(info.ID)
 		}
-		info.StartedAt = max(info.StartedAt, e.StartedAt) // the list may lag behind a restart seen here
+		info.StartedAt = max(info.StartedAt, e.StartedAt) // the list may lag behind a detected restart
 		e.EndpointInfo = info
 		if info.Kind >= 0 && info.Kind < len(kinds) {
 			e.cores, e.memoryMB = kinds[info.Kind].Cores, kinds[info.Kind].MemoryMB
@@ -60,13 +60,13 @@
 // replace resets the endpoint with the given ID, or adds it. Attempts in flight at the old process stay,
 // since their ends are still to be counted.
 func (s *endpointSet) replace(id EndpointID) *endpoint {
-	e, fresh := s.byID[id], newEndpoint(s.attemptsStarted)
+	e, replacement := s.byID[id], newEndpoint(s.attemptsStarted)
 	if e == nil {
-		s.byID[id], s.sorted = fresh, append(s.sorted, fresh)
-		return fresh
+		s.byID[id], s.sorted = replacement, append(s.sorted, replacement)
+		return replacement
 	}
-	fresh.inFlight = e.inFlight
-	*e = *fresh
+	replacement.inFlight = e.inFlight
+	*e = *replacement
 	return e
 }
 
@@ -97,7 +97,7 @@
 
 // rendezvousOrder returns all endpoints in the group's rendezvous order, best first. All balancers compute
 // the same order. An endpoint comes first for a share of groups equal to its share of the cores, because at
-// low traffic the band never corrects an uneven spread.
+// low traffic the load band (see placement) never corrects an uneven spread.
 func (s *endpointSet) rendezvousOrder(group uint64) []*endpoint {
 	order := s.orders[group]
 	if order != nil {
@@ -115,7 +115,7 @@
 	return order
 }
 
-// Values used in place of a group where rendezvousHash serves another purpose.
+// Values passed to rendezvousHash in place of a group where the hash doesn't serve to order endpoints.
 const (
 	gossipTagSalt     = 0
 	rotationPhaseSalt = 1
@@ -131,7 +131,8 @@
 	return x ^ x>>31
 }
 
-// sparse reports whether fewer attempts than endpoints are in flight, which is too little to infer load from.
+// sparse reports whether traffic is sparse: this balancer has fewer attempts in flight than there are
+// endpoints, too few to infer the load of endpoints from.
 func (s *endpointSet) sparse() bool { return s.attemptsInFlight < len(s.sorted) }
 
 // attach adds an attempt that starts to the load in flight at its endpoint.
@@ -194,7 +195,7 @@
 	e.recent.countedAt = s.attemptsStarted
 }
 
-// countSend adds an attempt that has just been attached to the recent ones.
+// countSend adds an attempt that has just been attached to the endpoint's recent attempts.
 func (s *endpointSet) countSend(e *endpoint) {
 	e.recent.count = s.recentLoad(e) - float64(len(e.inFlight.attempts)) + 1
 	e.recent.countedAt = s.attemptsStarted
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -18,16 +18,16 @@
 const (
 	longWorkRatio = 4.0  // a class is long if its usual work is this many times the smallest of any class
 	learnRate     = 0.05 // weight of one sample in class means
-	// Samples that the prior of a class's work counts as. The prior, objective times threads, is high, which
-	// is the safe side for slow start.
+	// Number of samples as which the prior of a class's work counts. The prior, objective times threads, is
+	// high, which is the safe side for slow start.
 	priorSamples   = 1
 	latencyRate    = 0.01 // weight of one sample in the mean log latency, whose minimum is the best latency
-	forgetRate     = 1e-4 // low, so that a long overload is not learned as a class's best latency
+	forgetRate     = 1e-4 // drift of the best latency to the mean; low: a long overload must not be learned
 	maxSampleRatio = 8.0  // a sample counts as at most this many times the mean
 	minLatency     = 0.1  // lower bound on latencies, in ms
 
 	pressureRate         = 0.1  // weight of one sample in the mean latency pressure
-	pressureTimeConstant = 16.0 // decay of that mean, in shortest latency objectives
+	pressureTimeConstant = 16.0 // time constant of that mean, in multiples of the shortest latency objective
 	fleetPoolWeight      = 4.0  // number of samples as which the fleet's mean counts in an endpoint's mean
 )
 
@@ -40,11 +40,11 @@
 	usualWork      float64 // mean expected work of its requests, ms on one core
 	workBias       float64 // ratio of actual to estimated work
 	memoryBias     float64 // ratio of actual to estimated memory
-	spillNotices   float64
+	spillNotices   float64 // number of notices of a spill
 	spillRatio     float64 // ratio of attempts that spilled, among those long enough to report it
 	logLatency     float64 // mean log of latency (relative to the estimate, if there is one)
 	bestLogLatency float64 // lowest logLatency so far, slowly forgotten
-	long           bool
+	long           bool    // the class's queries need much more work than the shortest; see classifySizes
 }
 
 func (c *classStats) size() classSize {
@@ -99,15 +99,15 @@
 	return m.expectedWork(r) / float64(c.Threads)
 }
 
-// objectiveAt is the time after which an answer no longer earns the complete weight.
+// objectiveAt is the time after which an answer to the request no longer earns the complete weight.
 func (m *estimator) objectiveAt(r *request) Millis {
 	c := m.class(r)
 	objective := c.LatencyObjective + c.ObjectivePerWork*m.expectedWork(r)/float64(c.Threads)
 	return r.arrivedAt + min(objective, r.TimeLeft)
 }
 
-// classifySizes sets which classes are long, by the mean expected work of their requests. Latency objectives
-// would not do, because a short objective may grow with the work.
+// classifySizes sets which classes are long, by the mean expected work of their requests. It doesn't use
+// latency objectives, because a short objective may grow with the work.
 func (m *estimator) classifySizes() {
 	byUsualWork := func(a, b *classStats) int { return cmp.Compare(a.usualWork, b.usualWork) }
 	smallest := slices.MinFunc(m.classes, byUsualWork).usualWork
@@ -176,9 +176,9 @@
 // learnLatency updates the class's best latency. Where answers don't report actual work, the best ratio of
 // latency to estimated latency serves as the work bias.
 func (m *estimator) learnLatency(c *classStats, r *request, logLatency float64) {
-	relative := r.EstimatedWork > 0 && !m.settings.ActualCostReported
+	relativeToEstimate := r.EstimatedWork > 0 && !m.settings.ActualCostReported
 	logEstimate := 0.0
-	if relative {
+	if relativeToEstimate {
 		logEstimate = math.Log(r.EstimatedWork / float64(c.Threads))
 	}
 	moveMean(&c.logLatency, logLatency-logEstimate, max(latencyRate, 1/float64(c.samples)))
@@ -186,7 +186,7 @@
 		c.bestLogLatency = c.logLatency
 	}
 	moveMean(&c.bestLogLatency, c.logLatency, forgetRate)
-	if relative {
+	if relativeToEstimate {
 		c.workBias = math.Exp(c.bestLogLatency)
 	}
 }
@@ -216,7 +216,7 @@
 	moveMean(&c.memoryBias, min(need, maxSampleRatio*c.memoryBias), rate)
 }
 
-// observePressure adds a sample of the log ratio of latency to unloaded latency.
+// observePressure adds a sample of the log ratio of latency to unloaded latency at an endpoint.
 func (m *estimator) observePressure(e *endpoint, logRatio float64) {
 	if m.clock.justResumed() {
 		return
--- a/decide/events.go
+++ b/decide/events.go
@@ -21,9 +21,9 @@
 	ID        EndpointID
 	Zone      int // index into Settings.ZoneNames
 	Kind      int // index into Settings.Kinds
-	Cell      int
+	Cell      int // a failure domain, and a scope of deduplication
 	State     EndpointState
-	StartedAt Millis // start time of its process; 0: long ago
+	StartedAt Millis // start time of the endpoint's process; 0: long ago
 }
 
 // UpdateKind says what the entries of an EndpointUpdate contain.
@@ -33,7 +33,7 @@
 const (
 	UpdateIncremental UpdateKind = iota // the entries that changed
 	UpdateSnapshot                      // the complete list
-	UpdateCached                        // the complete list from a cache at the start, possibly stale
+	UpdateCached                        // the complete list from a cache at the balancer's start, maybe stale
 	UpdateFailed                        // no entries: discovery could not be read
 )
 
@@ -44,13 +44,13 @@
 const (
 	OutcomeSucceeded Outcome = iota
 	OutcomeError
-	OutcomeOverloaded // the endpoint rejected it for overload and did not run it
+	OutcomeOverloaded // the endpoint rejected the attempt for overload and did not run it
 	OutcomeTimeout
 	OutcomeConnectFailed
 	OutcomeReset
 	OutcomeCancelled
 	OutcomeNotSent
-	OutcomeAnswerLost // it may have run; the answer was lost, and the endpoint accepts further connections
+	OutcomeAnswerLost // the attempt may have run; its answer was lost, but the endpoint accepts connections
 )
 
 // NeverRan reports whether an attempt with this outcome is known not to have run at its endpoint.
@@ -60,10 +60,10 @@
 
 // LoadReport is an endpoint's report of its load. A negative value means that the field is absent.
 type LoadReport struct {
-	InFlight    float64 // requests
-	Queue       float64 // requests
+	InFlight    float64 // number of requests in flight
+	Queue       float64 // number of queued requests
 	Utilization float64 // ratio of busy cores to all cores
-	Latency     float64 // ms
+	Latency     float64 // latency of requests, ms
 	Memory      float64 // ratio of granted memory to all memory
 	Disk        float64 // ratio of busy disks to all disks
 }
@@ -72,7 +72,7 @@
 // to. It determines whether and where further attempts under that key may run.
 type EarlierRun struct {
 	StartedAt  Millis
-	Zone, Cell int // zone and cell of the endpoint
+	Zone, Cell int // zone and cell of the endpoint of that attempt
 }
 
 // Event is an input of Handle. The types below are the only events.
@@ -87,9 +87,9 @@
 	// RequestArrived is a new request. It must get exactly one final answer.
 	RequestArrived struct {
 		ID                RequestID
-		Class             int
-		Tenant            int
-		Group             uint64 // group of the tables that it reads or writes; the unit of affinity
+		Class             int    // index into Settings.Classes
+		Tenant            int    // index into Settings.Tenants
+		Group             uint64 // group of the tables that the query reads or writes; the unit of affinity
 		Key               uint64 // order key, if HasKey
 		HasKey            bool
 		TimeLeft          Millis  // time until the client stops waiting
@@ -101,7 +101,7 @@
 	// AnswerBegan reports that the answer has begun to arrive. The simulator sends it; it has no effect.
 	AnswerBegan struct {
 		ID      RequestID
-		Attempt int
+		Attempt int // number of the attempt among those of the request, from 0
 	}
 	// AttemptProgress reports progress of a running attempt.
 	AttemptProgress struct {
@@ -135,7 +135,7 @@
 	}
 	// GossipReceived delivers a message from another balancer.
 	GossipReceived struct {
-		From int
+		From int // index of the sender
 		Data []byte
 	}
 )
@@ -146,8 +146,8 @@
 // The kinds of progress.
 const (
 	ProgressRatio   ProgressKind = 1 // Value: ratio of completed work to all work
-	ProgressSpilled ProgressKind = 2 // Value: MB of memory missing to avoid the spill
-	ProgressWaiting ProgressKind = 3 // Value: 1 if it waits for memory, 2 if for a lock on its group
+	ProgressSpilled ProgressKind = 2 // Value: MB of memory that the query would have needed in addition
+	ProgressWaiting ProgressKind = 3 // Value: 1 if the query waits for memory, 2 if for a lock on its group
 	ProgressPage    ProgressKind = 4 // a page of the result has arrived; Value: unused
 )
 
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	gossipBudget      = 0.008 // ratio of the total result that messages may cost: too little to show in it
+	gossipBudget      = 0.008 // ratio of the total result that messages may cost; too small to be visible
 	maxMessageBytes   = 256
 	messageOverhead   = 16  // bytes added to the size of each message in its cost
 	maxReportLines    = 16  // endpoints in one message of load reports
-	gossipMaxAge      = 2.0 // age up to which a peer's message counts, in shortest latency objectives
-	minGossipInterval = 4.0 // housekeeping periods between two messages
+	gossipMaxAge      = 2.0 // age limit of a peer's message, in multiples of the shortest latency objective
+	minGossipInterval = 4.0 // least time between two messages, in housekeeping periods
 )
 
 // gossip exchanges load with the other balancers, as often as the cost of messages allows. A balancer sends
@@ -25,7 +25,7 @@
 	outbox    *outbox
 	endpoints *endpointSet
 	peers     map[int]peerMessage // the last message of in-flight load, by balancer
-	sentAt    Millis
+	sentAt    Millis              // time of the last message sent, or of the cached endpoint list if later
 }
 
 // peerMessage is a message of in-flight load from another balancer.
@@ -82,7 +82,7 @@
 // most requests in flight come first, up to half of a message, because idle endpoints answer all balancers
 // often and overloaded ones seldom. The newest of the other reports follow.
 func (g *gossip) reportLines() []gossipLine {
-	var known []*endpoint
+	var withReport []*endpoint
 	var lines []gossipLine
 	period := g.clock.ticks(housekeepingTicks)
 	for _, e := range g.endpoints.sorted {
@@ -94,14 +94,14 @@
 		} else if e.reportIsFresh(g.clock) {
 			age := g.clock.now - e.report.receivedAt
 			e.score = e.report.InFlight / e.cores * (1 - age/g.clock.objectives(reportMaxAge))
-			known = append(known, e)
+			withReport = append(withReport, e)
 		}
 	}
-	sort.SliceStable(known, func(i, j int) bool { return known[i].score > known[j].score })
-	rest := known[min(len(known), maxReportLines/2):]
+	sort.SliceStable(withReport, func(i, j int) bool { return withReport[i].score > withReport[j].score })
+	rest := withReport[min(len(withReport), maxReportLines/2):]
 	newestFirst := func(i, j int) bool { return rest[i].report.receivedAt > rest[j].report.receivedAt }
 	sort.SliceStable(rest, newestFirst)
-	for _, e := range known[:min(len(known), maxReportLines-len(lines))] {
+	for _, e := range withReport[:min(len(withReport), maxReportLines-len(lines))] {
 		age := (g.clock.now - e.report.receivedAt) / period
 		memory := 1 + 100*max(e.report.Memory, -0.01)
 		lines = append(lines, gossipLine{gossipTag(e.ID), []float64{age, 1 + e.report.InFlight, memory}})
--- a/decide/gossipcodec.go
+++ b/decide/gossipcodec.go
@@ -15,7 +15,8 @@
 	gossipReports gossipForm = 3
 )
 
-// maxGossipValue is the upper bound on values, above any that occurs.
+// maxGossipValue is the upper bound on the values in a message; larger ones are reduced to it. No real value
+// reaches it.
 const maxGossipValue = 1e9
 
 // valuesPerLine is the number of values in a line of each form.
@@ -74,5 +75,6 @@
 	return ok
 }
 
-// gossipTag is an endpoint's tag. Lines about a tag that several endpoints of the list share are ignored.
+// gossipTag returns the tag that stands for an endpoint in messages. Lines about a tag that several endpoints
+// of the list share are ignored.
 func gossipTag(id EndpointID) uint16 { return uint16(rendezvousHash(gossipTagSalt, id)) }
--- a/decide/keyorder.go
+++ b/decide/keyorder.go
@@ -10,19 +10,19 @@
 // Rules.KeyOrderDelay.
 type keyOrder struct {
 	clock     *clock
-	delay     Millis
+	delay     Millis // Rules.KeyOrderDelay
 	estimates *estimator
 	queues    map[uint64]*keyQueue
 }
 
 // keyQueue holds the open requests of one key, in order of arrival.
 type keyQueue struct {
-	requests     []*request // the first one may run
+	requests     []*request // the first request may run
 	blockedUntil Millis
-	blockedBy    *request // the request whose attempt may still be running; it is not blocked itself
+	blockedBy    *request // the request whose attempt may still be running; the block does not apply to it
 }
 
-// queue returns the queue of the request's key, or nil if it has no key or its class keeps no order.
+// queue returns the queue of the request's key, or nil if it has no key or its class is not OrderedByKey.
 func (o *keyOrder) queue(r *request) *keyQueue {
 	if !r.HasKey || !o.estimates.class(r).OrderedByKey {
 		return nil
--- a/decide/log.go
+++ b/decide/log.go
@@ -1,6 +1,6 @@
 package decide
 
-// logInterval is the shortest time between two log lines, in shortest latency objectives.
+// logInterval is the shortest time between two log lines, in multiples of the shortest latency objective.
 const logInterval = 2.0
 
 // rateLimitedLog writes log lines for operators. It drops a line that follows the last one within
@@ -9,7 +9,7 @@
 type rateLimitedLog struct {
 	clock  *clock
 	outbox *outbox
-	lastAt Millis
+	lastAt Millis // time of the last line; never: none
 }
 
 func (l *rateLimitedLog) add(line Log) {
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -6,22 +6,25 @@
 )
 
 const (
-	maxConsecutiveErrors = 2 // consecutive failures of an endpoint; an error beyond that ejects it
+	maxConsecutiveErrors = 2 // consecutive failures allowed to an endpoint; an error beyond them ejects it
 	overdueToEject       = 2 // unresponsive attempts that eject an endpoint; see overdueAttempts
 	// Ratio of healthy cores, among those of healthy and ejected endpoints, that ejections for soft evidence
 	// must leave.
 	minHealthyRatio = 0.2
-	// Time for which an endpoint counts as healthy after its last activity, in shortest latency objectives.
+	// Time for which an endpoint counts as healthy after its last activity, in multiples of the shortest
+	// latency objective.
 	activityMaxAge = 2.0
-	// Time until the first trial, in shortest latency objectives. It is short because trials cost little.
+	// Time from an ejection to the first trial request, in multiples of the shortest latency objective. It is
+	// short because trial requests cost little.
 	ejectionTime = 3.0
-	// Largest factor on ejectionTime after failed trials. It is bounded so that recovery is still detected.
+	// Largest factor on ejectionTime after failed trial requests; bounded, so that recovery is detected.
 	maxEjectionGrowth = 4.0
 	requestsPerTrial  = 20.0 // attempts per trial request, however many endpoints are ejected
 	domainFailures    = 3    // unreachable endpoints of a failure domain that eject the complete domain
 
-	missedNotices   = 1.6            // progress intervals without a notice after which an attempt is overdue
-	overloadPenalty = maxSampleRatio // latency over unloaded latency that an overload rejection counts as
+	missedNotices = 1.6 // progress intervals without a notice after which an attempt is overdue
+	// Ratio of latency to unloaded latency as which a rejection for overload counts.
+	overloadPenalty = maxSampleRatio
 )
 
 // failureDomains is the number of types of failure domains: zone, kind and cell.
@@ -32,8 +35,8 @@
 	return [failureDomains]bool{e.Zone == other.Zone, e.Kind == other.Kind, e.Cell == other.Cell}[domain]
 }
 
-// outlierDetector ejects failing endpoints and returns them to rotation after a successful trial. Soft
-// evidence (errors, missing answers) ejects only while enough other endpoints answer, so that it never
+// outlierDetector ejects failing endpoints and returns them to rotation after a successful trial request.
+// Soft evidence (errors, missing answers) ejects only while enough other endpoints answer, so that it never
 // ejects the whole fleet, nor any endpoint when all fail at the same time. Hard evidence (a lost process)
 // always ejects.
 type outlierDetector struct {
@@ -43,15 +46,15 @@
 	endpoints *endpointSet
 	estimates *estimator
 	settings  *Settings
-	lastTrial int // number of attempts started up to the last trial
+	lastTrial int // endpointSet.attemptsStarted at the last trial request
 }
 
-// trialDue reports whether the next short request may be a trial.
+// trialDue reports whether the next short request may be a trial request to an ejected endpoint.
 func (d *outlierDetector) trialDue() bool {
 	return float64(d.endpoints.attemptsStarted-d.lastTrial) >= requestsPerTrial
 }
 
-// attemptStarted records the last attempt as a trial if its endpoint is ejected.
+// attemptStarted records the last attempt as a trial request if its endpoint is ejected.
 func (d *outlierDetector) attemptStarted(e *endpoint) {
 	if e.health.ejected {
 		d.lastTrial = d.endpoints.attemptsStarted
@@ -90,7 +93,8 @@
 // connectFailed handles a connection that was refused or lost at the given time, here or at a peer, unless
 // activity or a failure of the endpoint is known since. Enough failures in a failure domain eject the
 // complete domain while nothing in it answers; otherwise, each of hundreds of balancers would lose attempts
-// at each endpoint of a lost zone. A trial or any answer ends that.
+// at each endpoint of a lost zone. A successful trial request or any other answer from the domain ends this
+// ejection.
 func (d *outlierDetector) connectFailed(e *endpoint, at Millis) {
 	if at <= max(e.health.lastActivityAt, e.health.connectFailureAt) {
 		return
@@ -156,8 +160,8 @@
 	return r == EjectedConnectFailed || r == EjectedDomainUnreachable
 }
 
-// eject takes an endpoint out of rotation except for trials. If it is already ejected and its trial time has
-// come, this counts as a failed trial and delays the next one.
+// eject takes an endpoint out of rotation except for trial requests. If it is already ejected and the time of
+// its next trial request has come, this counts as a failed one and delays the next.
 func (d *outlierDetector) eject(e *endpoint, reason EjectionReason) {
 	h, processDown := &e.health, reason.provesProcessDown()
 	if !processDown && !h.ejected && !d.enoughHealthy(e) {
@@ -216,7 +220,8 @@
 }
 
 // ejectUnresponsive ejects an endpoint with enough unresponsive attempts. In sparse traffic one is enough,
-// since two hardly ever run there; if it was wrong, trials cost little and come soon.
+// since two attempts hardly ever run at an endpoint at the same time; a wrong ejection costs little, as trial
+// requests are cheap and come soon.
 func (d *outlierDetector) ejectUnresponsive(e *endpoint, unresponsive int) {
 	if unresponsive >= overdueToEject || unresponsive > 0 && (e.health.ejected || d.endpoints.sparse()) {
 		d.eject(e, EjectedUnresponsive)
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -47,12 +47,12 @@
 		c.DedupScope == DedupCell && e.Cell == first.Cell
 }
 
-// candidates returns, in affinity order, the permitted endpoints that are in rotation or due for a trial by
-// one short request. If there are none, it returns all permitted ones that slow start admits, since an
-// attempt at an unhealthy endpoint is better than certain failure.
+// candidates returns, in affinity order, the permitted endpoints that are in rotation or due for a trial
+// request, which must be a short one. If there are none, it returns all permitted endpoints that slow start
+// admits, since an attempt at an unhealthy endpoint is better than certain failure.
 func (p *placement) candidates(r *request) []*endpoint {
 	n := len(p.endpoints.sorted)
-	permitted, healthy := make([]*endpoint, 0, n), make([]*endpoint, 0, n)
+	permittedEndpoints, healthyEndpoints := make([]*endpoint, 0, n), make([]*endpoint, 0, n)
 	class, cheapestLong := p.estimates.class(r), p.estimates.cheapestLongWork()
 	trialAllowed := !class.long && p.outliers.trialDue() && p.retries.mayRetry(r)
 	for _, e := range p.affinityOrder(r) {
@@ -63,16 +63,16 @@
 			p.endpoints.creditFairShare(e) // so that it gets no burst of requests to catch up once it is warm
 			continue
 		}
-		permitted = append(permitted, e)
-		trial := trialAllowed && p.clock.now >= e.health.trialAfter && len(e.inFlight.attempts) == 0
-		if (!e.health.ejected || trial) && e.ID != r.lastAttemptedOn {
-			healthy = append(healthy, e)
+		permittedEndpoints = append(permittedEndpoints, e)
+		isTrial := trialAllowed && p.clock.now >= e.health.trialAfter && len(e.inFlight.attempts) == 0
+		if (!e.health.ejected || isTrial) && e.ID != r.lastAttemptedOn {
+			healthyEndpoints = append(healthyEndpoints, e)
 		}
 	}
-	if len(healthy) > 0 {
-		return healthy
+	if len(healthyEndpoints) > 0 {
+		return healthyEndpoints
 	}
-	return permitted
+	return permittedEndpoints
 }
 
 // affinityOrder is the order in which endpoints are preferred for the request. A request that locks its
@@ -84,10 +84,10 @@
 		return order
 	}
 	home := order[0]
-	spread := rendezvousHash(uint64(r.sequence), EndpointID(p.balancer)) % lockOrders
-	order = slices.Clone(p.endpoints.rendezvousOrder(spread))
-	at := slices.Index(order, home)
-	return append(slices.Delete(order, at, at+1), home)
+	orderGroup := rendezvousHash(uint64(r.sequence), EndpointID(p.balancer)) % lockOrders
+	order = slices.Clone(p.endpoints.rendezvousOrder(orderGroup))
+	homeIndex := slices.Index(order, home)
+	return append(slices.Delete(order, homeIndex, homeIndex+1), home)
 }
 
 // inBand returns the endpoints with capacity for the request in order of preference: those within the band in
@@ -116,7 +116,7 @@
 	if leastLoaded != nil {
 		accepted = append(accepted, leastLoaded)
 	}
-	if sparse { // warming endpoints go first, since few requests come during this balancer's turn at them
+	if sparse { // warming endpoints first: this balancer gets few requests in its turn to use them
 		slices.SortStableFunc(accepted, p.compareWarmingFirst)
 	}
 	return accepted
--- a/decide/probe.go
+++ b/decide/probe.go
@@ -5,7 +5,7 @@
 const (
 	probeBudget         = 0.01 // ratio of the total result that probes may cost
 	maxProbesPerRequest = 3.0
-	probeMaxAge         = 0.25 // age up to which a probe is fresh, in shortest latency objectives
+	probeMaxAge         = 0.25 // age limit of a fresh probe, in multiples of the shortest latency objective
 )
 
 // prober probes the endpoints that a request prefers, if this balancer's traffic is too sparse to know their
@@ -31,7 +31,7 @@
 
 // probeFor probes the first of the accepted endpoints for a request, once for each attempt, and reports
 // whether the request has to wait for an answer.
-func (p *prober) probeFor(r *request, accepted []*endpoint) (wait bool) {
+func (p *prober) probeFor(r *request, accepted []*endpoint) (mustWait bool) {
 	if !p.settings.ProbesEnabled || !p.settings.LoadReportsEnabled || !p.endpoints.sparse() {
 		return false
 	}
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -8,7 +8,7 @@
 type tenantQuota struct {
 	clock     *clock
 	settings  *Settings
-	tokens    []float64 // tokens by tenant; one request takes one
+	tokens    []float64 // tokens in each tenant's bucket; a request takes one token
 	updatedAt Millis
 }
 
--- a/decide/request.go
+++ b/decide/request.go
@@ -5,9 +5,9 @@
 	RequestArrived
 	sequence    int // number of the request, in order of arrival
 	arrivedAt   Millis
-	deadline    Millis
-	answered    bool // it got its final answer, or its client has disconnected
-	withinQuota bool
+	deadline    Millis  // time at which the client stops waiting
+	answered    bool    // the request has its final answer, or its client has disconnected
+	withinQuota bool    // the request was within its tenant's quota on arrival
 	weight      float64 // rank when the queue was last sorted; see admission.takeSorted
 	// draw is a random number from 0 to 1 that selects the requests to admit where only a share of traffic
 	// may be. Requests of low value tend to larger draws, which are admitted last.
@@ -25,11 +25,11 @@
 type attempt struct {
 	endpoint       *endpoint // nil: not in flight
 	startedAt      Millis
-	lastActivityAt Millis    // its start or the last notice about it
+	lastActivityAt Millis    // start of the attempt or time of its last progress notice
 	work           float64   // expected work, ms on one core
-	size           classSize // size of its class at the start
-	memoryMB       float64   // expected memory
-	spilled        bool      // it has reported a spill
+	size           classSize // size of the request's class at the start of the attempt
+	memoryMB       float64   // expected memory of the attempt
+	spilled        bool      // the query has spilled to disk, by a progress notice
 	cancelled      bool
 }
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -3,8 +3,8 @@
 import "sort"
 
 // retryForbidden reports whether an attempt that started at startedAt and may have run forbids another at
-// now: endpoints don't deduplicate the class, or the window for that has passed. Times are in ms on one
-// clock.
+// now: endpoints don't deduplicate the class, or its deduplication window has passed. Times are in ms
+// on one clock.
 func (c Class) retryForbidden(startedAt, now Millis) bool {
 	return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey &&
 		now >= startedAt+c.DedupWindow
@@ -77,7 +77,7 @@
 }
 
 // withinBudget reports whether the retry budget allows another retry. Its window is one tick shorter for
-// arrivals and one tick longer for retries, because the rule is checked by another clock.
+// arrivals and one tick longer for retries, because compliance is checked on another clock.
 func (p *retryPolicy) withinBudget() bool {
 	rules := p.settings.Rules
 	if !rules.RetryBudgetEnabled {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -292,7 +292,7 @@
 	b.slowStartSends[e.ID] = append(b.slowStartSends[e.ID], sentWork{b.now, b.work[r.ev.Class]})
 	sum := 0.0
 	for _, s := range b.slowStartSends[e.ID] {
-		if s.at > b.now-rules.OverloadWindow {
+		if s.sentAt > b.now-rules.OverloadWindow {
 			sum += s.work
 		}
 	}
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -16,9 +16,9 @@
 
 // The scopes of deduplication.
 const (
-	DedupFleet DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupFleet DedupScope = iota // all endpoints
+	DedupZone                    // the endpoints in the same zone
+	DedupCell                    // the endpoints in the same cell
 )
 
 // MemoryExhaustion says what an endpoint does when grants exceed its memory.
@@ -37,16 +37,16 @@
 	LatencyObjective Millis  // latency up to which an answer earns the complete weight
 	ObjectivePerWork float64 // added to the objective per ms of work divided by threads
 	Deadline         Millis
-	PriorityWeight   float64
+	PriorityWeight   float64 // weight that an answer within the objective earns
 	LateWeightRatio  float64 // ratio of the weight that an answer past the objective earns
 	Threads          int     // threads of one query
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	DedupWindow      Millis // time from a key's first attempt for which endpoints deduplicate it
 	OrderedByKey     bool   // requests with the same order key run one at a time
-	Zones, Kinds     []int  // indexes of the zones and kinds in which it may run; nil: all
-	LocksGroup       bool   // holds a lock on its group while it runs
-	WaitsForLocks    bool   // waits while its group is locked at the endpoint; not used in decisions
+	Zones, Kinds     []int  // indexes of the zones and endpoint kinds in which the class may run; nil: all
+	LocksGroup       bool   // a query of the class holds a lock on its group while it runs
+	WaitsForLocks    bool   // a query of the class waits while its group is locked; not used in decisions
 }
 
 // Tenant holds the quota and the weight of a tenant.
@@ -117,7 +117,7 @@
 	KindNames             []string // names of the kinds, by index
 	ZoneNames             []string // names of the zones, by index
 	Zone                  int      // index of this balancer's zone
-	ConnectTimeout        Millis
+	ConnectTimeout        Millis   // longest time to open a connection to an endpoint
 	IdleConnectionTimeout Millis   // idle time after which endpoints close connections
 	MaxInFlight           int      // largest number of attempts in flight at this balancer; 0: unlimited
 	MaxOpenRequests       int      // largest number of open requests at this balancer; 0: unlimited
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -6,7 +6,7 @@
 	slowStartSafety      = 0.5  // ratio of the overload budget to use, because a window can overlap two turns
 	usableCores          = 0.85 // ratio of busy cores at full capacity
 	warmupAges           = 8    // intervals of the slow start whose throughput is learned separately
-	minThroughputSamples = 3.0  // answers needed: one alone may be from a busy or an idle endpoint
+	minThroughputSamples = 3.0  // answers needed for a mean: a single one may be from a busy or idle endpoint
 )
 
 // slowStart limits the work sent to endpoints that have just started, so that all balancers together stay
@@ -15,11 +15,12 @@
 // An equal share of that budget for each of hundreds of balancers would not admit a single request. The
 // balancers therefore take turns of one window. The number of balancers in a turn is the number of requests
 // of the cheapest long class that fit in the budget. The budget grows with the throughput observed at
-// warming endpoints of the same age. It is in ms of work on one core.
+// warming endpoints of the same age. The budget is in ms of work on one core.
 type slowStart struct {
 	clock    *clock
 	settings *Settings
-	// throughput sums the observed ratios of speed to full speed of warming endpoints, by age.
+	// throughput sums the observed ratios of speed to full speed of warming endpoints, by
+	// interval of their age.
 	throughput [warmupAges]struct{ sum, samples float64 }
 }
 
@@ -29,10 +30,10 @@
 }
 
 // admits reports whether an endpoint may get one more request of a class. work is the mean work of the
-// class, in ms on one core, cheapestLong that of the cheapest long class. startedAt is the start of this
+// class, in ms on one core, cheapestLongWork that of the cheapest long class. startedAt is the start of this
 // balancer. For one window after it, nothing is sent to warming endpoints that are older, because the work
 // sent there before a restart of the balancer is not known and still counts.
-func (s *slowStart) admits(e *endpoint, work, cheapestLong float64, startedAt Millis) bool {
+func (s *slowStart) admits(e *endpoint, work, cheapestLongWork float64, startedAt Millis) bool {
 	if !s.warming(e) {
 		return true
 	}
@@ -41,20 +42,21 @@
 		return false
 	}
 	budget := s.budget(e)
-	rotation := max(min(int(budget/cheapestLong), s.settings.Balancers), 1)
-	if s.rotationPosition(e) >= rotation {
+	balancersPerTurn := max(min(int(budget/cheapestLongWork), s.settings.Balancers), 1)
+	if s.rotationPosition(e) >= balancersPerTurn {
 		return false
 	}
 	cutoff := s.clock.now - rules.OverloadWindow - s.clock.ticks(2)
-	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, func(w sentWork) bool { return w.at < cutoff })
+	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, func(w sentWork) bool { return w.sentAt < cutoff })
 	sum := work
 	for _, w := range e.slowStartSends {
 		sum += w.work
 	}
-	return sum <= budget/float64(rotation)
+	return sum <= budget/float64(balancersPerTurn)
 }
 
-// budget is the work, in ms on one core, that all balancers together may send within an overload window.
+// budget is the work, in ms on one core, that all balancers together may send to a
+// warming endpoint within an overload window.
 func (s *slowStart) budget(e *endpoint) float64 {
 	rules := s.settings.Rules
 	limit := rules.OverloadRatio * slowStartSafety // capped at 1 below: endpoints can't exceed full speed
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -131,7 +131,7 @@
 // workBefore returns the work of the attempts that were sent before the given time.
 func workBefore(sent []sentWork, until Millis) (sum float64) {
 	for _, s := range sent {
-		if s.at < until {
+		if s.sentAt < until {
 			sum += s.work
 		}
 	}
@@ -170,9 +170,9 @@
 				Latency: works[class] / float64(settings.Classes[class].Threads) / endpointSpeed})
 		}
 	}
-	sort.Slice(sent, func(i, j int) bool { return sent[i].at < sent[j].at })
+	sort.Slice(sent, func(i, j int) bool { return sent[i].sentAt < sent[j].sentAt })
 	for i := range sent {
-		sum, limit := workBefore(sent[i:], sent[i].at+rules.OverloadWindow), rules.OverloadRatio*speed(sent[i].at-start)*usableCores*16*rules.OverloadWindow
+		sum, limit := workBefore(sent[i:], sent[i].sentAt+rules.OverloadWindow), rules.OverloadRatio*speed(sent[i].sentAt-start)*usableCores*16*rules.OverloadWindow
 		if sum > limit {
 			t.Fatalf("%.0f ms of work in one window, overload above %.0f", sum, limit)
 		}
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -269,7 +269,7 @@
 // its budget.
 func (f *slowStartFleet) recordAttempt(e *warmingEndpoint, class int) {
 	requests := f.meanWork[class] / f.meanRequestWork()
-	e.received = append(slices.DeleteFunc(e.received, func(s sentWork) bool { return s.at <= f.now-f.settings.Rules.OverloadWindow }), sentWork{f.now, requests})
+	e.received = append(slices.DeleteFunc(e.received, func(s sentWork) bool { return s.sentAt <= f.now-f.settings.Rules.OverloadWindow }), sentWork{f.now, requests})
 	sum := 0.0
 	for _, s := range e.received {
 		sum += s.work
--- a/decide/status.go
+++ b/decide/status.go
@@ -4,13 +4,13 @@
 type EndpointStatus struct {
 	ID              EndpointID
 	Ready           bool    // the endpoint list allows new requests
-	Ejected         bool    // out of rotation except for trials
-	ProcessDown     bool    // ejected on proof that its process is down
-	WarmingUp       bool    // in slow start
-	InFlight        int     // attempts of this balancer
+	Ejected         bool    // out of rotation except for trial requests
+	ProcessDown     bool    // the endpoint is ejected on proof that its process is down
+	WarmingUp       bool    // the endpoint is in slow start
+	InFlight        int     // this balancer's attempts in flight
 	LatencyPressure float64 // log ratio of latency to unloaded latency
 	Report          LoadReport
-	ReportAge       Millis // negative: no report is known
+	ReportAge       Millis // time since the receipt of Report; negative: no report is known
 }
 
 // EndpointStatuses returns the status of all endpoints at now, in ms, by ID.
--- a/decide/subscription.go
+++ b/decide/subscription.go
@@ -11,7 +11,7 @@
 	required bool
 	interval Millis // Rules.SubscribeInterval
 
-	active    bool
+	isActive  bool   // a subscription is in effect
 	failures  int    // consecutive failures
 	retryAt   Millis // earliest time of the next Subscribe
 	startedAt Millis // time at which this balancer got the cached list at its start
@@ -20,26 +20,26 @@
 // updated records an update of the endpoint list or the failure to get one.
 func (s *subscription) updated(kind UpdateKind) {
 	if kind == UpdateFailed {
-		s.active = false
+		s.isActive = false
 		s.failures++
 		return
 	}
 	if s.required {
-		s.active, s.failures = kind != UpdateCached, 0
+		s.isActive, s.failures = kind != UpdateCached, 0
 	}
 	if kind == UpdateCached {
 		s.startedAt = s.clock.now
 	}
 }
 
-// maxBackoffSteps is the number of backoff steps, each a sixteenth of the interval: the backoff grows to a
-// quarter of it.
+// maxBackoffSteps is the number of backoff steps, each a sixteenth of Rules.SubscribeInterval:
+// the backoff grows to a quarter of that interval.
 const maxBackoffSteps = 4
 
 // renew subscribes if no subscription is active. It randomizes the time of the next try, because all
 // balancers lose discovery at the same time.
 func (s *subscription) renew() {
-	if !s.required || s.active || s.clock.now < s.retryAt {
+	if !s.required || s.isActive || s.clock.now < s.retryAt {
 		return
 	}
 	wait := s.interval / 4 * float64(min(s.failures+1, maxBackoffSteps)) / maxBackoffSteps
