--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -64,19 +64,19 @@
 	settings := plainSettings()
 	settings.Balancers, settings.MaxAttempts = 300, 1
 	s := newScript(t, settings, 8)
-	var draws, n [2]float64
+	var drawSums, counts [2]float64
 	for i := range 400 {
 		class := i % 2
 		id := RequestID(fmt.Sprint("w", i))
 		s.at(float64(50*i), RequestArrived{ID: id, Class: class, TimeLeft: 3000, EstimatedWork: []float64{100, 8000}[class]})
 		if r := s.balancer.requests[id]; r != nil {
-			draws[class], n[class] = draws[class]+r.draw, n[class]+1
+			drawSums[class], counts[class] = drawSums[class]+r.draw, counts[class]+1
 			if r.current.endpoint != nil {
 				s.at(float64(50*i+1), AttemptEnded{ID: id, Endpoint: r.current.endpoint.ID, Outcome: OutcomeSucceeded, Latency: []float64{100, 2000}[class], RequestClosed: true})
 			}
 		}
 	}
-	if draws[0]/n[0]+0.1 > draws[1]/n[1] {
-		t.Fatalf("mean draws %.2f for weight 1 in 100 ms of work, %.2f for weight 10 in 8000 ms", draws[0]/n[0], draws[1]/n[1])
+	if drawSums[0]/counts[0]+0.1 > drawSums[1]/counts[1] {
+		t.Fatalf("mean draws %.2f for weight 1 in 100 ms of work, %.2f for weight 10 in 8000 ms", drawSums[0]/counts[0], drawSums[1]/counts[1])
 	}
 }
--- a/decide/attempt_test.go
+++ b/decide/attempt_test.go
@@ -33,7 +33,7 @@
 	settings := plainSettings()
 	settings.ProgressInterval = 500
 	s := newScript(t, settings, 1)
-	now := s.teach(10, 30, 5, 0, 50)
+	now := s.completeInSequence(10, 30, 5, 0, 50)
 	cancels := 0
 	for i := range 40 {
 		id := RequestID(fmt.Sprint(i))
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -29,7 +29,7 @@
 		settings := plainSettings()
 		settings.Balancers = 300
 		s := newScript(t, settings, 10)
-		now := s.teach(10, 30, 5, class, 100)
+		now := s.completeInSequence(10, 30, 5, class, 100)
 		for _, e := range s.balancer.endpoints.sorted {
 			e.latency = decayingMean{}
 		}
@@ -56,7 +56,7 @@
 	settings := plainSettings()
 	settings.Balancers, settings.GossipEnabled = 300, true
 	s := newScript(t, settings, 10)
-	home, moved := EndpointID(0), 0
+	home, movedCount := EndpointID(0), 0
 	for i := range 200 {
 		id, now := RequestID(fmt.Sprint(i)), Millis(1000+i)
 		var lines []gossipLine
@@ -73,12 +73,12 @@
 		if i == 0 {
 			home = e
 		} else if e != home {
-			moved++
+			movedCount++
 		}
 		s.at(now, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeNotSent, RequestClosed: true})
 	}
-	if home := 200 - moved; home > 12 { // an equal share is 20
-		t.Fatalf("only %d of 200 queries moved away from an overloaded home", moved)
+	if sentHome := 200 - movedCount; sentHome > 12 { // an equal share is 20
+		t.Fatalf("only %d of 200 queries moved away from an overloaded home", movedCount)
 	}
 }
 
@@ -110,12 +110,12 @@
 			for i := range 20 { // one at a time: the best latency, then the latency under more load
 				id := RequestID(fmt.Sprint("t", i))
 				s.at(now, RequestArrived{ID: id, Class: 1, Group: 1, TimeLeft: 15000, EstimatedWork: 4000})
-				took := Millis(1000)
+				queryLatency := Millis(1000)
 				if i > 9 {
-					took = latency
+					queryLatency = latency
 				}
-				s.at(now+took, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: took, RequestClosed: true})
-				now += took
+				s.at(now+queryLatency, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: queryLatency, RequestClosed: true})
+				now += queryLatency
 			}
 			sent := 0
 			for i := range 8 {
@@ -210,9 +210,9 @@
 	settings := plainSettings()
 	settings.Balancers, settings.GossipEnabled = 300, true
 	s := newScript(t, settings, 10)
-	unknown := s.sendsPastOverloaded(s.balancer.endpoints.sorted[0].ID)
-	if unknown > 60 {
-		t.Fatalf("%d of 200 queries to the only endpoint without a load report", unknown)
+	sentToUnknown := s.sendsPastOverloaded(s.balancer.endpoints.sorted[0].ID)
+	if sentToUnknown > 60 {
+		t.Fatalf("%d of 200 queries to the only endpoint without a load report", sentToUnknown)
 	}
 }
 
@@ -227,19 +227,19 @@
 	s.at(1100, AttemptEnded{ID: "a", Endpoint: home, Outcome: OutcomeSucceeded, Latency: 100, RequestClosed: true,
 		Load: &LoadReport{InFlight: 2, Memory: 4}})
 	for _, c := range []struct {
-		at   Millis
-		back bool
+		at           Millis
+		wantHomeUsed bool
 	}{{4500, false}, {30000, true}} {
-		seen := false
+		homeUsed := false
 		for i := range 20 {
 			id := RequestID(fmt.Sprint(c.at, i))
 			s.at(c.at, RequestArrived{ID: id, Group: 3, TimeLeft: 3000, EstimatedMemoryMB: 100})
 			e := s.sentTo(id)
-			seen = seen || e == home
+			homeUsed = homeUsed || e == home
 			s.at(c.at, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeNotSent, RequestClosed: true})
 		}
-		if seen != c.back {
-			t.Fatalf("at %v: sent to the endpoint that pages: %v", c.at, seen)
+		if homeUsed != c.wantHomeUsed {
+			t.Fatalf("at %v: sent to the endpoint that pages: %v", c.at, homeUsed)
 		}
 	}
 }
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -7,8 +7,8 @@
 
 func TestLastingOverloadIsNotLearnedAsBestLatency(t *testing.T) {
 	s := newScript(t, plainSettings(), 1)
-	now := s.teach(10, 100, 5, 0, 50)
-	s.teach(now, 400, 5, 0, 300)
+	now := s.completeInSequence(10, 100, 5, 0, 50)
+	s.completeInSequence(now, 400, 5, 0, 300)
 	if !s.balancer.capacity.saturated(s.balancer.endpoints.sorted[0]) {
 		t.Fatal("a latency of six times the best, for long, does not count as saturation")
 	}
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestMalformedGossipIsDropped(t *testing.T) {
-	for _, bad := range [][]byte{nil, {9, 1, 1, 1}, {byte(gossipInFlight), 1, 1, 1}, {byte(gossipInFlight), 1, 1, 0x80}, {byte(gossipReports), 1}, make([]byte, 300)} {
-		if _, _, ok := decodeGossip(bad); ok {
-			t.Errorf("malformed message %v accepted", bad)
+	for _, malformed := range [][]byte{nil, {9, 1, 1, 1}, {byte(gossipInFlight), 1, 1, 1}, {byte(gossipInFlight), 1, 1, 0x80}, {byte(gossipReports), 1}, make([]byte, 300)} {
+		if _, _, ok := decodeGossip(malformed); ok {
+			t.Errorf("malformed message %v accepted", malformed)
 		}
 	}
 	_, lines, ok := decodeGossip(encodeGossip(gossipInFlight, []gossipLine{{1, []float64{12, 300}}, {1 << 15, []float64{0, 1e12}}}, 256))
@@ -29,8 +29,8 @@
 	}
 }
 
-// requestReports runs one long request; those with an even number end with a load report.
-func (s *script) requestReports(now Millis, number int) {
+// runLongRequest runs one long request. Requests with an even number end with a load report.
+func (s *script) runLongRequest(now Millis, number int) {
 	id := RequestID(fmt.Sprint(now))
 	s.at(now, RequestArrived{ID: id, Class: 1, Group: 3, TimeLeft: 15000})
 	if number%2 == 0 {
@@ -39,8 +39,8 @@
 	}
 }
 
-// gossip returns the messages that the last event sent.
-func (s *script) gossip() (sent []SendGossip) {
+// sentGossip returns the messages that the last event sent.
+func (s *script) sentGossip() (sent []SendGossip) {
 	for _, a := range s.actions {
 		if message, ok := a.(SendGossip); ok {
 			sent = append(sent, message)
@@ -49,8 +49,8 @@
 	return sent
 }
 
-// receivers returns the number of balancers that get a message, if there are balancers in all.
-func receivers(sent SendGossip, balancers int) int {
+// receiverCount returns the number of balancers that get a message. balancers is the number of all balancers.
+func receiverCount(sent SendGossip, balancers int) int {
 	if sent.To == AllPeers {
 		return balancers - 1
 	}
@@ -68,24 +68,24 @@
 		settings := plainSettings()
 		settings.Balancers, settings.GossipEnabled, settings.GossipCost = c.balancers, true, c.cost
 		s := newScript(t, settings, 2)
-		bytes, queries := 0, 0
+		sentBytes, queries := 0, 0
 		for now := 100.0; now < 20000; now += 50 {
 			if queries < int(now/250) { // four per second
 				queries++
-				s.requestReports(now, queries)
+				s.runLongRequest(now, queries)
 			}
 			s.at(now+45, TimerFired{"tick"})
-			for _, sent := range s.gossip() {
+			for _, sent := range s.sentGossip() {
 				if sent.To == AllPeers && c.receiverCount < 2 || sent.To == settings.BalancerIndex {
 					t.Fatalf("%d balancers at cost %v: message sent to %d", c.balancers, c.cost, sent.To)
 				}
-				bytes += len(sent.Data) * receivers(sent, c.balancers)
+				sentBytes += len(sent.Data) * receiverCount(sent, c.balancers)
 			}
 		}
-		if bytes > 0 != (c.receiverCount > 0) {
-			t.Errorf("%d balancers at cost %v: %d bytes sent", c.balancers, c.cost, bytes)
+		if sentBytes > 0 != (c.receiverCount > 0) {
+			t.Errorf("%d balancers at cost %v: %d bytes sent", c.balancers, c.cost, sentBytes)
 		}
-		if total := c.cost * float64(bytes) / 256 / float64(queries); total > 1.1*gossipBudget {
+		if total := c.cost * float64(sentBytes) / 256 / float64(queries); total > 1.1*gossipBudget {
 			t.Errorf("%d balancers at cost %v: messages cost %.4f of the result", c.balancers, c.cost, total)
 		}
 	}
@@ -118,27 +118,27 @@
 	}
 	reports := []gossipLine{{gossipTag(2), []float64{3.2, 0, 0}}, {gossipTag(9), []float64{1, 131, 64.5}}}
 	inFlight := []gossipLine{{gossipTag(1), []float64{12, 300.7}}, {gossipTag(70000), []float64{0, 2e9}}}
-	written := [][]byte{
+	encodedMessages := [][]byte{
 		encodeGossip(gossipInFlight, inFlight, maxMessageBytes),
 		encodeGossip(gossipReports, reports, maxMessageBytes),
 		encodeGossip(gossipReports, reports, 10), // the second line of reports does not fit
 	}
-	read := []string{
+	wantDecoded := []string{
 		fmt.Sprint(gossipInFlight, []gossipLine{{gossipTag(1), []float64{12, 300}}, {gossipTag(70000), []float64{0, maxGossipValue}}}),
 		fmt.Sprint(gossipReports, []gossipLine{{gossipTag(2), []float64{3, 0, 0}}, {gossipTag(9), []float64{1, 131, 64}}}),
 		fmt.Sprint(gossipReports, []gossipLine{{gossipTag(2), []float64{3, 0, 0}}}),
 	}
 	for i, line := range strings.Fields(string(raw)) {
-		recorded, err := hex.DecodeString(line)
+		recordedMessage, err := hex.DecodeString(line)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(recorded, written[i]) {
-			t.Errorf("message %d: wrote %x, recorded %x", i, written[i], recorded)
+		if !bytes.Equal(recordedMessage, encodedMessages[i]) {
+			t.Errorf("message %d: wrote %x, recorded %x", i, encodedMessages[i], recordedMessage)
 		}
-		form, lines, ok := decodeGossip(recorded)
-		if got := fmt.Sprint(form, lines); !ok || got != read[i] {
-			t.Errorf("message %d: read %s, want %s", i, got, read[i])
+		form, lines, ok := decodeGossip(recordedMessage)
+		if got := fmt.Sprint(form, lines); !ok || got != wantDecoded[i] {
+			t.Errorf("message %d: read %s, want %s", i, got, wantDecoded[i])
 		}
 	}
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -104,9 +104,9 @@
 	return false
 }
 
-// teach runs n requests of one group and class in sequence, each with the given latency, and returns the time after
-// them.
-func (s *script) teach(from Millis, n int, group uint64, class int, latency Millis) Millis {
+// completeInSequence runs n requests of one group and class in sequence, each with the given latency, and returns the
+// time after them.
+func (s *script) completeInSequence(from Millis, n int, group uint64, class int, latency Millis) Millis {
 	s.test.Helper()
 	for i := range n {
 		id := RequestID(fmt.Sprintf("teach-%v-%d-%d", from, group, i))
--- a/decide/keyorder_test.go
+++ b/decide/keyorder_test.go
@@ -17,27 +17,27 @@
 // capacity: the queue of a key then stood still for seconds while no request of the key was running.
 func TestWaitingForKeyIsNotLackOfCapacity(t *testing.T) {
 	s := newScript(t, orderedSettings(), 4)
-	waiting := map[RequestID]bool{}
+	openRequests := map[RequestID]bool{}
 	for i := range 40 {
 		id := RequestID(fmt.Sprint("k", i))
 		s.at(1, RequestArrived{ID: id, Class: 1, Key: 7, HasKey: true, TimeLeft: 15000, EstimatedWork: 1000 - float64(20*i)})
-		waiting[id] = true
+		openRequests[id] = true
 	}
-	running, e := RequestID("k0"), EndpointID(0)
-	for now := Millis(2); len(waiting) > 1; now++ {
+	runningID, e := RequestID("k0"), EndpointID(0)
+	for now := Millis(2); len(openRequests) > 1; now++ {
 		if e == 0 {
-			e = s.balancer.requests[running].current.endpoint.ID
+			e = s.balancer.requests[runningID].current.endpoint.ID
 		}
-		delete(waiting, running)
-		s.at(now, AttemptEnded{ID: running, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 1, RequestClosed: true})
-		running, e = "", 0
-		for id := range waiting {
+		delete(openRequests, runningID)
+		s.at(now, AttemptEnded{ID: runningID, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 1, RequestClosed: true})
+		runningID, e = "", 0
+		for id := range openRequests {
 			if target := s.sentTo(id); target != 0 {
-				running, e = id, target
+				runningID, e = id, target
 			}
 		}
-		if running == "" {
-			t.Fatalf("%d requests wait for one key and none runs", len(waiting))
+		if runningID == "" {
+			t.Fatalf("%d requests wait for one key and none runs", len(openRequests))
 		}
 	}
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -7,7 +7,7 @@
 
 func TestOverdueAttemptIsRetriedElsewhere(t *testing.T) {
 	s := newScript(t, plainSettings(), 3)
-	now := s.teach(10, 30, 5, 0, 50)
+	now := s.completeInSequence(10, 30, 5, 0, 50)
 	s.at(now, RequestArrived{ID: "stuck", Group: 5, TimeLeft: 3000})
 	first := s.sentTo("stuck")
 	for ; !s.cancelled("stuck"); now += 50 {
@@ -26,10 +26,10 @@
 	s := newScript(t, plainSettings(), 4)
 	now := Millis(10)
 	for group := range uint64(8) {
-		now = s.teach(now, 10, group, 0, 50)
+		now = s.completeInSequence(now, 10, group, 0, 50)
 	}
 	for group := range uint64(8) {
-		now = s.teach(now, 10, group, 0, 400)
+		now = s.completeInSequence(now, 10, group, 0, 400)
 	}
 	s.at(now, TimerFired{"tick"})
 	for _, e := range s.balancer.endpoints.sorted {
@@ -42,17 +42,17 @@
 func TestDeadEndpointIsEjectedAndReturnsInSlowStart(t *testing.T) {
 	s := newScript(t, plainSettings(), 3)
 	s.at(0, RequestArrived{ID: "a", Group: 5, TimeLeft: 3000})
-	dead := s.sentTo("a")
-	s.at(10, AttemptEnded{ID: "a", Endpoint: dead, Outcome: OutcomeReset})
-	e := s.balancer.endpoints.byID[dead]
+	deadID := s.sentTo("a")
+	s.at(10, AttemptEnded{ID: "a", Endpoint: deadID, Outcome: OutcomeReset})
+	e := s.balancer.endpoints.byID[deadID]
 	if !e.health.ejected {
 		t.Fatal("a lost connection does not eject the endpoint")
 	}
 	s.at(5000, RequestArrived{ID: "b", Group: 5, TimeLeft: 3000})
-	if s.sentTo("b") != dead {
+	if s.sentTo("b") != deadID {
 		t.Fatal("no trial request is sent after the ejection")
 	}
-	s.at(5050, AttemptEnded{ID: "b", Endpoint: dead, Outcome: OutcomeSucceeded, Latency: 50, RequestClosed: true})
+	s.at(5050, AttemptEnded{ID: "b", Endpoint: deadID, Outcome: OutcomeSucceeded, Latency: 50, RequestClosed: true})
 	if e.health.ejected || !s.balancer.slowStart.warming(e) {
 		t.Fatalf("after a successful trial: ejected %v, warming %v", e.health.ejected, s.balancer.slowStart.warming(e))
 	}
@@ -96,7 +96,7 @@
 	settings := plainSettings()
 	settings.ProgressInterval = 500
 	s := newScript(t, settings, 4)
-	now := s.teach(10, 30, 5, 0, 50)
+	now := s.completeInSequence(10, 30, 5, 0, 50)
 	s.at(now, RequestArrived{ID: "a", Group: 5, TimeLeft: 1500})
 	s.at(now, RequestArrived{ID: "b", Group: 5, TimeLeft: 1500})
 	home := s.balancer.endpoints.byID[s.sentTo("b")]
@@ -122,7 +122,7 @@
 		settings := plainSettings()
 		settings.ProgressInterval = 500
 		s := newScript(t, settings, 4)
-		now := s.teach(10, 30, 5, 0, 50)
+		now := s.completeInSequence(10, 30, 5, 0, 50)
 		s.at(now, TimerFired{"tick"})
 		s.at(now, RequestArrived{ID: "a", Class: 1, Group: 5, TimeLeft: 15000})
 		for ; pause == 0 && now < 4000; now += 50 {
@@ -132,12 +132,12 @@
 			}
 		}
 		now += pause
-		before := s.balancer.estimates.pressure(s.balancer.endpoints.sorted[0])
+		pressureBefore := s.balancer.estimates.pressure(s.balancer.endpoints.sorted[0])
 		if pause > 0 {
 			s.actions = s.balancer.Handle(now, TimerFired{"tick"})
 			s.balancer.estimates.observePressure(s.balancer.endpoints.sorted[0], 5)
 		}
-		if s.cancelled("a") != (pause == 0) || s.balancer.estimates.pressure(s.balancer.endpoints.sorted[0]) > before {
+		if s.cancelled("a") != (pause == 0) || s.balancer.estimates.pressure(s.balancer.endpoints.sorted[0]) > pressureBefore {
 			t.Fatalf("after a pause of %v: actions %v, latency pressure %v", pause, s.actions, s.balancer.estimates.pressure(s.balancer.endpoints.sorted[0]))
 		}
 	}
@@ -159,14 +159,14 @@
 	return s
 }
 
-// play sends five short requests per second between two times. Endpoints for which dead is true refuse connections, the
-// others succeed. It returns the number of refused attempts.
-func (s *script) play(from, to Millis, dead func(EndpointID) bool) (refused int) {
+// runTraffic sends five short requests per second between two times. Endpoints for which isDead is true refuse connections,
+// the others succeed. It returns the number of refused attempts.
+func (s *script) runTraffic(from, to Millis, isDead func(EndpointID) bool) (refused int) {
 	for now := from; now < to; now += 200 {
 		id := RequestID(fmt.Sprint(now))
 		s.at(now, RequestArrived{ID: id, Group: uint64(now), TimeLeft: 3000})
 		for e, attempt := s.sentTo(id), 0; e != 0; e, attempt = s.sentTo(id), attempt+1 {
-			if dead(e) {
+			if isDead(e) {
 				refused++
 				s.at(now+5, AttemptEnded{ID: id, Endpoint: e, Attempt: attempt, Outcome: OutcomeConnectFailed})
 				continue
@@ -186,11 +186,11 @@
 	for _, balancers := range []int{3, 300} {
 		s := zonedScript(t, balancers, 10)
 		refuses := func(e EndpointID) bool { return int(e-1)%3 == 1 }
-		s.play(1000, 5000, func(EndpointID) bool { return false })
-		if n := s.play(5000, 25000, refuses); n > 16 {
+		s.runTraffic(1000, 5000, func(EndpointID) bool { return false })
+		if n := s.runTraffic(5000, 25000, refuses); n > 16 {
 			t.Fatalf("%d balancers: %d attempts for 100 queries went to a zone that refuses connections", balancers, n)
 		}
-		s.play(25000, 37000, func(EndpointID) bool { return false })
+		s.runTraffic(25000, 37000, func(EndpointID) bool { return false })
 		for _, e := range s.balancer.endpoints.sorted {
 			if e.health.ejected {
 				t.Fatalf("%d balancers: endpoint %d still ejected 12 s after its zone is back", balancers, e.ID)
@@ -203,8 +203,8 @@
 // complete domain.
 func TestTwoDeadEndpointsDoNotEjectTheirZone(t *testing.T) {
 	s := zonedScript(t, 300, 10)
-	s.play(1000, 5000, func(EndpointID) bool { return false })
-	s.play(5000, 25000, func(e EndpointID) bool { return e == 2 || e == 5 })
+	s.runTraffic(1000, 5000, func(EndpointID) bool { return false })
+	s.runTraffic(5000, 25000, func(e EndpointID) bool { return e == 2 || e == 5 })
 	for _, e := range s.balancer.endpoints.sorted {
 		if e.health.ejected && e.ID != 2 && e.ID != 5 {
 			t.Fatalf("endpoint %d is ejected though it answers", e.ID)
@@ -252,7 +252,7 @@
 func TestConnectFailuresEverywhereLeaveCandidates(t *testing.T) {
 	for _, balancers := range []int{3, 300} {
 		s := zonedScript(t, balancers, 4)
-		s.play(1000, 9000, func(EndpointID) bool { return true })
+		s.runTraffic(1000, 9000, func(EndpointID) bool { return true })
 		s.at(9000, RequestArrived{ID: "after", Group: 4, TimeLeft: 3000})
 		if s.sentTo("after") == 0 {
 			t.Fatalf("%d balancers: nothing is sent after all endpoints have refused", balancers)
@@ -268,16 +268,16 @@
 	settings := plainSettings()
 	settings.Balancers = 80
 	s := newScript(t, settings, 10)
-	now := s.teach(10, 40, 5, 0, 50)
-	sent, begin := map[bool]int{}, now // attempts at the unresponsive endpoint, by whether it is still unresponsive
-	for i := 0; now < begin+40000; i++ {
-		id, unresponsive := RequestID(fmt.Sprint("q", i)), now < begin+20000
+	now := s.completeInSequence(10, 40, 5, 0, 50)
+	sent, start := map[bool]int{}, now // attempts at the unresponsive endpoint, by whether it is still unresponsive
+	for i := 0; now < start+40000; i++ {
+		id, unresponsive := RequestID(fmt.Sprint("q", i)), now < start+20000
 		s.at(now, RequestArrived{ID: id, Group: uint64(i % 72), TimeLeft: 3000})
 		e, attempt := s.sentTo(id), 0
 		if e == 3 {
 			sent[unresponsive]++
 		}
-		for until := now + 3000; e == 3 && unresponsive && now < until; now += 50 {
+		for retryUntil := now + 3000; e == 3 && unresponsive && now < retryUntil; now += 50 {
 			s.at(now, TimerFired{"tick"})
 			if s.cancelled(id) {
 				s.at(now, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeCancelled})
@@ -300,14 +300,14 @@
 	settings := plainSettings()
 	settings.Balancers = 80
 	s := newScript(t, settings, 10)
-	now := s.teach(10, 40, 5, 0, 50)
+	now := s.completeInSequence(10, 40, 5, 0, 50)
 	s.at(now, RequestArrived{ID: "long", Group: 3, TimeLeft: 3000})
 	e := s.sentTo("long")
-	for begin := now; now < begin+600; now += 50 {
+	for start := now; now < start+600; now += 50 {
 		s.at(now, TimerFired{"tick"})
 		switch isEjected := s.balancer.endpoints.byID[e].health.ejected; {
-		case isEjected && now < begin+300:
-			t.Fatalf("ejected after %.0f ms, expected latency 50 ms", now-begin)
+		case isEjected && now < start+300:
+			t.Fatalf("ejected after %.0f ms, expected latency 50 ms", now-start)
 		case isEjected:
 			return
 		}
@@ -328,9 +328,9 @@
 		s.at(float64(1010+i), AttemptEnded{ID: id, Endpoint: s.sentTo(id), Outcome: OutcomeSucceeded, Latency: 9, RequestClosed: true})
 	}
 	s.at(1050, RequestArrived{ID: "bad", Group: 9, TimeLeft: 3000})
-	failing := s.sentTo("bad")
-	s.at(1051, AttemptEnded{ID: "bad", Endpoint: failing, Outcome: OutcomeError})
-	if !s.balancer.endpoints.byID[failing].health.ejected {
+	failingID := s.sentTo("bad")
+	s.at(1051, AttemptEnded{ID: "bad", Endpoint: failingID, Outcome: OutcomeError})
+	if !s.balancer.endpoints.byID[failingID].health.ejected {
 		t.Fatal("an endpoint that fails while others answer stays in rotation")
 	}
 	for i := range 40 { // when all fail, most stay in rotation
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -21,14 +21,14 @@
 
 func TestBandSpreadsHotGroup(t *testing.T) {
 	s := newScript(t, plainSettings(), 4)
-	seen := map[EndpointID]bool{}
+	usedEndpoints := map[EndpointID]bool{}
 	for i := range 12 {
 		id := RequestID(fmt.Sprint(i))
 		s.at(1, RequestArrived{ID: id, Group: 3, TimeLeft: 3000})
-		seen[s.sentTo(id)] = true
+		usedEndpoints[s.sentTo(id)] = true
 	}
-	if len(seen) < 3 {
-		t.Fatalf("12 queries of one group sent to only %d endpoints", len(seen))
+	if len(usedEndpoints) < 3 {
+		t.Fatalf("12 queries of one group sent to only %d endpoints", len(usedEndpoints))
 	}
 }
 
@@ -38,7 +38,7 @@
 	settings := plainSettings()
 	settings.Balancers = 300
 	s := newScript(t, settings, 10)
-	seen := map[EndpointID]int{}
+	sentByEndpoint := map[EndpointID]int{}
 	for i := range 100 { // never two in flight at once; one group has half of the traffic
 		id, group := RequestID(fmt.Sprint(i)), uint64(i)
 		if i%2 == 0 {
@@ -46,12 +46,12 @@
 		}
 		s.at(Millis(i*200), RequestArrived{ID: id, Group: group, TimeLeft: 3000})
 		e := s.sentTo(id)
-		seen[e]++
+		sentByEndpoint[e]++
 		s.at(Millis(i*200+100), AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 100, RequestClosed: true})
 	}
-	for e, n := range seen {
+	for e, n := range sentByEndpoint {
 		if n > 20 {
-			t.Fatalf("endpoint %d gets %d of 100 queries, an equal share is 10: %v", e, n, seen)
+			t.Fatalf("endpoint %d gets %d of 100 queries, an equal share is 10: %v", e, n, sentByEndpoint)
 		}
 	}
 }
--- a/decide/probe_test.go
+++ b/decide/probe_test.go
@@ -13,23 +13,23 @@
 	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled = 300, true, true
 	s := newScript(t, settings, 20)
 	s.at(10, RequestArrived{ID: "a", Group: 5, TimeLeft: 3000})
-	var probed []EndpointID
+	var probedEndpoints []EndpointID
 	for _, a := range s.actions {
 		if p, ok := a.(Probe); ok {
-			probed = append(probed, p.Endpoint)
+			probedEndpoints = append(probedEndpoints, p.Endpoint)
 		}
 	}
-	if len(probed) < 2 || s.sentTo("a") != 0 {
-		t.Fatalf("probed %v, sent to %d", probed, s.sentTo("a"))
+	if len(probedEndpoints) < 2 || s.sentTo("a") != 0 {
+		t.Fatalf("probed %v, sent to %d", probedEndpoints, s.sentTo("a"))
 	}
-	for i, e := range probed {
+	for i, e := range probedEndpoints {
 		if s.sentTo("a") != 0 {
 			t.Fatal("sent before all probes were answered")
 		}
 		s.at(12+float64(i), ProbeEnded{Endpoint: e, Outcome: OutcomeSucceeded, Load: &LoadReport{InFlight: float64(40 - 10*i)}})
 	}
-	if target := s.sentTo("a"); target != probed[len(probed)-1] {
-		t.Fatalf("sent to %d of %v, the last one reports the least load", target, probed)
+	if target := s.sentTo("a"); target != probedEndpoints[len(probedEndpoints)-1] {
+		t.Fatalf("sent to %d of %v, the last one reports the least load", target, probedEndpoints)
 	}
 }
 
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -14,8 +14,8 @@
 type trackedAttempt struct {
 	endpoint  EndpointID
 	startedAt Millis
-	endAt     Millis
-	outcome   Outcome
+	endAt     Millis  // time at which the checker will report the end
+	outcome   Outcome // outcome that the checker will report
 	ended     bool
 	cancelled bool
 }
@@ -35,43 +35,43 @@
 	return n > 0 && !r.attempts[n-1].ended
 }
 
-// mayHaveRun returns the first attempt that may have run, of an earlier request under the same key or of the request
+// firstPossibleRun returns the first attempt that may have run, of an earlier request under the same key or of the request
 // itself; nil: none.
-func (b *ruleChecker) mayHaveRun(r *trackedRequest) *EarlierRun {
+func (b *ruleChecker) firstPossibleRun(r *trackedRequest) *EarlierRun {
 	if r.ev.EarlierRun != nil {
 		return r.ev.EarlierRun
 	}
 	for _, a := range r.attempts {
 		if !a.ended || a.outcome != OutcomeOverloaded && a.outcome != OutcomeConnectFailed && a.outcome != OutcomeNotSent {
-			e := b.listed[a.endpoint]
+			e := b.listedEndpoints[a.endpoint]
 			return &EarlierRun{a.startedAt, e.Zone, e.Cell}
 		}
 	}
 	return nil
 }
 
-// ruleChecker plays a random history of events to a Balancer and checks its actions.
+// ruleChecker feeds a random history of events to a Balancer and checks its actions.
 type ruleChecker struct {
-	test           *testing.T
-	rng            *rand.Rand
-	settings       Settings
-	work           []float64 // actual work of each class, ms on one core
-	balancer       *Balancer
-	now            Millis
-	sequence       int
-	listed         map[EndpointID]EndpointInfo
-	requests       map[RequestID]*trackedRequest
-	arrivals       []*trackedRequest
-	timers         []Millis
-	arrivedAt      []Millis
-	retriedAt      []Millis
-	slowStartSends map[EndpointID][]sentWork
-	bestThroughput float64 // best observed ratio of speed to full speed of any endpoint
-	probes         []EndpointID
-	blockedUntil   map[uint64]Millis
-	blockedBy      map[uint64]*trackedRequest
-	sends          int
-	answers        int
+	test            *testing.T
+	rng             *rand.Rand
+	settings        Settings
+	work            []float64 // actual work of each class, ms on one core
+	balancer        *Balancer
+	now             Millis
+	sequence        int // number of requests that have arrived
+	listedEndpoints map[EndpointID]EndpointInfo
+	requests        map[RequestID]*trackedRequest
+	arrivals        []*trackedRequest
+	timers          []Millis // times at which running timers expire
+	arrivalTimes    []Millis // since the balancer's start
+	retryTimes      []Millis // since the balancer's start
+	slowStartSends  map[EndpointID][]sentWork
+	bestThroughput  float64                    // best observed ratio of speed to full speed of any endpoint
+	probes          []EndpointID               // endpoints whose probe has not ended
+	blockedUntil    map[uint64]Millis          // time until which a key is blocked, by order key
+	blockedBy       map[uint64]*trackedRequest // the request whose attempt blocks the key, by order key
+	sends           int                        // number of attempts started
+	answers         int                        // number of final answers
 }
 
 func randomSettings(rng *rand.Rand) Settings {
@@ -122,7 +122,7 @@
 	}
 	b.balancer = restarted
 	b.requests, b.arrivals, b.timers = map[RequestID]*trackedRequest{}, nil, nil
-	b.arrivedAt, b.retriedAt = nil, nil
+	b.arrivalTimes, b.retryTimes = nil, nil
 	b.blockedUntil, b.blockedBy = map[uint64]Millis{}, map[uint64]*trackedRequest{}
 	b.feed(EndpointUpdate{Kind: UpdateCached, Entries: b.list()})
 }
@@ -130,7 +130,7 @@
 func (b *ruleChecker) list() []EndpointInfo {
 	var l []EndpointInfo
 	for id := EndpointID(1); id < 40; id++ {
-		if e, ok := b.listed[id]; ok && e.State != EndpointRemoved {
+		if e, ok := b.listedEndpoints[id]; ok && e.State != EndpointRemoved {
 			l = append(l, e)
 		}
 	}
@@ -156,7 +156,7 @@
 		b.checkSend(a)
 	case Reject:
 		r := b.finalAnswer(a.ID)
-		if first := b.mayHaveRun(r); first != nil {
+		if first := b.firstPossibleRun(r); first != nil {
 			c := b.settings.Classes[r.ev.Class]
 			if c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (c.DedupScope != DedupFleet || b.now >= first.StartedAt+c.DedupWindow) {
 				b.fail("rule 2: %s rejected though it may have run and the client must not retry it", a.ID)
@@ -204,7 +204,7 @@
 		b.fail("rule 1: %s sent after its final answer", a.ID)
 	}
 	c := b.settings.Classes[r.ev.Class]
-	e, ok := b.listed[a.Endpoint]
+	e, ok := b.listedEndpoints[a.Endpoint]
 	switch {
 	case !ok || e.State != EndpointReady:
 		b.fail("rule 3: %s sent to endpoint %d, which is listed in state %v", a.ID, a.Endpoint, e.State)
@@ -240,7 +240,7 @@
 }
 
 func (b *ruleChecker) checkDedupScope(r *trackedRequest, c Class, e EndpointInfo) {
-	first := b.mayHaveRun(r)
+	first := b.firstPossibleRun(r)
 	if first == nil || c.Idempotency == IdempotentAlways {
 		return
 	}
@@ -270,7 +270,7 @@
 	if len(r.attempts) == 0 || !rules.RetryBudgetEnabled {
 		return
 	}
-	b.retriedAt = append(b.retriedAt, b.now)
+	b.retryTimes = append(b.retryTimes, b.now)
 	count := func(l []Millis) (n float64) {
 		for _, t := range l {
 			if t > b.now-rules.RetryBudgetWindow {
@@ -279,7 +279,7 @@
 		}
 		return n
 	}
-	if retries, t := count(b.retriedAt), count(b.arrivedAt); retries > rules.RetryBudgetMin+rules.RetryBudgetRatio*t {
+	if retries, t := count(b.retryTimes), count(b.arrivalTimes); retries > rules.RetryBudgetMin+rules.RetryBudgetRatio*t {
 		b.fail("rule 7: %v retries for %v requests exceed the retry budget", retries, t)
 	}
 }
@@ -408,23 +408,23 @@
 	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, arrivalNumber: b.sequence}
 	b.requests[ev.ID] = r
 	b.arrivals = append(b.arrivals, r)
-	b.arrivedAt = append(b.arrivedAt, b.now)
+	b.arrivalTimes = append(b.arrivalTimes, b.now)
 	b.feed(ev)
 }
 
 // changeList changes the state of one endpoint and sends the complete list or that entry.
 func (b *ruleChecker) changeList() {
 	id := EndpointID(1 + b.rng.IntN(8))
-	e, ok := b.listed[id]
+	e, ok := b.listedEndpoints[id]
 	if !ok || e.State != EndpointReady {
-		e = b.entry(id)
+		e = b.initialEntry(id)
 		e.StartedAt = b.now + 0.001
 		e.State = EndpointReady
 		delete(b.slowStartSends, id)
 	} else {
 		e.State = EndpointState(b.rng.IntN(3))
 	}
-	b.listed[id] = e
+	b.listedEndpoints[id] = e
 	if b.rng.IntN(3) == 0 {
 		b.feed(EndpointUpdate{Kind: UpdateSnapshot, Entries: b.list()})
 	} else {
@@ -432,7 +432,7 @@
 	}
 }
 
-func (b *ruleChecker) entry(id EndpointID) EndpointInfo {
+func (b *ruleChecker) initialEntry(id EndpointID) EndpointInfo {
 	return EndpointInfo{ID: id, Zone: int(id) % 2, Kind: int(id) / 2 % 2, Cell: int(id) / 3, State: EndpointReady}
 }
 
@@ -440,13 +440,13 @@
 	for seed := uint64(1); seed <= 250; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 77))
-			b := &ruleChecker{test: t, rng: rng, settings: randomSettings(rng), now: 1000, listed: map[EndpointID]EndpointInfo{},
+			b := &ruleChecker{test: t, rng: rng, settings: randomSettings(rng), now: 1000, listedEndpoints: map[EndpointID]EndpointInfo{},
 				slowStartSends: map[EndpointID][]sentWork{}}
 			for _, c := range b.settings.Classes {
 				b.work = append(b.work, c.LatencyObjective*float64(c.Threads)*(0.1+0.5*rng.Float64()))
 			}
 			for id := EndpointID(1); id <= 6; id++ {
-				b.listed[id] = b.entry(id)
+				b.listedEndpoints[id] = b.initialEntry(id)
 			}
 			b.start()
 			for i := 0; i < 2500; i++ {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -28,7 +28,7 @@
 		settings := plainSettings()
 		settings.Balancers = n
 		rules := settings.Rules
-		sum, long := 0.0, 0
+		totalWork, longSent := 0.0, 0
 		for index := range n {
 			settings.BalancerIndex = index
 			s := newScript(t, settings, 0)
@@ -38,16 +38,16 @@
 				id := RequestID(fmt.Sprint(i))
 				s.at(1000, RequestArrived{ID: id, Class: 1 - min(i, 1), Group: 3, TimeLeft: 14000})
 				if s.sentTo(id) != 0 {
-					sum += []float64{2000, 60}[min(i, 1)]
-					long += 1 - min(i, 1)
+					totalWork += []float64{2000, 60}[min(i, 1)]
+					longSent += 1 - min(i, 1)
 				}
 			}
 		}
-		if allowed := rules.OverloadRatio * rules.SlowStartCapacityRatio * 0.85 * 8 * rules.OverloadWindow; sum > allowed || sum < allowed/5 {
-			t.Errorf("%d balancers send %.0f ms of work at once, %.0f ms allowed", n, sum, allowed)
+		if allowed := rules.OverloadRatio * rules.SlowStartCapacityRatio * 0.85 * 8 * rules.OverloadWindow; totalWork > allowed || totalWork < allowed/5 {
+			t.Errorf("%d balancers send %.0f ms of work at once, %.0f ms allowed", n, totalWork, allowed)
 		}
-		if n > 1 && long != 1 {
-			t.Errorf("%d balancers send %d long queries to a warming endpoint, want 1", n, long)
+		if n > 1 && longSent != 1 {
+			t.Errorf("%d balancers send %d long queries to a warming endpoint, want 1", n, longSent)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	settings.Balancers = 300
 	work := settings.Classes[0].LatencyObjective
 	limit := settings.Rules.OverloadRatio * settings.Rules.SlowStartCapacityRatio * usableCores * 8 * settings.Rules.OverloadWindow
-	var at []Millis // times of the attempts at the warming endpoint
+	var attemptTimes []Millis // times of the attempts at the warming endpoint
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
 		s := newScript(t, settings, 2)
@@ -87,21 +87,21 @@
 			s.at(now, RequestArrived{ID: id, Group: uint64(now), TimeLeft: 3000})
 			if e := s.sentTo(id); e != 0 {
 				if e == 1 {
-					at = append(at, now)
+					attemptTimes = append(attemptTimes, now)
 				}
 				s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeNotSent, RequestClosed: true})
 			}
 		}
 	}
-	sort.Float64s(at)
-	for i := range at {
-		n := sort.SearchFloat64s(at, at[i]+settings.Rules.OverloadWindow) - i
+	sort.Float64s(attemptTimes)
+	for i := range attemptTimes {
+		n := sort.SearchFloat64s(attemptTimes, attemptTimes[i]+settings.Rules.OverloadWindow) - i
 		if float64(n)*work > limit {
 			t.Fatalf("%d attempts in one window, overload above %.0f", n, limit/work)
 		}
 	}
-	if len(at) < 10 {
-		t.Fatalf("only %d attempts at a warming endpoint in 11 s", len(at))
+	if len(attemptTimes) < 10 {
+		t.Fatalf("only %d attempts at a warming endpoint in 11 s", len(attemptTimes))
 	}
 }
 
@@ -141,10 +141,10 @@
 // simulateWarmingFleet simulates 20 s of 80 balancers with 30 endpoints. Four of these restart after 10 s; their speed,
 // relative to full speed, then depends on their age. It counts the queries sent to one of the four and fails if their
 // work exceeds the overload limit in any window.
-func simulateWarmingFleet(t *testing.T, speed func(age Millis) float64) (queries, long int) {
+func simulateWarmingFleet(t *testing.T, speed func(age Millis) float64) (queries, longQueries int) {
 	settings := plainSettings()
 	settings.Balancers, settings.ActualCostReported, settings.Kinds = 80, true, []EndpointKind{{16, 32768}}
-	works, rules, start := []float64{80, 3000}, settings.Rules, Millis(10000)
+	works, rules, restartAt := []float64{80, 3000}, settings.Rules, Millis(10000)
 	var sent []sentWork
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
@@ -155,16 +155,16 @@
 				class = 1
 			}
 			if i == 76 {
-				s.at(now, EndpointUpdate{Kind: UpdateIncremental, Entries: startedEndpoints(9, 4, start)})
+				s.at(now, EndpointUpdate{Kind: UpdateIncremental, Entries: startedEndpoints(9, 4, restartAt)})
 			}
 			s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i*7+index) % 72, TimeLeft: 3000 * float64(1+3*class), EstimatedWork: works[class]})
 			e, endpointSpeed := s.sentTo(id), 1.0
-			if e >= 9 && e < 13 && now > start {
-				endpointSpeed = speed(now - start)
+			if e >= 9 && e < 13 && now > restartAt {
+				endpointSpeed = speed(now - restartAt)
 			}
 			if e == 9 && i > 76 {
 				sent = append(sent, sentWork{now, works[class]})
-				long += class
+				longQueries += class
 			}
 			s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, RequestClosed: true, ActualWork: works[class],
 				Latency: works[class] / float64(settings.Classes[class].Threads) / endpointSpeed})
@@ -172,12 +172,12 @@
 	}
 	sort.Slice(sent, func(i, j int) bool { return sent[i].sentAt < sent[j].sentAt })
 	for i := range sent {
-		sum, limit := workBefore(sent[i:], sent[i].sentAt+rules.OverloadWindow), rules.OverloadRatio*speed(sent[i].sentAt-start)*usableCores*16*rules.OverloadWindow
+		sum, limit := workBefore(sent[i:], sent[i].sentAt+rules.OverloadWindow), rules.OverloadRatio*speed(sent[i].sentAt-restartAt)*usableCores*16*rules.OverloadWindow
 		if sum > limit {
 			t.Fatalf("%.0f ms of work in one window, overload above %.0f", sum, limit)
 		}
 	}
-	return len(sent), long
+	return len(sent), longQueries
 }
 
 // TestSlowStartCountsMeanWorkOfClass guards against counting each query's own estimate against the slow-start budget:
@@ -205,12 +205,12 @@
 	settings.Balancers, settings.Kinds = 80, []EndpointKind{{16, 32768}}
 	settings.Classes = append(settings.Classes, Class{LatencyObjective: 4000, Deadline: 20000, PriorityWeight: 20, Threads: 2, LocksGroup: true, Idempotency: NotIdempotent})
 	rules := settings.Rules
-	half := rules.OverloadRatio * rules.SlowStartCapacityRatio * usableCores * 16 * rules.OverloadWindow / 2
-	sent, works := 0.0, []float64{80, half / 3.2, half / 1.2}
+	halfBudget := rules.OverloadRatio * rules.SlowStartCapacityRatio * usableCores * 16 * rules.OverloadWindow / 2
+	sentTotal, classWorks := 0.0, []float64{80, halfBudget / 3.2, halfBudget / 1.2}
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
 		s := newScript(t, settings, 0)
-		for i, classWork := range works {
+		for i, classWork := range classWorks {
 			s.balancer.estimates.classes[i].work = classWork
 		}
 		s.at(5000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 4990}}})
@@ -218,11 +218,11 @@
 			id := RequestID(fmt.Sprint(i))
 			s.at(5000, RequestArrived{ID: id, Class: 1 + i%2, Group: uint64(i), TimeLeft: 14000})
 			if s.sentTo(id) != 0 {
-				sent += works[1+i%2]
+				sentTotal += classWorks[1+i%2]
 			}
 		}
 	}
-	if sent > half || sent < 0.9*half {
-		t.Fatalf("all balancers send %.0f of %.0f ms of work to a warming endpoint in one turn", sent, half)
+	if sentTotal > halfBudget || sentTotal < 0.9*halfBudget {
+		t.Fatalf("all balancers send %.0f of %.0f ms of work to a warming endpoint in one turn", sentTotal, halfBudget)
 	}
 }
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -45,7 +45,7 @@
 	downUntil Millis // connections are refused before this time
 	removed   bool
 	threads   float64    // threads in use
-	received  []sentWork // attempts within the last overload window, in requests of mean work
+	received  []sentWork // attempts received in the last overload window; work in multiples of a mean request
 }
 
 // slowStartFleet simulates balancers and endpoints, some of which start during the simulation.
@@ -54,7 +54,7 @@
 	rng           *rand.Rand
 	settings      Settings
 	meanWork      []float64 // actual mean work of each class, ms on one core
-	trafficRatios []float64 // ratio of requests by class
+	trafficRatios []float64 // share of each class in the requests
 	queue         eventQueue
 	sequence      int
 	now           Millis
@@ -62,20 +62,20 @@
 	endpoints     map[EndpointID]*warmingEndpoint
 	misconfigure  func(*Settings) // changes the settings of the balancers only; nil: no change
 	worstExcess   float64         // largest excess over a budget, as a ratio of randomExcess
-	receivedWork  float64         // attempts at all warming endpoints, in requests of mean work
-	budgetWork    float64         // budget of all warming endpoints, in the same unit
+	receivedWork  float64         // work of the attempts at all warming endpoints, in multiples of a mean request's work
+	budgetWork    float64         // budget of all warming endpoints, in multiples of a mean request's work
 }
 
 // simulatedBalancer is one balancer of the fleet with its open requests.
 type simulatedBalancer struct {
-	fleet       *slowStartFleet
-	index       int
-	balancer    *Balancer
-	incarnation int                   // number of starts; events of an earlier incarnation are dropped
-	notifiedAt  map[EndpointID]Millis // time at which the balancer learned of an endpoint's start
-	listDelay   Millis                // mean delay of its endpoint updates
-	open        map[RequestID]*simulatedRequest
-	weight      float64 // weight of its share of the traffic
+	fleet        *slowStartFleet
+	index        int
+	balancer     *Balancer
+	incarnation  int                   // number of starts; events of an earlier incarnation are dropped
+	notifiedAt   map[EndpointID]Millis // time at which the balancer learned of an endpoint's start
+	listDelay    Millis                // mean delay of the endpoint updates to this balancer
+	openRequests map[RequestID]*simulatedRequest
+	weight       float64 // weight of the balancer in the division of the traffic
 }
 
 // simulatedRequest is an open request of a balancer.
@@ -85,8 +85,8 @@
 	cancel   func()
 }
 
-// after schedules a function after a delay.
-func (f *slowStartFleet) after(d Millis, do func()) {
+// schedule schedules a call of a function after a delay.
+func (f *slowStartFleet) schedule(d Millis, do func()) {
 	f.sequence++
 	heap.Push(&f.queue, scheduledEvent{f.now + max(d, 0), f.sequence, do})
 }
@@ -123,7 +123,7 @@
 func (f *slowStartFleet) list() (l []EndpointInfo) {
 	for _, e := range f.endpoints {
 		if !e.removed && f.now >= e.downUntil {
-			l = append(l, e.entry())
+			l = append(l, e.listEntry())
 		}
 	}
 	slices.SortFunc(l, func(a, b EndpointInfo) int { return cmp.Compare(a.ID, b.ID) })
@@ -133,8 +133,8 @@
 // epoch is the Unix time in ms at which simulations begin.
 const epoch = 1.7e12
 
-// entry returns the endpoint's entry in the list.
-func (e *warmingEndpoint) entry() EndpointInfo {
+// listEntry returns the entry of the endpoint in the endpoint list.
+func (e *warmingEndpoint) listEntry() EndpointInfo {
 	l := EndpointInfo{ID: e.id, State: EndpointReady, Cell: int(e.id) % 3}
 	if e.startedAt > 0 {
 		l.StartedAt = epoch + e.startedAt
@@ -146,7 +146,7 @@
 func (f *slowStartFleet) notify(entry EndpointInfo) {
 	for _, b := range f.balancers {
 		atIncarnation := b.incarnation
-		f.after(b.listDelay*(0.5+f.rng.Float64()), func() {
+		f.schedule(b.listDelay*(0.5+f.rng.Float64()), func() {
 			if b.incarnation != atIncarnation {
 				return
 			}
@@ -169,10 +169,10 @@
 	if err != nil {
 		b.fleet.test.Fatal(err)
 	}
-	for _, r := range b.open {
+	for _, r := range b.openRequests {
 		r.cancel()
 	}
-	b.balancer, b.incarnation, b.open, b.notifiedAt = restarted, b.incarnation+1, map[RequestID]*simulatedRequest{}, map[EndpointID]Millis{}
+	b.balancer, b.incarnation, b.openRequests, b.notifiedAt = restarted, b.incarnation+1, map[RequestID]*simulatedRequest{}, map[EndpointID]Millis{}
 	l := b.fleet.list()
 	for _, e := range l {
 		if e.StartedAt > 0 {
@@ -185,8 +185,8 @@
 // handle passes an event to the balancer and carries out its actions.
 func (b *simulatedBalancer) handle(ev Event) {
 	f, atIncarnation := b.fleet, b.incarnation
-	later := func(d Millis, do func()) {
-		f.after(d, func() {
+	scheduleUnlessRestarted := func(d Millis, do func()) {
+		f.schedule(d, func() {
 			if b.incarnation == atIncarnation {
 				do()
 			}
@@ -195,7 +195,7 @@
 	for _, a := range b.balancer.Handle(epoch+f.now, ev) {
 		switch a := a.(type) {
 		case StartTimer:
-			later(a.After, func() { b.handle(TimerFired{a.Token}) })
+			scheduleUnlessRestarted(a.After, func() { b.handle(TimerFired{a.Token}) })
 		case Probe:
 			e, outcome := f.endpoints[a.Endpoint], OutcomeSucceeded
 			var load *LoadReport
@@ -204,13 +204,13 @@
 			} else if f.settings.LoadReportsEnabled {
 				load = &LoadReport{InFlight: e.threads / 2, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
 			}
-			later(2, func() { b.handle(ProbeEnded{Endpoint: a.Endpoint, Outcome: outcome, Load: load, Latency: 2}) })
+			scheduleUnlessRestarted(2, func() { b.handle(ProbeEnded{Endpoint: a.Endpoint, Outcome: outcome, Load: load, Latency: 2}) })
 		case StartAttempt:
-			b.send(a, later)
+			b.send(a, scheduleUnlessRestarted)
 		case CancelAttempt:
-			if r := b.open[a.ID]; r != nil && a.Attempt == r.attempts-1 {
+			if r := b.openRequests[a.ID]; r != nil && a.Attempt == r.attempts-1 {
 				r.cancel()
-				later(1, func() { b.handle(AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: OutcomeCancelled, Latency: 1}) })
+				scheduleUnlessRestarted(1, func() { b.handle(AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: OutcomeCancelled, Latency: 1}) })
 			}
 		}
 	}
@@ -218,22 +218,22 @@
 
 // send carries out an attempt. It records the attempt at a warming endpoint of whose start the balancer has been
 // notified.
-func (b *simulatedBalancer) send(a StartAttempt, later func(Millis, func())) {
-	f, r, e := b.fleet, b.open[a.ID], b.fleet.endpoints[a.Endpoint]
+func (b *simulatedBalancer) send(a StartAttempt, scheduleUnlessRestarted func(Millis, func())) {
+	f, r, e := b.fleet, b.openRequests[a.ID], b.fleet.endpoints[a.Endpoint]
 	if r == nil {
 		return
 	}
 	attempt, sentAt := r.attempts, f.now
 	r.attempts++
-	end := func(outcome Outcome, work float64) {
+	reportEnd := func(outcome Outcome, work float64) {
 		b.handle(AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: outcome, Latency: f.now - sentAt, RequestClosed: outcome == OutcomeSucceeded, ActualWork: work})
 	}
 	r.cancel = func() {}
 	if e == nil || e.removed || f.now < e.downUntil {
-		later(1, func() { end(OutcomeConnectFailed, 0) })
+		scheduleUnlessRestarted(1, func() { reportEnd(OutcomeConnectFailed, 0) })
 		return
 	}
-	if at, notified := b.notifiedAt[e.id]; notified && at >= e.startedAt && f.warming(e) {
+	if notifiedAt, notified := b.notifiedAt[e.id]; notified && notifiedAt >= e.startedAt && f.warming(e) {
 		f.recordAttempt(e, r.class)
 	}
 	c := f.settings.Classes[r.class]
@@ -242,24 +242,24 @@
 	e.threads += threads
 	endpointStart := e.startedAt
 	slowdown := max(e.threads/(f.settings.Kinds[0].Cores*usableCores*f.capacityRatio(e)), 1)
-	cancelled, done := false, false
-	free := func() {
-		if !done {
-			done = true
+	cancelled, released := false, false
+	releaseThreads := func() {
+		if !released {
+			released = true
 			e.threads -= threads
 		}
 	}
-	r.cancel = func() { cancelled = true; free() }
-	f.after(work/threads*slowdown, func() {
-		free()
+	r.cancel = func() { cancelled = true; releaseThreads() }
+	f.schedule(work/threads*slowdown, func() {
+		releaseThreads()
 		if cancelled {
 			return
 		}
-		later(0, func() {
+		scheduleUnlessRestarted(0, func() {
 			if e.removed || e.startedAt != endpointStart {
-				end(OutcomeReset, 0)
+				reportEnd(OutcomeReset, 0)
 			} else {
-				end(OutcomeSucceeded, work)
+				reportEnd(OutcomeSucceeded, work)
 			}
 		})
 	})
@@ -287,7 +287,7 @@
 		draw, class = draw-f.trafficRatios[class], class+1
 	}
 	requestID := RequestID(fmt.Sprint(b.incarnation, "-", id))
-	b.open[requestID] = &simulatedRequest{class: class, cancel: func() {}}
+	b.openRequests[requestID] = &simulatedRequest{class: class, cancel: func() {}}
 	estimatedWork := f.meanWork[class] * math.Exp(f.rng.NormFloat64()*0.4)
 	b.handle(RequestArrived{ID: requestID, Class: class, Group: f.rng.Uint64N(40), TimeLeft: f.settings.Classes[class].Deadline, EstimatedWork: estimatedWork})
 }
@@ -297,10 +297,10 @@
 // used. misconfiguration changes the settings of the balancers, but not those of the simulated endpoints.
 func simulateSlowStartFleet(t *testing.T, balancerCount int, seed uint64, misconfiguration func(*Settings)) (excess, usedRatio float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(balancerCount)))
-	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
+	uniform := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
 	f := &slowStartFleet{test: t, rng: rng, endpoints: map[EndpointID]*warmingEndpoint{}, misconfigure: misconfiguration, worstExcess: math.Inf(-1)}
-	f.meanWork = []float64{between(50, 230), between(2500, 5900), between(2800, 7800)}
-	f.trafficRatios = []float64{between(10, 18), between(2, 2.9), between(0.5, 1.3)}
+	f.meanWork = []float64{uniform(50, 230), uniform(2500, 5900), uniform(2800, 7800)}
+	f.trafficRatios = []float64{uniform(10, 18), uniform(2, 2.9), uniform(0.5, 1.3)}
 	sum := f.trafficRatios[0] + f.trafficRatios[1] + f.trafficRatios[2]
 	for i := range f.trafficRatios {
 		f.trafficRatios[i] /= sum
@@ -310,13 +310,13 @@
 		Classes: []Class{{LatencyObjective: 500, Deadline: 2500, Threads: 1, PriorityWeight: 1, LateWeightRatio: 0.1, ObjectivePerWork: 1.5},
 			{LatencyObjective: 1500, Deadline: 15000, Threads: 4, PriorityWeight: 20, LateWeightRatio: 0.4, ObjectivePerWork: 2.5},
 			{LatencyObjective: 4000, Deadline: 20000, Threads: 2, PriorityWeight: 25, LateWeightRatio: 0.6, ObjectivePerWork: 3, Idempotency: NotIdempotent, LocksGroup: true}},
-		Rules: Rules{SlowStartCapacityRatio: between(0.3, 0.5), SlowStartDuration: between(8000, 15000), OverloadRatio: between(2, 3), OverloadWindow: between(1000, 3000)}}
+		Rules: Rules{SlowStartCapacityRatio: uniform(0.3, 0.5), SlowStartDuration: uniform(8000, 15000), OverloadRatio: uniform(2, 3), OverloadWindow: uniform(1000, 3000)}}
 	endpointCount := 6 + rng.IntN(5)
 	for i := range endpointCount {
 		f.endpoints[EndpointID(i+1)] = &warmingEndpoint{id: EndpointID(i + 1)}
 	}
 	for i := range balancerCount {
-		b := &simulatedBalancer{fleet: f, index: i, listDelay: between(50, 4000), weight: rng.ExpFloat64() + 0.05}
+		b := &simulatedBalancer{fleet: f, index: i, listDelay: uniform(50, 4000), weight: rng.ExpFloat64() + 0.05}
 		f.balancers = append(f.balancers, b)
 		b.start()
 	}
@@ -324,40 +324,40 @@
 	for _, b := range f.balancers {
 		totalWeight += b.weight
 	}
-	rate := between(0.6, 1.3) * float64(endpointCount) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
-	ids := 0
+	requestRate := uniform(0.6, 1.3) * float64(endpointCount) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
+	lastID := 0
 	for _, b := range f.balancers {
 		var next func()
 		next = func() {
-			ids++
-			b.arrive(ids)
-			f.after(rng.ExpFloat64()/(rate*b.weight/totalWeight), next)
+			lastID++
+			b.arrive(lastID)
+			f.schedule(rng.ExpFloat64()/(requestRate*b.weight/totalWeight), next)
 		}
-		f.after(rng.ExpFloat64()/(rate*b.weight/totalWeight), next)
+		f.schedule(rng.ExpFloat64()/(requestRate*b.weight/totalWeight), next)
 	}
 	for i := range 1 + rng.IntN(endpointCount*7/10) { // half of them are replaced, the others restart
-		e, at := f.endpoints[EndpointID(i+1)], between(3000, 7000)
+		e, at := f.endpoints[EndpointID(i+1)], uniform(3000, 7000)
 		if rng.IntN(2) == 0 {
-			f.after(at, func() {
+			f.schedule(at, func() {
 				e.removed = true
 				f.notify(EndpointInfo{ID: e.id, State: EndpointRemoved})
 				replacement := &warmingEndpoint{id: e.id + 1000, startedAt: f.now}
 				f.endpoints[replacement.id] = replacement
-				f.notify(replacement.entry())
+				f.notify(replacement.listEntry())
 			})
 			continue
 		}
-		f.after(at, func() {
-			e.startedAt = f.now + between(300, 4000)
+		f.schedule(at, func() {
+			e.startedAt = f.now + uniform(300, 4000)
 			e.downUntil = e.startedAt
-			f.after(e.downUntil-f.now, func() {
-				f.notify(e.entry())
+			f.schedule(e.downUntil-f.now, func() {
+				f.notify(e.listEntry())
 			})
 		})
 	}
 	for range rng.IntN(balancerCount/2 + 1) { // balancers that restart during slow start
 		b := f.balancers[rng.IntN(balancerCount)]
-		f.after(between(5000, 15000), b.start)
+		f.schedule(uniform(5000, 15000), b.start)
 	}
 	const step = 100
 	var sumBudgets func()
@@ -367,7 +367,7 @@
 				f.budgetWork += f.budget(e) * step / f.settings.Rules.OverloadWindow
 			}
 		}
-		f.after(step, sumBudgets)
+		f.schedule(step, sumBudgets)
 	}
 	sumBudgets()
 	for f.now < 26000 && len(f.queue) > 0 {
