--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -6,7 +6,7 @@
 	"aniseloft/decide"
 )
 
-// decodeEvent returns the event in a message to one balancer.
+// decodeEvent decodes a message to one balancer into the event that it carries.
 func (h *Host) decodeEvent(m *message) (decide.Event, error) {
 	if err := m.require(field{"gateway", m.Balancer == nil}); err != nil {
 		return nil, err
@@ -166,8 +166,8 @@
 }
 
 const (
-	costMemorySteps  = 4096 // values of the low part of an actual cost
-	costMemoryStepMB = 4
+	costMemorySteps  = 4096 // number of values of an actual cost's low part, the memory in steps
+	costMemoryStepMB = 4    // memory of one step
 )
 
 // actualCost splits the wire's single number for an attempt's actual cost: memory in steps of 4 MB in the low 12 bits,
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -20,7 +20,7 @@
 	actionSendGossip    = "Say"
 	actionLog           = "JournalLine"
 	actionSubscribe     = "Observe"
-	actionFault         = "Bug" // the balancer panicked or returned an action that the wire has no form for
+	actionFault         = "Bug" // the balancer panicked or returned an action that can't be encoded
 )
 
 type (
@@ -79,7 +79,7 @@
 	}
 )
 
-// encodeAction returns one action of a balancer in the wire's form.
+// encodeAction converts one action of a balancer to its wire message.
 func encodeAction(balancer int, action decide.Action) any {
 	switch a := action.(type) {
 	case decide.StartAttempt: // the wire has no field for StartBefore
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -3,22 +3,22 @@
 // SettingsField documents one field of the settings.
 type SettingsField struct {
 	Path    string // JSON path, with [] for the elements of a list
-	Target  string // the field of a decide type that it sets; empty: known but not decoded
-	Effect  string // its effect, or the reason why it is not used
-	Default string // the meaning of its absence
+	Target  string // the field of a decide type that the settings field sets; empty: known but not decoded
+	Effect  string // the effect of the settings field, or the reason why it is not used
+	Default string // what applies if the settings field is absent
 }
 
 // SettingsFields are all known fields of the settings. docs/settings.md is generated from them, in this order;
 // Inspect reports any other field.
 var SettingsFields = []SettingsField{
 	{"balancers", "Settings.Balancers", "the number of coordinators: splits the slow-start budget of a warming endpoint, orders the turns in which they use it, and enables gossip above 1", "an error"},
-	{"me", "Settings.BalancerIndex", "this coordinator's index among them: its turn in slow start, and the coordinator that it never sends gossip to", "0"},
+	{"me", "Settings.BalancerIndex", "this coordinator's index among all coordinators, from 0: its turn in slow start, and the coordinator that it never sends gossip to", "0"},
 	{"tickMs", "Settings.TickInterval", "the unit of the housekeeping period, and the basis for detecting a pause of this process", "an error"},
 	{"zone", "Settings.Zone", "decoded and not used: placement orders endpoints without regard to the zone", "0"},
 	{"zones[]", "Settings.ZoneNames", "zone names that entries of the endpoint list refer to; any other name matches none of them", "an entry's zone is 0"},
 	{"machineTypes[]", "Settings.KindNames", "names of endpoint kinds that entries of the endpoint list refer to, and by which REST endpoints are configured; any other name matches none of them", "an entry's kind is 0"},
 	{"bounds.cancel", "Settings.CancellationEnabled", "attempts may be cancelled: overdue ones, ones with a bad query plan, and those of clients that have disconnected", "attempts are never cancelled"},
-	{"bounds.connIdleMs", "Settings.IdleConnectionTimeout", "idle connections to endpoints are closed after 0.8 of it", "10 s"},
+	{"bounds.connIdleMs", "Settings.IdleConnectionTimeout", "the time after which endpoints close idle connections; the coordinator closes them after 0.8 of it", "10 s"},
 	{"bounds.connectTimeoutMs", "Settings.ConnectTimeout", "timeout for opening a connection to an endpoint", "250 ms"},
 	{"bounds.maxOpen", "Settings.MaxOpenRequests", "maximum number of open requests; more are rejected at once", "12,000"},
 	{"bounds.maxRetryAfterMs", "Settings.MaxRetryAfter", "with bounds.retryAfter: the longest Retry-After of a rejection", "no Retry-After"},
@@ -46,8 +46,8 @@
 	{"domain.reportX1", "", "not used: a description for readers; x1 is the ratio of disks in use", ""},
 	{"lanes[].name", "Class.Name", "the method or X-Trino-Source that selects the class, and the Kind sent to endpoints", "clients cannot select the class"},
 	{"lanes[].promiseMs", "Class.LatencyObjective", "the latency objective: an answer within it earns the complete priority weight; the shortest one scales the times of outlier detection", "an error"},
-	{"lanes[].aimStretch", "Class.ObjectivePerWork", "the objective is longer by this, multiplied by work and divided by threads", "the objective does not depend on work"},
-	{"lanes[].deadlineMs", "Class.Deadline", "the deadline of REST queries; ttl may be up to four times it", "an error"},
+	{"lanes[].aimStretch", "Class.ObjectivePerWork", "added to the latency objective for each ms of a query's work, divided by the threads of the class", "the objective does not depend on work"},
+	{"lanes[].deadlineMs", "Class.Deadline", "the deadline of REST queries; the ttl of a JSON-RPC request may be up to four times as long", "an error"},
 	{"lanes[].gain", "Class.PriorityWeight", "the priority weight: weight per unit of work decides which request is dispatched first and which is rejected", "the weight is 0"},
 	{"lanes[].lateWorth", "Class.LateWeightRatio", "the ratio of the weight that an answer after the objective earns", "a late answer earns none"},
 	{"lanes[].repeat", "Class.Idempotency", "idempotency: whether a request that may have run may be retried; by_key requires an idempotency key", "an error"},
@@ -64,9 +64,9 @@
 	{"rules.coldFrom", "Rules.SlowStartCapacityRatio", "the ratio of its capacity that an endpoint has at the start of slow start", "a warming endpoint gets no requests"},
 	{"rules.coldMs", "Rules.SlowStartDuration", "the duration of slow start", "no slow start"},
 	{"rules.fallMs", "Rules.OverloadWindow", "the window within which the budget of a warming endpoint applies", "a warming endpoint gets no requests"},
-	{"rules.fallMultiple", "Rules.OverloadRatio", "the multiple of its current capacity that a warming endpoint withstands", "a warming endpoint gets no requests"},
+	{"rules.fallMultiple", "Rules.OverloadRatio", "the multiple of its current capacity that a warming endpoint withstands without overload", "a warming endpoint gets no requests"},
 	{"rules.drainGraceMs", "Rules.DrainGrace", "decoded and not used: no attempt starts at an endpoint after its drain notice", "0"},
-	{"rules.mustAskInMs", "Rules.SubscribeInterval", "with registryMode ask: the interval of polls for the endpoint list after a failure", "an error with registryMode ask"},
+	{"rules.mustAskInMs", "Rules.SubscribeInterval", "with registryMode ask: the interval at which the endpoint list is polled for after a failure", "an error with registryMode ask"},
 	{"rules.orderSettleMs", "Rules.KeyOrderDelay", "the pause under a key after an attempt that may still run", "no pause"},
 	{"rules.repeatRatio", "Rules.RetryBudgetRatio", "the retry budget: attempts beyond the first, as a ratio of admitted requests; its presence enables the budget", "no retry budget"},
 	{"rules.spareAttempts", "Rules.RetryBudgetMin", "the retries that the budget allows at any traffic", "0"},
--- a/internal/wire/fields_test.go
+++ b/internal/wire/fields_test.go
@@ -22,13 +22,13 @@
 // readersOfSettings returns the packages whose code reads each field of decide's settings, by the field's qualified
 // name.
 func readersOfSettings(t *testing.T) map[string][]string {
-	loaded, err := packages.Load(&packages.Config{
+	loadedPackages, err := packages.Load(&packages.Config{
 		Mode: packages.NeedName | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports,
 		Dir:  "../..",
 	}, "./decide", "./internal/config", "./internal/routing", "./internal/transport/...", "./internal/program")
 	require.NoError(t, err)
 	readers := map[string][]string{}
-	for _, p := range loaded {
+	for _, p := range loadedPackages {
 		require.Empty(t, p.Errors)
 		reader := strings.TrimPrefix(p.PkgPath, "aniseloft/")
 		for _, file := range p.Syntax {
@@ -48,14 +48,14 @@
 
 // settingsFieldsRead returns the qualified names of the settings' fields that a file reads. Assignments do not count.
 func settingsFieldsRead(info *types.Info, file *ast.File) (names []string) {
-	written := map[ast.Expr]bool{}
+	isWritten := map[ast.Expr]bool{}
 	ast.Inspect(file, func(n ast.Node) bool {
 		if assignment, ok := n.(*ast.AssignStmt); ok {
 			for _, left := range assignment.Lhs {
-				written[left] = true
+				isWritten[left] = true
 			}
 		}
-		if selector, ok := n.(*ast.SelectorExpr); ok && !written[selector] {
+		if selector, ok := n.(*ast.SelectorExpr); ok && !isWritten[selector] {
 			if name, ok := settingsFieldName(info.Uses[selector.Sel]); ok {
 				names = append(names, name)
 			}
@@ -98,16 +98,16 @@
 func TestSettingsPageMatchesCode(t *testing.T) {
 	readers := readersOfSettings(t)
 	require.Greater(t, len(readers), 40, "the search finds most fields")
-	rows := map[string]bool{}
+	documentedTargets := map[string]bool{}
 	for _, f := range SettingsFields {
-		rows[f.Target] = true
+		documentedTargets[f.Target] = true
 		require.NotEmpty(t, f.Effect, f.Path)
 		require.Equal(t, f.Target != "", f.Default != "", f.Path)
 	}
 	// MaxInFlight is set from the program's own limits; RetryBudgetEnabled from the presence of rules.repeatRatio.
-	exempt := []string{"Settings.MaxInFlight", "Rules.RetryBudgetEnabled", "Settings.Classes", "Settings.Kinds", "Settings.Tenants", "Settings.Rules"}
+	undocumentedTargets := []string{"Settings.MaxInFlight", "Rules.RetryBudgetEnabled", "Settings.Classes", "Settings.Kinds", "Settings.Tenants", "Settings.Rules"}
 	for name := range readers {
-		require.True(t, rows[name] || slices.Contains(exempt, name), "%s is read but not in wire.SettingsFields", name)
+		require.True(t, documentedTargets[name] || slices.Contains(undocumentedTargets, name), "%s is read but not in wire.SettingsFields", name)
 	}
 	var b strings.Builder
 	b.WriteString("# Settings\n\nThe `settings` of a coordinator's configuration: each field, the packages that read it, its effect and the meaning of its\n" +
@@ -134,7 +134,7 @@
 
 // TestEveryDecodedFieldIsListed checks that exactly the fields with a target in SettingsFields are decoded.
 func TestEveryDecodedFieldIsListed(t *testing.T) {
-	var paths []string
+	var decodedPaths []string
 	var walk func(typ reflect.Type, path string)
 	walk = func(typ reflect.Type, path string) {
 		switch typ.Kind() {
@@ -148,31 +148,31 @@
 				walk(f.Type, strings.TrimPrefix(path+"."+f.Tag.Get("json"), "."))
 			}
 		default:
-			paths = append(paths, path)
+			decodedPaths = append(decodedPaths, path)
 		}
 	}
 	walk(reflect.TypeFor[params](), "")
-	var listed []string
+	var listedPaths []string
 	for _, f := range SettingsFields {
 		if f.Target != "" {
-			listed = append(listed, f.Path)
+			listedPaths = append(listedPaths, f.Path)
 		}
 	}
-	slices.Sort(paths)
-	slices.Sort(listed)
-	require.Equal(t, paths, listed)
+	slices.Sort(decodedPaths)
+	slices.Sort(listedPaths)
+	require.Equal(t, decodedPaths, listedPaths)
 }
 
 func TestInspectReportsAllFindings(t *testing.T) {
-	raw := `{"balancers":2,"me":5,"tickMs":5,"novel":{"x":1},"machineTypes":["std-16"],"zones":["a"],
+	settings := `{"balancers":2,"me":5,"tickMs":5,"novel":{"x":1},"machineTypes":["std-16"],"zones":["a"],
 	 "bounds":{"sendCap":3,"maxRetryAfterMs":-5,"retryAfter":true,"fast":true},
 	 "domain":{"sizeCores":[16,0],"kindMemoryMb":[-1],"classThreads":[1,2],"progressMs":-1,"grantsCount":true},
 	 "lanes":[{"name":"a","promiseMs":500,"deadlineMs":300,"repeat":"by_key","gain":0,"confinedTo":[4]},
 	  {"name":"b","promiseMs":0,"deadlineMs":300,"repeat":"repeatable","gain":1,"colour":"red"}],
 	 "rules":{"coldMs":1000,"repeatRatio":-1},"registryMode":"push"}`
 	var lines []string
-	_, found := Inspect([]byte(raw))
-	for _, f := range found {
+	_, findings := Inspect([]byte(settings))
+	for _, f := range findings {
 		lines = append(lines, f.String())
 	}
 	require.Equal(t, []string{
@@ -194,10 +194,10 @@
 		`lanes[1].colour = "red": unknown field; it is ignored`,
 		`novel = {"x":1}: unknown field; it is ignored`,
 	}, lines)
-	_, found = Inspect([]byte(`[`))
-	require.True(t, found[0].Fatal)
-	_, found = Inspect([]byte(`{"lanes":[{"repeat":"maybe"}]}`))
-	require.Equal(t, `settings = as given: field lanes.repeat: "maybe" is unknown; the program does not start`, found[0].String())
+	_, findings = Inspect([]byte(`[`))
+	require.True(t, findings[0].Fatal)
+	_, findings = Inspect([]byte(`{"lanes":[{"repeat":"maybe"}]}`))
+	require.Equal(t, `settings = as given: field lanes.repeat: "maybe" is unknown; the program does not start`, findings[0].String())
 	_, err := decide.New(decide.Settings{}, 1)
 	require.Error(t, err)
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,8 +1,8 @@
 // Package wire translates the decision module's events and actions from and to the simulator's JSON protocol, and
 // decodes the settings that the simulator and the coordinator's configuration share. It makes no decisions.
 //
-// The names that the wire and the settings use are only here, in struct tags and in the constants beside
-// them; docs/glossary.md lists them with the terms that the code uses.
+// The field names and words of the wire and of the settings occur only in this package, in struct tags and in
+// the constants beside them; docs/glossary.md lists them with the terms that the code uses.
 package wire
 
 import (
@@ -24,11 +24,11 @@
 
 func malformedf(format string, args ...any) error { return malformed{fmt.Errorf(format, args...)} }
 
-// Host runs the balancers of one process; they share nothing but the endpoint lists. It is not safe for concurrent
-// use.
+// Host runs all balancers of one process. The balancers share nothing but the endpoint lists. A Host is
+// not safe for concurrent use.
 type Host struct {
-	balancers map[int]*decide.Balancer
-	lists     map[int][]decide.EndpointInfo // by the numbers in their messages
+	balancers map[int]*decide.Balancer      // started balancers by index
+	lists     map[int][]decide.EndpointInfo // endpoint lists by the number that the List message gives them
 }
 
 // NewHost returns a host without balancers.
@@ -36,14 +36,14 @@
 	return &Host{balancers: map[int]*decide.Balancer{}, lists: map[int][]decide.EndpointInfo{}}
 }
 
-// batch is one line of input.
+// batch is one line of input: the messages that arrive at one time.
 type batch struct {
-	NowMS    *float64          `json:"timeMs"`
-	Round    *int64            `json:"round"`
+	NowMS    *float64          `json:"timeMs"` // time of all messages of the batch
+	Round    *int64            `json:"round"`  // number of the batch, repeated in the reply
 	Messages []json.RawMessage `json:"in"`
 }
 
-// batchReply is one line of output.
+// batchReply is one line of output: the actions that follow from a batch.
 type batchReply struct {
 	Round   int64 `json:"round"`
 	Actions []any `json:"decisions"`
@@ -59,8 +59,8 @@
 		return nil, malformedf("batch: field timeMs or round is missing")
 	}
 	reply := batchReply{Round: *b.Round, Actions: []any{}}
-	for _, raw := range b.Messages {
-		actions, err := h.handle(*b.NowMS, raw)
+	for _, encodedMessage := range b.Messages {
+		actions, err := h.handle(*b.NowMS, encodedMessage)
 		if err != nil {
 			return nil, err
 		}
@@ -74,9 +74,9 @@
 }
 
 // handle handles one message of a batch and returns the encoded actions.
-func (h *Host) handle(nowMS float64, raw json.RawMessage) ([]any, error) {
+func (h *Host) handle(nowMS float64, encodedMessage json.RawMessage) ([]any, error) {
 	var m message
-	if err := json.Unmarshal(raw, &m); err != nil {
+	if err := json.Unmarshal(encodedMessage, &m); err != nil {
 		kind := m.Kind
 		if kind == "" {
 			kind = "message"
--- a/internal/wire/inspect.go
+++ b/internal/wire/inspect.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s = %s: %s; %s", f.Field, f.Value, f.Message, f.Consequence)
 }
 
-// FatalFinding returns a finding that prevents the start of the program.
+// FatalFinding returns a finding about a field that prevents the start of the program.
 func FatalFinding(field, value, message string) Finding {
 	return Finding{field, value, message, "the program does not start", true}
 }
@@ -33,9 +33,9 @@
 // the field, or the document if the text is not JSON, with the expected type and the position. The decoder's own error
 // names types of the program, so it is used only if the standard decoder finds no fault.
 func DecodingFinding(document string, raw []byte, target any, decodingError error) Finding {
-	fault, found := jsonfault.Find(raw, target)
+	fault, hasFault := jsonfault.Find(raw, target)
 	switch {
-	case !found:
+	case !hasFault:
 		return FatalFinding(document, "unreadable", decodingError.Error())
 	case fault.Field == "":
 		return FatalFinding(document, "unreadable", fault.Message())
@@ -46,7 +46,7 @@
 // undecodedSettings returns the fatal finding for settings that are JSON but can't be decoded: a value of the wrong
 // type or, if the standard decoder finds none, the decoder's own error.
 func undecodedSettings(raw []byte, decodingError error) Finding {
-	if fault, found := jsonfault.Find(raw, new(params)); found {
+	if fault, hasFault := jsonfault.Find(raw, new(params)); hasFault {
 		return FatalFinding("settings."+fault.Field, fault.Found, fault.Message()+" of the settings")
 	}
 	return FatalFinding("settings", "as given", decodingError.Error())
@@ -61,32 +61,32 @@
 	if err := json.Unmarshal(raw, &tree); err != nil {
 		return decide.Settings{}, []Finding{FatalFinding("settings", truncate(string(raw)), err.Error())}
 	}
-	var found []Finding
+	var findings []Finding
 	s, err := Settings(raw)
 	if err != nil {
-		found = append(found, undecodedSettings(raw, err))
+		findings = append(findings, undecodedSettings(raw, err))
 	} else {
 		for _, p := range decide.ValidateSettings(&s) {
 			path := pathOfSetting(p.Field)
 			if p.Fatal {
-				found = append(found, FatalFinding(path, describeValueAt(tree, path), p.Message))
+				findings = append(findings, FatalFinding(path, describeValueAt(tree, path), p.Message))
 			} else {
-				found = append(found, Finding{path, describeValueAt(tree, path), p.Message, p.Consequence, false})
+				findings = append(findings, Finding{path, describeValueAt(tree, path), p.Message, p.Consequence, false})
 			}
 		}
 	}
-	known := map[string]bool{}
+	knownPaths := map[string]bool{}
 	for _, f := range SettingsFields {
-		known[f.Path] = true
+		knownPaths[f.Path] = true
 		for i := range f.Path { // the objects that contain it are known too
 			if f.Path[i] == '.' {
-				known[f.Path[:i]] = true
+				knownPaths[f.Path[:i]] = true
 			}
 		}
-		known[strings.TrimSuffix(f.Path, "[]")] = true
+		knownPaths[strings.TrimSuffix(f.Path, "[]")] = true
 	}
-	findUnknownFields(tree, "", known, &found)
-	slices.SortStableFunc(found, func(a, b Finding) int {
+	findUnknownFields(tree, "", knownPaths, &findings)
+	slices.SortStableFunc(findings, func(a, b Finding) int {
 		switch {
 		case a.Fatal == b.Fatal:
 			return 0
@@ -95,11 +95,11 @@
 		}
 		return 1
 	})
-	return s, found
+	return s, findings
 }
 
 // findUnknownFields appends a finding for each field that is not in SettingsFields, in the order of their names.
-func findUnknownFields(v any, parent string, known map[string]bool, found *[]Finding) {
+func findUnknownFields(v any, parent string, knownPaths map[string]bool, findings *[]Finding) {
 	switch v := v.(type) {
 	case map[string]any:
 		names := make([]string, 0, len(v))
@@ -110,16 +110,16 @@
 		for _, name := range names {
 			path := strings.TrimPrefix(parent+"."+name, ".")
 			generalPath := generalizePath(path)
-			if !known[generalPath] && !known[generalPath+"[]"] {
+			if !knownPaths[generalPath] && !knownPaths[generalPath+"[]"] {
 				text, _ := json.Marshal(v[name])
-				*found = append(*found, Finding{path, truncate(string(text)), "unknown field", "it is ignored", false})
+				*findings = append(*findings, Finding{path, truncate(string(text)), "unknown field", "it is ignored", false})
 				continue
 			}
-			findUnknownFields(v[name], path, known, found)
+			findUnknownFields(v[name], path, knownPaths, findings)
 		}
 	case []any:
 		for i, element := range v {
-			findUnknownFields(element, fmt.Sprintf("%s[%d]", parent, i), known, found)
+			findUnknownFields(element, fmt.Sprintf("%s[%d]", parent, i), knownPaths, findings)
 		}
 	}
 }
@@ -139,16 +139,16 @@
 
 // pathOfSetting returns the JSON path of a field of decide's types, such as Classes[2].LatencyObjective.
 func pathOfSetting(field string) string {
-	owner, name, within := strings.Cut(field, ".")
+	owner, name, hasOwner := strings.Cut(field, ".")
 	base, index, _ := strings.Cut(strings.TrimSuffix(owner, "]"), "[")
 	setting := "Settings." + field
-	if within {
+	if hasOwner {
 		setting = map[string]string{"Classes": "Class", "Kinds": "EndpointKind", "Tenants": "Tenant", "Rules": "Rules"}[base] + "." + name
 	}
-	if base == "Classes" && !within {
+	if base == "Classes" && !hasOwner {
 		return "lanes"
 	}
-	if base == "Kinds" && !within {
+	if base == "Kinds" && !hasOwner {
 		return "domain.sizeCores"
 	}
 	for _, f := range SettingsFields {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -10,7 +10,7 @@
 
 // The kinds of incoming messages, as the wire names them.
 const (
-	messageList            = "List"            // an endpoint list with a number
+	messageList            = "List"            // defines an endpoint list and its number
 	messageStart           = "Boot"            // starts a balancer
 	messageStop            = "Halt"            // stops a balancer
 	messageEndpointUpdate  = "BackendsChanged" // decide.EndpointUpdate
@@ -66,7 +66,7 @@
 	StartedAtMS float64 `json:"launchedMs"`
 }
 
-// decode returns the entry in decide's form. kind is the kind of the message, for errors.
+// decode converts the entry to a decide.EndpointInfo. kind is the kind of the message, for error texts.
 func (e listedEndpoint) decode(kind string) (decide.EndpointInfo, error) {
 	if e.ID == nil {
 		return decide.EndpointInfo{}, malformedf("%s: field hosts.engine is missing", kind)
@@ -82,7 +82,7 @@
 
 // field is a required field of a message.
 type field struct {
-	name   string // its name on the wire
+	name   string // name of the field on the wire
 	absent bool
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -87,7 +87,7 @@
 	KindNames      []string `json:"machineTypes"`
 }
 
-// lookup returns the value for a word of an enumerated field.
+// lookup returns the value that a word of an enumerated field stands for. Its error names the field and the word.
 func lookup[T any](field, word string, known map[string]T) (T, error) {
 	value, ok := known[word]
 	if !ok {
@@ -124,8 +124,8 @@
 )
 
 const (
-	discoveryBySubscription = "ask"
-	noLoadReports           = "silent"
+	discoveryBySubscription = "ask"    // value of registryMode: the endpoint list goes only to subscribers
+	noLoadReports           = "silent" // value of report.via: endpoints send no load reports
 )
 
 // Settings decodes the settings of one balancer. Its errors name the field that can't be decoded.
