--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -37,11 +37,11 @@
 	samples        int     // number of attempts that succeeded
 	estimates      float64 // number of requests with an estimate of work
 	work           float64 // mean work, ms on one core
-	usualWork      float64 // mean expected work of its requests, ms on one core
+	usualWork      float64 // mean expected work of the class's requests, ms on one core
 	workBias       float64 // ratio of actual to estimated work
 	memoryBias     float64 // ratio of actual to estimated memory
 	spillNotices   float64 // number of notices of a spill
-	spillRatio     float64 // ratio of attempts that spilled, among those long enough to report it
+	spillRatio     float64 // ratio of attempts that spilled, among those long enough to report a spill
 	logLatency     float64 // mean log of latency (relative to the estimate, if there is one)
 	bestLogLatency float64 // lowest logLatency so far, slowly forgotten
 	long           bool    // the class's queries need much more work than the shortest; see classifySizes
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -15,7 +15,7 @@
 }
 
 // TestClassSizeFollowsWork guards against deriving a class's size from its latency objective. An objective of 1.5 s
-// plus 2.5 times the work made a class short, with the higher queue bound and used for trials, at 20 times the work of
+// plus 2.5 times the work made a class short, with the higher queue bound and used for trial requests, at 20 times the work of
 // the shortest class.
 func TestClassSizeFollowsWork(t *testing.T) {
 	settings := plainSettings()
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -258,6 +258,6 @@
 		d.restore(e, at)
 		return
 	}
-	// Connections from here failed, so a trial has to show whether the network path works.
+	// Connections from here failed, so a trial request has to show whether the network path works.
 	h.trialAfter = min(h.trialAfter, d.clock.now)
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -180,8 +180,8 @@
 }
 
 // TestConnectFailuresEjectTheirFailureDomain checks a zone that refuses connections while the endpoint list has its
-// endpoints as ready. A balancer with five requests per second must not lose attempts at each of them, nor spend its
-// requests on trials, and must use the zone again once it is back.
+// endpoints as ready. A balancer with five requests per second must neither lose attempts at each of them nor use up
+// its requests as trial requests to them, and must use the zone again once it is back.
 func TestConnectFailuresEjectTheirFailureDomain(t *testing.T) {
 	for _, balancers := range []int{3, 300} {
 		s := zonedScript(t, balancers, 10)
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if !p.slowStart.admits(e, class.work, cheapestLong, p.subscription.startedAt) {
-			p.endpoints.creditFairShare(e) // so that it gets no burst of requests to catch up once it is warm
+			p.endpoints.creditFairShare(e) // so that a warm endpoint gets no burst to catch up
 			continue
 		}
 		permittedEndpoints = append(permittedEndpoints, e)
@@ -96,14 +96,14 @@
 	candidates := p.candidates(r)
 	sparse := p.endpoints.sparse()
 	load, cores := p.score(candidates, sparse)
-	margin := p.estimates.expectedWork(r) // the band may be exceeded by one request
+	margin := p.estimates.expectedWork(r) // one request may exceed the load band
 	var leastLoaded *endpoint
 	accepted := make([]*endpoint, 0, len(candidates))
 	for _, e := range candidates {
 		if !p.capacity.admits(e, r, sparse) {
 			continue
 		}
-		if sparse { // scores count requests here: up to one, in proportion to cores
+		if sparse { // scores are in requests: the margin is up to one, in proportion to cores
 			margin = r.draw * e.cores * float64(len(candidates)) / cores
 		}
 		withinBand := e.score <= bandRatio*load*e.cores/cores+margin
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -7,7 +7,7 @@
 const (
 	IdempotentAlways Idempotency = iota // attempts may be repeated at any endpoint
 	IdempotentByKey                     // endpoints deduplicate by key within a scope, for a while
-	NotIdempotent                       // no further attempt once one may have run
+	NotIdempotent                       // no further attempt after one that may have run
 )
 
 // DedupScope is the set of endpoints that deduplicate a request, relative to the endpoint of its first
@@ -38,11 +38,11 @@
 	ObjectivePerWork float64 // added to the objective per ms of work divided by threads
 	Deadline         Millis
 	PriorityWeight   float64 // weight that an answer within the objective earns
-	LateWeightRatio  float64 // ratio of the weight that an answer past the objective earns
+	LateWeightRatio  float64 // ratio of PriorityWeight that an answer after the objective earns
 	Threads          int     // threads of one query
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      Millis // time from a key's first attempt for which endpoints deduplicate it
+	DedupWindow      Millis // time from the first attempt under a key for which endpoints deduplicate the key
 	OrderedByKey     bool   // requests with the same order key run one at a time
 	Zones, Kinds     []int  // indexes of the zones and endpoint kinds in which the class may run; nil: all
 	LocksGroup       bool   // a query of the class holds a lock on its group while it runs
@@ -64,16 +64,18 @@
 // Rules are the parameters of the operators' rules.
 type Rules struct {
 	AnswerSlack Millis // time for a final answer after the deadline; not used: answers are given before it
-	// An endpoint is warming up for SlowStartDuration after its start. It then has at least
-	// SlowStartCapacityRatio of its capacity, and collapses under OverloadRatio times its capacity at that
-	// time within OverloadWindow.
+	// An endpoint is warming up for SlowStartDuration after its start. During that time it has at least
+	// SlowStartCapacityRatio of its full capacity, and it collapses if the work that it gets within
+	// OverloadWindow reaches OverloadRatio times its capacity at that time.
 	SlowStartCapacityRatio float64
 	SlowStartDuration      Millis
 	OverloadRatio          float64
 	OverloadWindow         Millis
 	DrainGrace             Millis // not used: no new request is sent once a drain is announced
 	SubscribeInterval      Millis // longest time without a subscription to the endpoint list
-	KeyOrderDelay          Millis // blocks an order key after an attempt that may still be running
+	// KeyOrderDelay is the time for which an order key stays blocked after the end of an attempt that may
+	// still be running at its endpoint.
+	KeyOrderDelay Millis
 	// The retry budget allows RetryBudgetMin retries, plus RetryBudgetRatio of the requests, within
 	// RetryBudgetWindow.
 	RetryBudgetEnabled bool
@@ -105,14 +107,16 @@
 	PrioritiesEnabled         bool // endpoints obey a requested priority
 	ActualCostReported        bool // answers report actual work and memory
 
-	ProbeCost float64 // cost of one probe per request, as a ratio of the total result
+	// ProbeCost is the cost of one probe per request, as a ratio of the total result (the weight
+	// that requests earn, less costs).
+	ProbeCost float64
 	// GossipCost is the cost of one full message to one balancer per request, as a ratio of the total result.
 	GossipCost           float64
-	MaxRetryAfter        Millis           // longest time that clients obey; 0: rejections give no time
+	MaxRetryAfter        Millis           // longest Retry-After that clients obey, for rejections; 0: none
 	ProgressInterval     Millis           // time between progress notices of a running query; 0: no notices
 	MemoryExhaustion     MemoryExhaustion // not used: memory in flight is bounded in any case
 	MaxGrantRatio        float64          // largest grant, as a ratio of an endpoint's memory
-	OverQuotaWeightRatio float64          // ratio of the weight that a request over its tenant's quota earns
+	OverQuotaWeightRatio float64          // ratio of its weight that a request over its tenant's quota earns
 
 	KindNames             []string // names of the kinds, by index
 	ZoneNames             []string // names of the zones, by index
