--- a/internal/spool/collection.go
+++ b/internal/spool/collection.go
@@ -58,16 +58,16 @@
 // expire drops the expired results of a directory, and removes the directory if no result is left.
 func (c *Collection) expire(directory *Directory, options Options) error {
 	s, _, err := Open(directory, options)
-	if err != nil { // damaged, or written by a later release: left for its coordinator
+	if err != nil { // a directory that is damaged, or written by a later release, is left to its coordinator
 		return nil
 	}
 	expired, err := s.Expire()
-	left := s.Usage().Results
+	remaining := s.Usage().Results
 	if err = errors.Join(err, s.Close()); err != nil {
 		return err
 	}
 	c.Expired += expired
-	if left > 0 {
+	if remaining > 0 {
 		return nil
 	}
 	c.Removed++
--- a/internal/spool/collection_test.go
+++ b/internal/spool/collection_test.go
@@ -44,7 +44,7 @@
 	}
 	c, err := collect(4, "n1/1")
 	require.NoError(t, err)
-	require.Equal(t, Collection{Unowned: 1, InUse: 1}, c, "its retention is not over")
+	require.Equal(t, Collection{Unowned: 1, InUse: 1}, c, "the result's retention is not over")
 	now += 10000
 	for _, stale := range []struct {
 		fence  lease.Fence
--- a/internal/spool/compress.go
+++ b/internal/spool/compress.go
@@ -11,7 +11,7 @@
 // zstdCodec creates the encoder and decoder at first use: their tables take some MB, which a coordinator that does not
 // compress pages never allocates.
 var zstdCodec = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
-	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)) // no option can fail
+	encoder, _ := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)) // none of these options can fail
 	decoder, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxRecordBytes))
 	return encoder, decoder
 })
--- a/internal/spool/contents.go
+++ b/internal/spool/contents.go
@@ -11,8 +11,8 @@
 // foundResult is one result as its records describe it.
 type foundResult struct {
 	pages     map[uint32]location
-	pageCount uint32 // from the seal
-	seal      *location
+	pageCount uint32    // number of pages of the complete result, as the seal states it
+	seal      *location // where the seal is stored; nil: the result is not sealed
 	sealRecord
 }
 
--- a/internal/spool/crash_test.go
+++ b/internal/spool/crash_test.go
@@ -27,18 +27,18 @@
 		switch {
 		case err != nil:
 			_ = w.Abort()
-		case k == 11: // stays open
+		case k == 11: // the result stays open
 		default:
 			if w.Seal() == nil {
 				sealed[name] = pages
 			}
 		}
 		if k%3 == 2 {
-			old := fmt.Sprint("r", k-1)
-			possible[old] = sealed[old]
-			delete(sealed, old)
-			if st.Drop(old) == nil {
-				dropped[old] = true
+			previous := fmt.Sprint("r", k-1)
+			possible[previous] = sealed[previous]
+			delete(sealed, previous)
+			if st.Drop(previous) == nil {
+				dropped[previous] = true
 			}
 		}
 		*now += 10
--- a/internal/spool/directory.go
+++ b/internal/spool/directory.go
@@ -23,7 +23,7 @@
 // to it.
 type Directory struct {
 	path string
-	lock *os.File // nil: opened for reading only
+	lock *os.File // the locked file; nil: the directory was opened for reading only
 }
 
 // ErrInUse is returned if another process holds the spool's lock.
--- a/internal/spool/faultymedium_test.go
+++ b/internal/spool/faultymedium_test.go
@@ -14,7 +14,7 @@
 	step           int // number of steps so far
 	failAt         int // 0: never
 	transient      bool
-	dead           bool
+	dead           bool   // if set, every further step fails
 	partialPercent int    // percentage of the bytes of a failing write that are written nevertheless
 	onRead         func() // called once, within the next read
 }
@@ -22,7 +22,7 @@
 type faultySegment struct {
 	medium *faultyMedium
 	data   []byte
-	synced int
+	synced int // number of bytes that survive a restart
 }
 
 var errNoSpace = errors.New("no space left on device")
--- a/internal/spool/fence.go
+++ b/internal/spool/fence.go
@@ -12,15 +12,16 @@
 	"aniseloft/internal/lease"
 )
 
-// fencesFile is beside the coordinators' directories and holds, for each job, the highest fence that has acted there.
+// fencesFile lies beside the coordinators' directories. For each job it stores the highest fence under which an
+// operation has run on the shared directory.
 // It is unrelated to the file of the same name in a fleet's directory, which holds the assignments that a coordinator
 // has followed (internal/transport/coordination/fences.go).
 const fencesFile = "fences.json"
 
-// RunFenced runs an operation of a job on a shared directory. If a later grant of the job has acted there, it returns
-// a lease.StaleFenceError instead. The directory's lock is held for the whole operation, as a directory has no
-// transactions: a holder that is suspended during its operation delays later holders, and does no harm when it
-// resumes.
+// RunFenced runs an operation of a job on a shared directory. If an operation of a later grant, one with a higher
+// fence, has run there, it returns a lease.StaleFenceError instead. The directory's lock is held for the whole operation,
+// as a directory has no transactions: a holder that is suspended during its operation delays later holders, and does no
+// harm when it resumes.
 func RunFenced(root, job string, fence lease.Fence, holder string, operation func() error) error {
 	lock, err := os.OpenFile(filepath.Join(root, lockFile), os.O_CREATE|os.O_RDWR, privateMode)
 	if err != nil {
--- a/internal/spool/inspect.go
+++ b/internal/spool/inspect.go
@@ -35,25 +35,25 @@
 // Inspect reads a spool without changing it; the spool may be in use meanwhile. If deep is set, every page is read and
 // verified too.
 func Inspect(m Medium, deep bool) (Inspection, error) {
-	all, found, err := scanMedium(m, deep)
+	index, inspection, err := scanMedium(m, deep)
 	if err != nil {
-		return found, err
+		return inspection, err
 	}
 	names := map[string]string{}
-	for _, id := range all.order {
-		info, damage := all.describe(id)
-		found.Results = append(found.Results, info)
-		found.Damage = append(found.Damage, damage...)
+	for _, id := range index.order {
+		info, damage := index.describe(id)
+		inspection.Results = append(inspection.Results, info)
+		inspection.Damage = append(inspection.Damage, damage...)
 		if info.Name != "" {
 			names[info.ID] = info.Name
 		}
 	}
-	for i, d := range found.Damage {
+	for i, d := range inspection.Damage {
 		if name, known := names[d.Result]; known {
-			found.Damage[i].Result = name
+			inspection.Damage[i].Result = name
 		}
 	}
-	return found, nil
+	return inspection, nil
 }
 
 // describe returns the description of a result, and a damage if the result is sealed but lacks pages.
@@ -78,46 +78,46 @@
 
 // scanMedium reads all segments. It does not fill in the Results of the Inspection.
 func scanMedium(m Medium, deep bool) (*contents, Inspection, error) {
-	var found Inspection
+	var inspection Inspection
 	numbers, err := m.List()
 	if err != nil {
-		return nil, found, err
+		return nil, inspection, err
 	}
-	all := newContents()
+	index := newContents()
 	for _, number := range numbers {
 		file, err := m.Open(number)
 		if err != nil {
-			return nil, found, err
+			return nil, inspection, err
 		}
 		size, err := file.Size()
 		if err == nil {
-			_, damage := scan(number, file, size, deep, all.add)
-			found.Damage = append(found.Damage, damage...)
-			found.Bytes += size
+			_, damage := scan(number, file, size, deep, index.add)
+			inspection.Damage = append(inspection.Damage, damage...)
+			inspection.Bytes += size
 		}
 		if err = errors.Join(err, file.Close()); err != nil {
-			return nil, found, err
+			return nil, inspection, err
 		}
 	}
-	found.Segments = len(numbers)
-	return all, found, nil
+	inspection.Segments = len(numbers)
+	return index, inspection, nil
 }
 
 // ReadPage reads one page of a sealed result and verifies its checksum; the spool may be in use meanwhile. Errors are
 // ErrNotFound, ErrNoPage, ErrMedium, ErrCorruptPage and those of the medium.
 func ReadPage(m Medium, name string, page int) ([]byte, error) {
-	all, _, err := scanMedium(m, false)
+	index, _, err := scanMedium(m, false)
 	if err != nil {
 		return nil, err
 	}
 	id := IDFromName(name)
-	r := all.results[id]
-	if _, dropped := all.tombstones[id]; r == nil || dropped {
+	r := index.results[id]
+	if _, dropped := index.tombstones[id]; r == nil || dropped {
 		return nil, ErrNotFound
 	}
 	pages, complete := r.completePages()
 	if !complete {
-		return nil, fmt.Errorf("%w: it is not sealed", ErrNotFound)
+		return nil, fmt.Errorf("%w: the result is not sealed", ErrNotFound)
 	}
 	if page < 0 || page >= len(pages) {
 		return nil, fmt.Errorf("%w: the result has %d pages, numbered from 0", ErrNoPage, len(pages))
--- a/internal/spool/ledger/admission.go
+++ b/internal/spool/ledger/admission.go
@@ -12,16 +12,16 @@
 const (
 	Reserved  Verdict = iota // the bytes are reserved
 	MustEvict                // the bytes fit once the results in Decision.Evict are dropped: drop them and ask again
-	MustWait                 // other results hold the missing bytes: read on from the engine once they are freed
+	MustWait                 // other results hold the missing bytes: stop reading from the engine until they are freed
 	Rejected                 // too few results can be evicted: the client is told to retry later
 )
 
 // Decision is a verdict, with the details that the caller needs to follow it.
 type Decision struct {
 	Verdict      Verdict
-	Evict        []string // names, in order; each result has been read to its end, or its retention is over
-	RetryAfterMS float64  // set with Rejected and MustWait
-	Reason       string
+	Evict        []string // names of the results to drop, in order; each has been read to its end, or its retention is over
+	RetryAfterMS float64  // time after which to retry; set with Rejected and MustWait
+	Reason       string   // the exhausted quota, in words; empty with Reserved
 }
 
 // shortage is the number of bytes that are missing under each quota.
@@ -59,8 +59,9 @@
 
 // admit decides whether a result may hold more bytes under all quotas: the total, the owner's and the class's. If one
 // is exhausted, it selects results to evict, in the order of evictable. A result that is being read is never
-// selected, nor one that is still retained for a client that has not read it to its end.
-func (l *Ledger) admit(now float64, e *entry, bytes int64, growing bool) Decision {
+// selected, nor one that is still retained for a client that has not read it to its end. growing is set for a result
+// that has been begun, and not for a new one.
+func (l *Ledger) admit(now float64, e *resultEntry, bytes int64, growing bool) Decision {
 	missing := l.shortageOf(e, bytes)
 	if missing.none() {
 		return Decision{Verdict: Reserved}
@@ -88,8 +89,9 @@
 	return Decision{Verdict: verdict, RetryAfterMS: l.retryAfterMS(now), Reason: reason}
 }
 
-// shortageOf returns the bytes that are missing for a result to hold that many more.
-func (l *Ledger) shortageOf(e *entry, bytes int64) shortage {
+// shortageOf returns how many bytes are missing under each quota for a result to hold the given number of additional
+// bytes.
+func (l *Ledger) shortageOf(e *resultEntry, bytes int64) shortage {
 	missing := shortage{total: max(l.total+bytes-l.limits.Total, 0)}
 	if quota := l.limits.PerOwner; quota > 0 {
 		missing.owner = max(l.owners[e.owner]+bytes-quota, 0)
@@ -102,15 +104,15 @@
 
 // evictable returns the results that may be dropped: those that are not being read, and that have been read to their
 // end or whose retention is over. They are sorted by the end of their retention, then by age.
-func (l *Ledger) evictable(now float64) []*entry {
-	var list []*entry
-	for _, e := range l.entries {
+func (l *Ledger) evictable(now float64) []*resultEntry {
+	var list []*resultEntry
+	for _, e := range l.results {
 		expired := e.phase == PhaseSealed && now >= l.retainedUntil(e)
 		if e.readers == 0 && (e.phase == PhaseRead || expired) {
 			list = append(list, e)
 		}
 	}
-	slices.SortFunc(list, func(a, b *entry) int {
+	slices.SortFunc(list, func(a, b *resultEntry) int {
 		return cmp.Or(cmp.Compare(l.retainedUntil(a), l.retainedUntil(b)), cmp.Compare(a.order, b.order))
 	})
 	return list
@@ -118,8 +120,8 @@
 
 // canWait reports whether an older result is still open, or any other result is sealed. The oldest open result never
 // waits for younger open ones, so that open results cannot all wait for each other.
-func (l *Ledger) canWait(e *entry) bool {
-	for _, other := range l.entries {
+func (l *Ledger) canWait(e *resultEntry) bool {
+	for _, other := range l.results {
 		if other != e && (other.phase != PhaseOpen || other.order < e.order) {
 			return true
 		}
@@ -130,18 +132,18 @@
 // minRetryAfterMS is the shortest time that a client is told to wait, so that it does not retry at once.
 const minRetryAfterMS = 1
 
-// retryAfterMS returns the time until the next retention ends, at most Limits.RetryAfterMS.
+// retryAfterMS returns the time in ms until the next retention ends, at most Limits.RetryAfterMS.
 func (l *Ledger) retryAfterMS(now float64) float64 {
-	after := l.limits.RetryAfterMS
-	for _, e := range l.entries {
+	delayMS := l.limits.RetryAfterMS
+	for _, e := range l.results {
 		if e.phase != PhaseOpen {
-			after = min(after, max(l.retainedUntil(e)-now, minRetryAfterMS))
+			delayMS = min(delayMS, max(l.retainedUntil(e)-now, minRetryAfterMS))
 		}
 	}
-	return after
+	return delayMS
 }
 
 // retainedUntil returns the time until which a sealed result is kept for its client.
-func (l *Ledger) retainedUntil(e *entry) float64 {
+func (l *Ledger) retainedUntil(e *resultEntry) float64 {
 	return min(e.lastReadAtMS+l.limits.RetentionMS, e.sealedAtMS+l.limits.MaxRetentionMS)
 }
--- a/internal/spool/ledger/ledger.go
+++ b/internal/spool/ledger/ledger.go
@@ -28,26 +28,27 @@
 	PhaseRead                // its last page has been read
 )
 
-type entry struct {
+// resultEntry is the accounting of one result.
+type resultEntry struct {
 	name, owner, class       string
 	phase                    Phase
-	reserved, used           int64 // bytes
-	readers                  int   // reads in progress
-	sealedAtMS, lastReadAtMS float64
-	order                    int // position among all results, by Begin or Restore
+	reserved, used           int64   // bytes
+	readers                  int     // reads in progress
+	sealedAtMS, lastReadAtMS float64 // Unix ms; before the first read, lastReadAtMS is the time of Begin or Seal
+	order                    int     // number of the Begin or Restore that added the result; an older result has a lower one
 }
 
 // bytes returns the size that counts against the quotas: the reservation covers the first pages.
-func (e *entry) bytes() int64 { return max(e.reserved, e.used) }
+func (e *resultEntry) bytes() int64 { return max(e.reserved, e.used) }
 
 // Ledger accounts for one spool. It is not safe for concurrent use: the spool's lock protects it.
 type Ledger struct {
 	limits  Limits
-	entries map[string]*entry
+	results map[string]*resultEntry
 	total   int64            // bytes of all results
 	owners  map[string]int64 // bytes by owner
 	classes map[string]int64 // bytes by class
-	order   int              // position of the last result
+	order   int              // order of the result that was added last
 }
 
 // New returns an empty ledger, or a wrapped LimitError.
@@ -55,17 +56,17 @@
 	if err := limits.Check(); err != nil {
 		return nil, fmt.Errorf("spool limits: %w", err)
 	}
-	return &Ledger{limits: limits, entries: map[string]*entry{}, owners: map[string]int64{}, classes: map[string]int64{}}, nil
+	return &Ledger{limits: limits, results: map[string]*resultEntry{}, owners: map[string]int64{}, classes: map[string]int64{}}, nil
 }
 
 // ReservedBytes returns the bytes that all results hold, reserved or used.
 func (l *Ledger) ReservedBytes() int64 { return l.total }
 
 // Len returns the number of results.
-func (l *Ledger) Len() int { return len(l.entries) }
+func (l *Ledger) Len() int { return len(l.results) }
 
 // add changes the sums by the bytes that a result gains, or loses if they are negative.
-func (l *Ledger) add(e *entry, bytes int64) {
+func (l *Ledger) add(e *resultEntry, bytes int64) {
 	l.total += bytes
 	l.owners[e.owner] += bytes
 	l.classes[e.class] += bytes
@@ -77,9 +78,9 @@
 	}
 }
 
-// openEntry returns the result with this name if it is open, else ErrNotOpen.
-func (l *Ledger) openEntry(name string) (*entry, error) {
-	e := l.entries[name]
+// openResult returns the result with this name if it is open, else ErrNotOpen.
+func (l *Ledger) openResult(name string) (*resultEntry, error) {
+	e := l.results[name]
 	if e == nil || e.phase != PhaseOpen {
 		return nil, fmt.Errorf("%w: %s", ErrNotOpen, name)
 	}
@@ -89,18 +90,18 @@
 // Begin reserves bytes for a result before its first page is requested. It adds the result only if the verdict is
 // Reserved.
 func (l *Ledger) Begin(now float64, name, owner, class string, bytes int64) (Decision, error) {
-	if l.entries[name] != nil {
+	if l.results[name] != nil {
 		return Decision{}, fmt.Errorf("%w: %s", ErrExists, name)
 	}
 	if bytes < 0 {
 		return Decision{}, fmt.Errorf("%w: %d bytes for %s", ErrInvalidSize, bytes, name)
 	}
-	e := &entry{name: name, owner: owner, class: class, reserved: bytes, lastReadAtMS: now}
+	e := &resultEntry{name: name, owner: owner, class: class, reserved: bytes, lastReadAtMS: now}
 	d := l.admit(now, e, bytes, false)
 	if d.Verdict == Reserved {
 		l.order++
 		e.order = l.order
-		l.entries[name] = e
+		l.results[name] = e
 		l.add(e, bytes)
 	}
 	return d, nil
@@ -109,7 +110,7 @@
 // Grow accounts for a page before it is written, first from the result's reservation. The page is counted only if the
 // verdict is Reserved.
 func (l *Ledger) Grow(now float64, name string, bytes int64) (Decision, error) {
-	e, err := l.openEntry(name)
+	e, err := l.openResult(name)
 	if err != nil {
 		return Decision{}, err
 	}
@@ -130,7 +131,7 @@
 
 // Shrink subtracts the bytes of pages that could not be written, or that another attempt writes again.
 func (l *Ledger) Shrink(name string, bytes int64) error {
-	e, err := l.openEntry(name)
+	e, err := l.openResult(name)
 	if err != nil {
 		return err
 	}
@@ -145,7 +146,7 @@
 
 // Seal marks a result as complete and frees the unused part of its reservation.
 func (l *Ledger) Seal(now float64, name string) error {
-	e, err := l.openEntry(name)
+	e, err := l.openResult(name)
 	if err != nil {
 		return err
 	}
@@ -156,17 +157,17 @@
 }
 
 // Restore adds a sealed result that was found on the medium at a restart.
-func (l *Ledger) Restore(name, owner, class string, bytes int64, sealedAt float64) {
+func (l *Ledger) Restore(name, owner, class string, bytes int64, sealedAtMS float64) {
 	l.order++
-	e := &entry{name: name, owner: owner, class: class, phase: PhaseSealed, used: bytes, sealedAtMS: sealedAt, lastReadAtMS: sealedAt, order: l.order}
-	l.entries[name] = e
+	e := &resultEntry{name: name, owner: owner, class: class, phase: PhaseSealed, used: bytes, sealedAtMS: sealedAtMS, lastReadAtMS: sealedAtMS, order: l.order}
+	l.results[name] = e
 	l.add(e, bytes)
 }
 
 // BeginRead begins a read, which keeps the result from being evicted until EndRead. It reports false if there is no
 // such result or its retention is over.
 func (l *Ledger) BeginRead(now float64, name string) bool {
-	e := l.entries[name]
+	e := l.results[name]
 	if e == nil || e.phase != PhaseOpen && now >= l.retainedUntil(e) {
 		return false
 	}
@@ -176,7 +177,7 @@
 
 // EndRead ends a read; last is set if the read returned the last page.
 func (l *Ledger) EndRead(now float64, name string, last bool) {
-	e := l.entries[name]
+	e := l.results[name]
 	if e == nil || e.readers == 0 {
 		return
 	}
@@ -201,11 +202,11 @@
 
 // Drop frees all bytes of a result and reports whether there was one.
 func (l *Ledger) Drop(name string) bool {
-	e := l.entries[name]
+	e := l.results[name]
 	if e == nil {
 		return false
 	}
 	l.add(e, -e.bytes())
-	delete(l.entries, name)
+	delete(l.results, name)
 	return true
 }
--- a/internal/spool/ledger/ledger_test.go
+++ b/internal/spool/ledger/ledger_test.go
@@ -37,14 +37,14 @@
 	require.Equal(t, Rejected, d.Verdict)
 	require.Equal(t, 1.0, d.RetryAfterMS, "until the retention ends")
 	require.True(t, l.BeginRead(9.9, "a"))
-	require.Equal(t, Rejected, begin(t, l, 10, "b", "y", "trip", 50).Verdict, "it is being read")
+	require.Equal(t, Rejected, begin(t, l, 10, "b", "y", "trip", 50).Verdict, "the result is being read")
 	l.EndRead(10, "a", false)
 	require.False(t, l.BeginRead(20, "a"), "the retention is over at its end")
 	d = begin(t, l, 20, "b", "y", "trip", 50)
 	require.Equal(t, MustEvict, d.Verdict)
 	require.Equal(t, []string{"a"}, d.Evict)
 	require.True(t, l.Drop("a"))
-	require.False(t, l.Drop("a"), "its bytes are freed once")
+	require.False(t, l.Drop("a"), "the bytes of a result are freed once")
 	require.Equal(t, Reserved, begin(t, l, 20, "b", "y", "trip", 50).Verdict)
 }
 
@@ -62,5 +62,5 @@
 	require.Equal(t, Rejected, a.Verdict)
 	require.Equal(t, MustWait, b.Verdict)
 	c, _ := l.Grow(0, "b", 11)
-	require.Equal(t, Rejected, c.Verdict, "it exceeds its quota by itself")
+	require.Equal(t, Rejected, c.Verdict, "the result exceeds its quota by itself")
 }
--- a/internal/spool/ledger/limits.go
+++ b/internal/spool/ledger/limits.go
@@ -44,12 +44,12 @@
 
 // maxFor returns the largest size that one result of a class can have.
 func (l Limits) maxFor(class string) int64 {
-	most := l.Total
+	maxBytes := l.Total
 	if l.PerOwner > 0 {
-		most = min(most, l.PerOwner)
+		maxBytes = min(maxBytes, l.PerOwner)
 	}
 	if quota := l.PerClass[class]; quota > 0 {
-		most = min(most, quota)
+		maxBytes = min(maxBytes, quota)
 	}
-	return most
+	return maxBytes
 }
--- a/internal/spool/ledger/model_test.go
+++ b/internal/spool/ledger/model_test.go
@@ -20,20 +20,20 @@
 type model struct {
 	ledger  *Ledger
 	results map[string]*modelResult
-	now     float64
-	begun   int // results begun so far; numbers their names
+	now     float64 // ms
+	begun   int     // results begun so far; numbers their names
 }
 
 type modelResult struct {
-	owner, class   string
-	reserved, used int64
-	sealed, last   float64
-	open, read     bool
-	readers        int
+	owner, class         string
+	reserved, used       int64
+	sealedAt, lastReadAt float64 // ms
+	isOpen, readToEnd    bool
+	readers              int
 }
 
-func (r *modelResult) retained(now float64) bool {
-	return now < min(r.last+limits.RetentionMS, r.sealed+limits.MaxRetentionMS)
+func (r *modelResult) isRetained(now float64) bool {
+	return now < min(r.lastReadAt+limits.RetentionMS, r.sealedAt+limits.MaxRetentionMS)
 }
 
 // draw returns one of the results, or skips the step if there is none.
@@ -55,7 +55,7 @@
 func (m *model) evict(t *rapid.T, d Decision) {
 	for _, name := range d.Evict {
 		r := m.results[name]
-		if r.open || r.readers > 0 || r.retained(m.now) && !r.read {
+		if r.isOpen || r.readers > 0 || r.isRetained(m.now) && !r.readToEnd {
 			t.Fatalf("%s must not be evicted: %+v at %v", name, r, m.now)
 		}
 		m.ledger.Drop(name)
@@ -68,7 +68,7 @@
 	name := fmt.Sprint("r", m.begun)
 	r := &modelResult{
 		owner: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "owner"), class: rapid.SampledFrom([]string{"report", "trip"}).Draw(t, "class"),
-		reserved: rapid.Int64Range(0, 70).Draw(t, "bytes"), open: true,
+		reserved: rapid.Int64Range(0, 70).Draw(t, "bytes"), isOpen: true,
 	}
 	d, err := m.ledger.Begin(m.now, name, r.owner, r.class, r.reserved)
 	if err != nil {
@@ -90,7 +90,7 @@
 	name, r := m.draw(t)
 	bytes := rapid.Int64Range(0, 30).Draw(t, "bytes")
 	d, err := m.ledger.Grow(m.now, name, bytes)
-	if (err == nil) != r.open {
+	if (err == nil) != r.isOpen {
 		t.Fatal(err)
 	}
 	if err == nil && d.Verdict == Reserved {
@@ -102,17 +102,17 @@
 func (m *model) seal(t *rapid.T) {
 	name, r := m.draw(t)
 	err := m.ledger.Seal(m.now, name)
-	if (err == nil) != r.open {
+	if (err == nil) != r.isOpen {
 		t.Fatal(err)
 	}
 	if err == nil {
-		r.open, r.reserved, r.sealed, r.last = false, 0, m.now, m.now
+		r.isOpen, r.reserved, r.sealedAt, r.lastReadAt = false, 0, m.now, m.now
 	}
 }
 
 func (m *model) beginRead(t *rapid.T) {
 	name, r := m.draw(t)
-	want := r.open || r.retained(m.now)
+	want := r.isOpen || r.isRetained(m.now)
 	if m.ledger.BeginRead(m.now, name) != want {
 		t.Fatalf("%s: BeginRead is not %t", name, want)
 	}
@@ -127,8 +127,8 @@
 	m.ledger.EndRead(m.now, name, last)
 	if r.readers > 0 {
 		r.readers--
-		r.last = max(r.last, m.now)
-		r.read = r.read || last && !r.open
+		r.lastReadAt = max(r.lastReadAt, m.now)
+		r.readToEnd = r.readToEnd || last && !r.isOpen
 	}
 }
 
--- a/internal/spool/memory.go
+++ b/internal/spool/memory.go
@@ -78,9 +78,9 @@
 		i-- // the piece that contains the offset
 	}
 	for ; read < len(b) && i >= 0 && i < len(s.pieces); i++ {
-		within := offset + int64(read) - s.offsets[i]
-		if within < int64(len(s.pieces[i])) {
-			read += copy(b[read:], s.pieces[i][within:])
+		pieceOffset := offset + int64(read) - s.offsets[i]
+		if pieceOffset < int64(len(s.pieces[i])) {
+			read += copy(b[read:], s.pieces[i][pieceOffset:])
 		}
 	}
 	if read < len(b) {
--- a/internal/spool/reclaim.go
+++ b/internal/spool/reclaim.go
@@ -55,8 +55,8 @@
 // compactBelowRatio is the fraction of live bytes at or below which a segment is compacted.
 const compactBelowRatio = 0.5
 
-// reclaim removes segments without live records. It first compacts segments with few live records, which copies their
-// live records to the current segment.
+// reclaim removes segments that contain no live record, that is no record that is still needed. It first compacts
+// segments with few live records, which copies these to the current segment.
 func (s *Store) reclaim() error {
 	s.forgetTombstones()
 	for _, number := range slices.Sorted(maps.Keys(s.segments)) {
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// forgetTombstones marks the tombstones as dead whose results have no other record left in any segment.
+// forgetTombstones marks a tombstone as dead, that is no longer needed, once the result that was dropped has no other
+// record in any segment.
 func (s *Store) forgetTombstones() {
 	for id, at := range s.tombstones {
 		records := 0
--- a/internal/spool/record.go
+++ b/internal/spool/record.go
@@ -30,13 +30,13 @@
 	headerChecksumOffset = 40
 )
 
-// kind is the kind of a record.
-type kind byte
+// recordKind tells what a record holds.
+type recordKind byte
 
 const (
-	kindPage      kind = 1
-	kindSeal      kind = 2 // the payload is a sealRecord, the page field holds the number of pages
-	kindTombstone kind = 3 // the result is dropped, regardless of its other records
+	kindPage      recordKind = 1 // the payload is a page, the page field holds its number
+	kindSeal      recordKind = 2 // the result is complete; the payload is a sealRecord, the page field holds the number of pages
+	kindTombstone recordKind = 3 // the result is dropped, regardless of its other records
 )
 
 // flagZstd marks a payload compressed with zstd.
@@ -53,22 +53,23 @@
 	return id
 }
 
+// header is the header of a record.
 type header struct {
-	kind     kind
+	kind     recordKind
 	flags    byte
 	resultID ID
-	page     uint32
+	page     uint32 // number of the page, from 0; in a seal, the number of pages
 	length   uint32 // size of the payload in bytes
 	checksum uint64 // xxhash of the payload
 }
 
 // location tells where a record is stored, with the header fields that are needed to read its payload.
 type location struct {
-	segment  uint64
-	offset   int64  // of the header
+	segment  uint64 // number of the segment
+	offset   int64  // offset of the header in the segment, in bytes
 	length   uint32 // size of the payload in bytes
 	checksum uint64 // xxhash of the payload
-	flags    byte
+	flags    byte   // flags of the header: flagZstd or 0
 }
 
 func (l location) size() int64          { return headerSize + int64(l.length) }
@@ -103,7 +104,7 @@
 		return h, errCorruptHeader
 	}
 	h = header{
-		kind: kind(b[kindOffset]), flags: b[flagsOffset], page: binary.LittleEndian.Uint32(b[pageOffset:]),
+		kind: recordKind(b[kindOffset]), flags: b[flagsOffset], page: binary.LittleEndian.Uint32(b[pageOffset:]),
 		length: binary.LittleEndian.Uint32(b[lengthOffset:]), checksum: binary.LittleEndian.Uint64(b[checksumOffset:]),
 	}
 	copy(h.resultID[:], b[idOffset:])
--- a/internal/spool/recovery.go
+++ b/internal/spool/recovery.go
@@ -7,30 +7,30 @@
 	Damage    []Damage // records that could not be read
 }
 
-// recover rebuilds the store from the medium's segments. It never appends to them, as each may end in a truncated
-// record.
-func (s *Store) recover() (found Recovery, err error) {
+// recover rebuilds the store from the medium's segments. Nothing is appended to these segments later, as each may end
+// in a truncated record.
+func (s *Store) recover() (recovery Recovery, err error) {
 	numbers, err := s.medium.List()
 	if err != nil {
-		return found, err
+		return recovery, err
 	}
-	all := newContents()
+	index := newContents()
 	for _, number := range numbers {
-		damage, err := s.recoverSegment(number, all)
+		damage, err := s.recoverSegment(number, index)
 		if err != nil {
-			return found, err
+			return recovery, err
 		}
-		found.Damage = append(found.Damage, damage...)
+		recovery.Damage = append(recovery.Damage, damage...)
 	}
-	s.tombstones = all.tombstones
-	for _, id := range all.order {
-		s.recoverResult(id, all.results[id], &found)
+	s.tombstones = index.tombstones
+	for _, id := range index.order {
+		s.recoverResult(id, index.results[id], &recovery)
 	}
-	return found, s.reclaim()
+	return recovery, s.reclaim()
 }
 
 // recoverSegment opens a segment and indexes its records.
-func (s *Store) recoverSegment(number uint64, all *contents) ([]Damage, error) {
+func (s *Store) recoverSegment(number uint64, index *contents) ([]Damage, error) {
 	file, err := s.medium.Open(number)
 	if err != nil {
 		return nil, err
@@ -43,26 +43,26 @@
 	s.segments[number], s.nextNumber = seg, number+1
 	end, damage := scan(number, file, size, false, func(h header, at location, payload []byte) {
 		seg.records[h.resultID]++
-		all.add(h, at, payload)
+		index.add(h, at, payload)
 	})
 	seg.size = end
 	return damage, nil
 }
 
 // recoverResult restores a result, if it is complete and was not dropped.
-func (s *Store) recoverResult(id ID, r *foundResult, found *Recovery) {
+func (s *Store) recoverResult(id ID, r *foundResult, recovery *Recovery) {
 	if tombstone, dropped := s.tombstones[id]; dropped {
 		s.segments[tombstone.segment].liveBytes += tombstone.size()
 		return
 	}
 	pages, complete := r.completePages()
 	if !complete {
-		found.Discarded++
+		recovery.Discarded++
 		return
 	}
 	sealed := &result{name: r.Name, resultID: id, owner: r.Owner, class: r.Class, seal: r.seal, bytes: r.Bytes, pages: pages}
 	s.results[id] = sealed
 	s.ledger.Restore(r.Name, r.Owner, r.Class, r.Bytes, r.SealedAtMS)
-	found.Sealed++
+	recovery.Sealed++
 	sealed.eachRecord(func(at location) { s.segments[at.segment].liveBytes += at.size() })
 }
--- a/internal/spool/scan.go
+++ b/internal/spool/scan.go
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("segment %016x, offset %d, page %d: %s", d.Segment, d.Offset, d.Page, d.Problem)
 }
 
-// scan reads a segment's records in order and calls each for every one. It reads and verifies the payloads of seals,
-// and if deep is set those of all records. A corrupt seal is skipped; other records with a corrupt payload are passed
-// without it. It returns the offset at which the last complete record ends. A truncated record after that is not
-// damage, as a crash during a write leaves one.
-func scan(segment uint64, file io.ReaderAt, size int64, deep bool, each func(h header, at location, payload []byte)) (end int64, damage []Damage) {
+// scan reads a segment's records in order and calls visit for each of them. It reads and verifies the payloads of seals
+// and, if deep is set, those of all records. A corrupt seal is skipped; for other records with a corrupt payload, visit
+// is called with a nil payload. It returns the offset at which the last complete record ends. A truncated record after
+// that is not damage, as a crash during a write leaves one.
+func scan(segment uint64, file io.ReaderAt, size int64, deep bool, visit func(h header, at location, payload []byte)) (end int64, damage []Damage) {
 	var buffer [headerSize]byte
 	for end < size {
 		h, err := readHeader(file, buffer[:], end, size)
@@ -45,7 +45,7 @@
 			}
 		}
 		if h.kind != kindSeal || payload != nil {
-			each(h, at, payload)
+			visit(h, at, payload)
 		}
 		end += at.size()
 	}
--- a/internal/spool/segment.go
+++ b/internal/spool/segment.go
@@ -9,11 +9,11 @@
 type segment struct {
 	number    uint64
 	file      Segment
-	size      int64
-	liveBytes int64      // size of the records that are still needed
+	size      int64      // bytes
+	liveBytes int64      // bytes of the records that are still needed
 	records   map[ID]int // number of records of each result, dead ones included
-	failed    bool       // nothing is appended any more, as its last record may be incomplete
-	dirty     bool       // holds records that are not synced
+	failed    bool       // no more records are appended, as the last one may be incomplete
+	dirty     bool       // some records were appended after the last sync
 	readers   int        // reads in progress; the segment is not removed while there are any
 }
 
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -17,7 +17,7 @@
 var (
 	ErrNotFound    = errors.New("spool: no such result")
 	ErrNoPage      = errors.New("spool: no such page")
-	ErrExpired     = errors.New("spool: the result has expired") // also for a write to a result that was sealed or dropped
+	ErrExpired     = errors.New("spool: the result has expired") // also returned for a write to a result that was sealed or dropped
 	ErrNameUsed    = errors.New("spool: the name has been used")
 	ErrCorruptPage = errors.New("spool: the page is corrupt")
 	ErrMedium      = errors.New("spool: the medium failed")
@@ -34,7 +34,7 @@
 type Options struct {
 	Limits       ledger.Limits
 	SegmentBytes int64          // a segment of this size or more is full
-	NowMS        func() float64 // Unix ms
+	NowMS        func() float64 // returns the current time, Unix ms
 	// Compress stores a page compressed with zstd if that saves an eighth or more. Quotas count the stored size.
 	Compress bool
 }
@@ -48,22 +48,23 @@
 	ledger       *ledger.Ledger
 	results      map[ID]*result
 	segments     map[uint64]*segment
-	current      *segment // the one that is appended to; nil: the next append creates one
+	current      *segment // segment to which records are appended; nil: the next append creates one
 	nextNumber   uint64   // number of the next segment
 	recordBuffer []byte   // reused between appends
 	// tombstones holds the location of the tombstone of each dropped result that has older records in some segment.
 	tombstones map[ID]location
 }
 
+// result is an open or sealed result of the store.
 type result struct {
 	name     string
 	resultID ID
 	owner    string
 	class    string
 	pages    []location
-	seal     *location // nil: the result is open
+	seal     *location // where the seal is stored; nil: the result is open
 	bytes    int64     // stored size of the pages
-	damaged  bool      // some of its records may not have reached the medium
+	damaged  bool      // some of the result's records may not have reached the medium
 }
 
 // eachRecord calls f for each live record of the result.
--- a/internal/spool/store_test.go
+++ b/internal/spool/store_test.go
@@ -61,11 +61,11 @@
 		_, _, err = st.Read("b", 2)
 		require.ErrorIs(t, err, ErrCorruptPage)
 		require.NoError(t, st.Drop("a"))
-		require.NoError(t, st.Drop("c")) // compaction copies the records of b
+		require.NoError(t, st.Drop("c")) // the drop starts a compaction, which copies the records of b
 		st, _, err = Open(faulty.restart(rand.New(rand.NewPCG(1, 1))), testOptions(&now))
 		require.NoError(t, err)
 		_, _, err = st.Read("b", 2)
-		require.ErrorIs(t, err, ErrCorruptPage, "compaction must not make it valid")
+		require.ErrorIs(t, err, ErrCorruptPage, "compaction must not make the corrupt page valid")
 		_, _, err = st.Read("b", 1)
 		require.NoError(t, err)
 	}
@@ -81,12 +81,12 @@
 	st, _, err := Open(m, options)
 	require.NoError(t, err)
 	writeSealed(t, st, "a", 4)
-	var raw int64
+	var uncompressed int64
 	for i := range 4 {
-		raw += int64(len(pageOf("a", i)))
+		uncompressed += int64(len(pageOf("a", i)))
 	}
 	reserved := st.Usage().ReservedBytes
-	require.Less(t, reserved, raw/2, "text compresses to less than half")
+	require.Less(t, reserved, uncompressed/2, "text compresses to less than half")
 	noise := make([]byte, 2000)
 	rng := rand.New(rand.NewPCG(5, 5))
 	for i := range noise {
@@ -102,7 +102,7 @@
 	require.Equal(t, noise, b)
 
 	writeSealed(t, st, "b", 6)
-	require.NoError(t, st.Drop("b")) // compaction copies the records of a
+	require.NoError(t, st.Drop("b")) // the drop starts a compaction, which copies the records of a
 	m = m.restart(rand.New(rand.NewPCG(1, 1)))
 	st, _, err = Open(m, options)
 	require.NoError(t, err)
@@ -140,7 +140,7 @@
 	require.NoError(t, err)
 	require.Equal(t, pageOf("a", 0), b)
 	require.NoError(t, st.Drop("b"))
-	require.NotContains(t, m.segments, first, "it is removed after the read")
+	require.NotContains(t, m.segments, first, "the segment is removed after the read")
 }
 
 func TestFailedWriteReservesNothing(t *testing.T) {
@@ -203,7 +203,7 @@
 	require.Equal(t, 100.0, full.RetryAfterMS)
 	now = 1000
 	_, _, err = st.Read("a", 1)
-	require.ErrorIs(t, err, ErrExpired, "at the end of its retention")
+	require.ErrorIs(t, err, ErrExpired, "the result expires at the end of its retention")
 	_, err = st.Begin("b", "x", "report", 500)
 	require.NoError(t, err, "the expired result is evicted")
 	_, err = st.Begin("a", "x", "report", 0)
--- a/internal/store/fence.go
+++ b/internal/store/fence.go
@@ -9,17 +9,17 @@
 	"aniseloft/internal/lease"
 )
 
-// createFenceTable creates the table of the grants that have acted on the record. Its rows are never deleted, so that
-// operators can see which holders have acted.
+// createFenceTable creates the table with a row for each grant of a job under which an operation has run on the record,
+// the SQL store of queries. Rows are never deleted, so that operators can see which holders have run operations.
 const createFenceTable = `CREATE TABLE IF NOT EXISTS fence (
 	job TEXT NOT NULL, fence BIGINT NOT NULL, holder TEXT NOT NULL, since_ms BIGINT NOT NULL, acts BIGINT NOT NULL, PRIMARY KEY (job, fence))`
 
 // Exec executes a statement within a transaction and returns the number of rows that it changed.
 type Exec func(query string, args ...any) (changed int64, err error)
 
-// RunFenced runs an operation of a job for the whole fleet, in one transaction with the check of its fence. If a
-// later grant has acted, it changes nothing and returns a lease.StaleFenceError. If the outcome of the commit is
-// unknown, the operation may have taken effect, under this fence.
+// RunFenced runs an operation of a job for the whole fleet, in one transaction with the check of its fence. If an
+// operation of a later grant has run, it changes nothing and returns a lease.StaleFenceError. If the outcome of the
+// commit is unknown, the operation may have taken effect, under this fence.
 func (s *Store) RunFenced(ctx context.Context, job string, fence lease.Fence, holder string, operation func(Exec) error) error {
 	tx, err := s.database.BeginTx(ctx, nil)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// highestFence returns the highest fence that has acted for a job, with its holder.
+// highestFence returns the highest fence under which an operation of a job has run, with its holder.
 func (s *Store) highestFence(ctx context.Context, tx *sql.Tx, job string) (record lease.FenceRecord, err error) {
 	var fence int64
 	statement := s.placeholders(`SELECT fence, holder FROM fence WHERE job = $1 ORDER BY fence DESC LIMIT 1`)
@@ -70,16 +70,16 @@
 	return deleted, err
 }
 
-// FenceRow is one grant that has acted on the record.
+// FenceRow describes a grant of a job and the operations that have run under its fence.
 type FenceRow struct {
 	Job     string      `json:"job"`
 	Fence   lease.Fence `json:"fence"`
 	Holder  string      `json:"holder"`
-	SinceMS int64       `json:"since_ms"` // time of its first operation, Unix ms
-	Acts    int64       `json:"acts"`     // number of its operations, rejected ones excluded
+	SinceMS int64       `json:"since_ms"` // time of the holder's first operation under this fence, Unix ms
+	Acts    int64       `json:"acts"`     // number of operations under this fence, rejected ones excluded
 }
 
-// Fences returns all grants that have acted on the record, by job and fence.
+// Fences returns all grants under which operations have run on the record, ordered by job and fence.
 func (s *Store) Fences(ctx context.Context) (grants []FenceRow, err error) {
 	rows, err := s.database.QueryContext(ctx, "SELECT job, fence, holder, since_ms, acts FROM fence ORDER BY job, fence")
 	if err != nil {
--- a/internal/store/fence_test.go
+++ b/internal/store/fence_test.go
@@ -62,7 +62,7 @@
 func TestFenceHoldsBetweenConnections(t *testing.T) {
 	path := filepath.Join(testdir.Dir(t), "record.db")
 	var mu sync.Mutex
-	var laterActed time.Time // when the first operation of the later grant had returned
+	var laterActedAt time.Time // when the first operation of the later grant had returned
 	var holders sync.WaitGroup
 	for fence := lease.Fence(1); fence <= 2; fence++ {
 		s, err := Open(t.Context(), path)
@@ -71,13 +71,13 @@
 			defer func() { _ = s.Close() }()
 			time.Sleep(time.Duration(fence-1) * 20 * time.Millisecond)
 			for range 40 {
-				called := time.Now()
-				_, err := s.DeleteExpiredFenced(t.Context(), called, fence, "holder")
+				calledAt := time.Now()
+				_, err := s.DeleteExpiredFenced(t.Context(), calledAt, fence, "holder")
 				mu.Lock()
-				if err == nil && fence == 2 && laterActed.IsZero() {
-					laterActed = time.Now()
+				if err == nil && fence == 2 && laterActedAt.IsZero() {
+					laterActedAt = time.Now()
 				}
-				if err == nil && fence == 1 && !laterActed.IsZero() && called.After(laterActed) {
+				if err == nil && fence == 1 && !laterActedAt.IsZero() && calledAt.After(laterActedAt) {
 					t.Error("the earlier holder acted after the later one")
 				}
 				mu.Unlock()
@@ -85,5 +85,5 @@
 		})
 	}
 	holders.Wait()
-	require.False(t, laterActed.IsZero())
+	require.False(t, laterActedAt.IsZero())
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -16,8 +16,8 @@
 // LeaseRow is a job's lease.
 type LeaseRow struct {
 	Fence  lease.Fence
-	Holder string // empty: none
-	Free   bool   // without a holder, or expired
+	Holder string // empty: the job has no holder
+	Free   bool   // the job has no holder, or its lease has expired
 }
 
 // CreateLeaseTable creates the table of leases if it does not exist.
@@ -80,8 +80,8 @@
 	return err
 }
 
-// RaiseFence raises a job's fence to one that its target has accepted. A holder under a lower fence loses the lease,
-// as the target would reject all its operations.
+// RaiseFence raises a job's fence to one that the target of the job's operations has accepted. A holder under a lower
+// fence loses the lease, as the target would reject all its operations.
 func (s *Store) RaiseFence(ctx context.Context, job string, fence lease.Fence) error {
 	_, err := s.exec(ctx, `INSERT INTO lease (job, fence, holder, until_ms) VALUES ($1, $2, '', 0)
 		ON CONFLICT (job) DO UPDATE SET fence = excluded.fence, holder = '' WHERE lease.fence < excluded.fence`, job, int64(fence))
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -17,17 +17,17 @@
 	_ "modernc.org/sqlite"             // the driver for SQLite, in pure Go
 )
 
-// Store is the record. It is safe for concurrent use; its one connection carries one statement or transaction at a time.
+// Store is an open record. It is safe for concurrent use; its one connection carries one statement or transaction at a time.
 type Store struct {
 	database *sql.DB
 	// placeholders replaces $1, $2 and so on by the driver's form of placeholders.
 	placeholders func(query string) string
-	nowSQL       string // expression for the time of the database's clock, Unix ms
+	nowSQL       string // SQL expression for the time of the database's clock, Unix ms
 }
 
 // dialect holds what a Store does differently for SQLite and PostgreSQL.
 type dialect struct {
-	driver, source string
+	driver, source string // arguments of sql.Open
 	placeholders   func(string) string
 	nowSQL         string
 }
@@ -72,8 +72,8 @@
 	arguments := u.Query()
 	arguments.Set("default_query_exec_mode", "simple_protocol")
 	u.RawQuery = arguments.Encode()
-	asIs := func(query string) string { return query }
-	return dialect{driver: "pgx", source: u.String(), placeholders: asIs, nowSQL: postgresNow}, nil
+	unchanged := func(query string) string { return query }
+	return dialect{driver: "pgx", source: u.String(), placeholders: unchanged, nowSQL: postgresNow}, nil
 }
 
 // Expressions for the time of the databases' clocks, Unix ms. Leases depend on these alone: they are never compared
--- a/internal/store/open_test.go
+++ b/internal/store/open_test.go
@@ -54,7 +54,7 @@
 	}
 	n, err := s.FailUnfinished(t.Context(), "n1")
 	require.NoError(t, err)
-	require.EqualValues(t, 2, n, "its own query, and the one from before the upgrade")
+	require.EqualValues(t, 2, n, "n1's own query, and the one from before the upgrade")
 	q, err := s.Get(t.Context(), "n2")
 	require.NoError(t, err)
 	require.Equal(t, StateRunning, q.State)
--- a/internal/store/query.go
+++ b/internal/store/query.go
@@ -35,13 +35,13 @@
 	ID             string
 	Slug           string // the secret part of the query's URL
 	IdempotencyKey string // chosen by the client; empty: none
-	Digest         string // of the class and the statement
+	Digest         string // digest of the class and the statement
 	Class          string
 	Owner          string
-	Coordinator    string // name of the one that serves the query; empty if no other uses the record; not read back
+	Coordinator    string // the coordinator that serves the query, by name; empty if it alone uses the record; Get leaves it empty
 	State          State
 	Pages          []byte
-	RetryAfter     time.Duration // set with StateRejected
+	RetryAfter     time.Duration // time after which the client is told to retry; set with StateRejected
 	ExpiresAt      time.Time
 }
 
