--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -31,12 +31,12 @@
 // Coordinator is the configuration of a coordinator.
 type Coordinator struct {
 	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Admin  string `json:"admin"` // address for operators' calls; empty: none
-	Seed   string `json:"seed"`  // hexadecimal
+	Listen string `json:"listen"` // clients' address
+	Admin  string `json:"admin"`  // address for operators' calls; empty: there is none
+	Seed   string `json:"seed"`   // hexadecimal
 	Limits Limits `json:"limits"`
-	// Gossip addresses: the local one, those of all coordinators by their index, and one that reaches all. If they are
-	// empty there is no gossip.
+	// Gossip addresses: that of this coordinator, those of all coordinators by their index, and one that reaches all
+	// coordinators. If they are empty there is no gossip.
 	PeerListen  string              `json:"peer_listen"`
 	Peers       []string            `json:"peers"`
 	PeersAll    string              `json:"peers_all"`
@@ -48,7 +48,7 @@
 	SeedNumber uint64          `json:"-"` // parsed from Seed
 }
 
-// Override holds values that replace the file's unless they are empty.
+// Override holds values that replace those of the configuration file unless they are empty.
 type Override struct{ Name, Listen, Admin string }
 
 // FindingError is a fatal finding, with which the configuration can't be used.
@@ -77,7 +77,7 @@
 	c.Name, c.Listen, c.Admin = cmp.Or(override.Name, c.Name), cmp.Or(override.Listen, c.Listen), cmp.Or(override.Admin, c.Admin)
 	findings := append(c.checkRequired(), c.checkAddresses()...)
 	if len(c.RawSettings) == 0 {
-		return nil, append(findings, wire.FatalFinding("settings", "absent", "the settings are needed"))
+		return nil, append(findings, wire.FatalFinding("settings", "absent", "must hold the settings of the decision module"))
 	}
 	settings, settingsFindings := wire.Inspect(c.RawSettings)
 	if len(settingsFindings) > 0 && settingsFindings[0].Fatal || len(findings) > 0 {
@@ -100,13 +100,13 @@
 			findings = append(findings, wire.FatalFinding(field, fmt.Sprint(value), message))
 		}
 	}
-	require(c.Listen != "", "listen", "absent", "the clients' address is needed")
-	require(c.Journal != "", "journal", "absent", "the journal service's address is needed")
-	require(c.Limits.MemoryMB >= MinMemoryMB, "limits.memory_mb", c.Limits.MemoryMB, fmt.Sprintf("at least %d is needed", MinMemoryMB))
-	require(c.Limits.Sockets >= MinSockets, "limits.sockets", c.Limits.Sockets, fmt.Sprintf("at least %d is needed", MinSockets))
+	require(c.Listen != "", "listen", "absent", "must be set to the address at which clients connect")
+	require(c.Journal != "", "journal", "absent", "must be set to the address of the journal service")
+	require(c.Limits.MemoryMB >= MinMemoryMB, "limits.memory_mb", c.Limits.MemoryMB, fmt.Sprintf("must be at least %d", MinMemoryMB))
+	require(c.Limits.Sockets >= MinSockets, "limits.sockets", c.Limits.Sockets, fmt.Sprintf("must be at least %d", MinSockets))
 	var err error
 	c.SeedNumber, err = strconv.ParseUint(c.Seed, 16, 64)
-	require(err == nil, "seed", strconv.Quote(c.Seed), "up to 16 hexadecimal digits are needed")
+	require(err == nil, "seed", strconv.Quote(c.Seed), "must be 1 to 16 hexadecimal digits")
 	return findings
 }
 
@@ -117,7 +117,7 @@
 			return
 		}
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			findings = append(findings, wire.FatalFinding(field, address, "an address as 127.0.0.1:8443 is needed: names are not looked up"))
+			findings = append(findings, wire.FatalFinding(field, address, "must be an IP address and port, such as 127.0.0.1:8443; host names are not resolved"))
 		}
 	}
 	check("listen", c.Listen)
--- a/internal/config/fielderror.go
+++ b/internal/config/fielderror.go
@@ -8,8 +8,8 @@
 	"aniseloft/internal/jsonfault"
 )
 
-// strict rejects unknown fields, as a misspelt field would silently have no effect.
-var strict = jsoniter.Config{CaseSensitive: true, DisallowUnknownFields: true}.Froze()
+// strictCodec rejects unknown fields, as a misspelt field would silently have no effect.
+var strictCodec = jsoniter.Config{CaseSensitive: true, DisallowUnknownFields: true}.Froze()
 
 // FieldError reports a field of an operators' file that can't be used.
 type FieldError struct {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -33,7 +33,7 @@
 	return coordinator, findings, nil
 }
 
-// LoadLog reads the log settings. Without the file only what on-call staff need is logged.
+// LoadLog reads the log settings. Without the file the level is info, at which only what on-call staff need is logged.
 func LoadLog() (Log, error) {
 	raw, exists, err := readOptional(LogFile)
 	if !exists || err != nil {
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// LogFile is the path of the log settings, from the working directory. Without the file only what on-call
-// staff need is logged.
+// LogFile is the path of the log settings, from the working directory. Without the file the level is
+// info, at which only what on-call staff need is logged.
 const LogFile = "deploy/log.json"
 
 // minCountersMS is the shortest interval of the counters, in milliseconds. It keeps a typing error from
@@ -26,7 +26,7 @@
 // ParseLog parses and checks the file's content. The error is a FieldError.
 func ParseLog(raw []byte) (Log, error) {
 	var c Log
-	if err := strict.Unmarshal(raw, &c); err != nil {
+	if err := strictCodec.Unmarshal(raw, &c); err != nil {
 		return c, FieldError{LogFile, "/", decodingProblem(raw, new(Log), err), "see schema/log.schema.json for the fields and their types"}
 	}
 	if c.CountersMS != 0 && c.CountersMS < minCountersMS {
--- a/internal/config/rest.go
+++ b/internal/config/rest.go
@@ -11,16 +11,16 @@
 // RESTFile is the path of the settings of the paged REST protocol, from the working directory.
 const RESTFile = "deploy/rest.json"
 
-// minPurgeMS is the shortest interval of purges, in milliseconds. It keeps purges from occupying the
-// record's one connection.
+// minPurgeMS is the shortest interval at which expired queries are deleted, in milliseconds. With a shorter one the
+// deletions would occupy the record's one connection.
 const minPurgeMS = 10
 
 // REST holds the settings of the paged REST protocol, from RESTFile.
 type REST struct {
 	Listen      string   `json:"listen"`         // the clients' address; empty: the protocol is off
-	Store       string   `json:"store"`          // the record: a SQLite file or a postgres:// URL
+	Store       string   `json:"store"`          // the record, which stores the queries: a SQLite file or a postgres:// URL
 	KeepSeconds int64    `json:"keep_seconds"`   // time for which an ended query can be read
-	PurgeMS     int64    `json:"purge_every_ms"` // interval of the record's purges; 0: a minute
+	PurgeMS     int64    `json:"purge_every_ms"` // interval at which expired queries are deleted from the record; 0: a minute
 	EngineKinds []string `json:"engine_kinds"`   // kinds of endpoints that speak this protocol
 	Spool       Spool    `json:"spool"`
 	Schema      string   `json:"$schema"` // for editors; not used here
@@ -29,18 +29,18 @@
 // Spool holds the settings of the spool, where results wait for their clients. The spool is off while TotalMB is 0.
 type Spool struct {
 	Directory string             `json:"directory"` // empty: results are kept in memory
-	Shared    bool               `json:"shared"`    // the directory holds a folder for each coordinator, by its name
+	Shared    bool               `json:"shared"`    // several coordinators use the directory, each a subdirectory with its name
 	TotalMB   float64            `json:"total_mb"`
 	OwnerMB   float64            `json:"owner_mb"` // limit of one owner; 0: only TotalMB applies
 	ClassMB   map[string]float64 `json:"class_mb"` // limits of classes, by name; to a class without one only TotalMB applies
-	Compress  bool               `json:"pack"`     // compresses pages with zstd where that makes them at least an eighth smaller
+	Compress  bool               `json:"pack"`     // pages are compressed with zstd where that makes them at least an eighth smaller
 }
 
 // ParseREST parses and checks the file's content, with the kinds of endpoints and the classes of the
 // coordinator's settings. The error is a FieldError for the first setting that can't be used.
 func ParseREST(raw []byte, kinds, classes []string) (REST, error) {
 	var c REST
-	if err := strict.Unmarshal(raw, &c); err != nil {
+	if err := strictCodec.Unmarshal(raw, &c); err != nil {
 		return c, FieldError{RESTFile, "/", decodingProblem(raw, new(REST), err), "see schema/rest.schema.json for the fields and their types"}
 	}
 	return c, c.Check(kinds, classes)
@@ -67,7 +67,7 @@
 	for i, kind := range c.EngineKinds {
 		if kinds != nil && !slices.Contains(kinds, kind) {
 			return FieldError{
-				RESTFile, fmt.Sprintf("/engine_kinds/%d", i), fmt.Sprintf("%q is not a kind of engine here", kind),
+				RESTFile, fmt.Sprintf("/engine_kinds/%d", i), fmt.Sprintf("%q is not an engine kind of the coordinator (settings.machineTypes)", kind),
 				fmt.Sprintf("name one of %v", kinds),
 			}
 		}
@@ -88,7 +88,7 @@
 		pointer := "/spool/class_mb/" + name
 		switch sizeMB := s.ClassMB[name]; {
 		case classes != nil && !slices.Contains(classes, name):
-			return FieldError{RESTFile, pointer, fmt.Sprintf("%q is not a class here", name), fmt.Sprintf("name one of %v", classes)}
+			return FieldError{RESTFile, pointer, fmt.Sprintf("%q is not a class of the coordinator (settings.lanes)", name), fmt.Sprintf("name one of %v", classes)}
 		case !(sizeMB > 0) || sizeMB > s.TotalMB:
 			return FieldError{RESTFile, pointer, "not above 0, or above total_mb", "leave the class out to apply only total_mb"}
 		}
--- a/internal/jsonfault/jsonfault.go
+++ b/internal/jsonfault/jsonfault.go
@@ -1,4 +1,4 @@
-// Package jsonfault describes why JSON can't be decoded, in terms on which its author can act: the field, the kind of
+// Package jsonfault describes why JSON can't be decoded, in terms on which its author can act: the field, the type of
 // value that is expected there, and the position.
 package jsonfault
 
@@ -14,8 +14,8 @@
 // Fault is the first error of a JSON text.
 type Fault struct {
 	Field    string // path of the field, by its names in the file; empty: the fault concerns the whole text
-	Found    string // kind of value at the field; empty: no value was read
-	Problem  string // what is wrong, such as the kind of value that is needed
+	Found    string // type of the value at the field; empty: no value was read
+	Problem  string // what is wrong, such as the type that the value must have
 	Position string // line and column, from 1
 }
 
@@ -34,7 +34,7 @@
 	case errors.As(err, &syntaxError):
 		return Fault{Problem: "invalid JSON: " + syntaxError.Error(), Position: position(raw, syntaxError.Offset)}, true
 	case errors.As(err, &typeError):
-		return Fault{Field: typeError.Field, Found: describeFound(typeError.Value), Problem: describeExpected(typeError.Type) + " is needed", Position: position(raw, typeError.Offset)}, true
+		return Fault{Field: typeError.Field, Found: describeFound(typeError.Value), Problem: "must be " + describeExpected(typeError.Type), Position: position(raw, typeError.Offset)}, true
 	}
 	return Fault{Problem: err.Error(), Position: position(raw, 0)}, true
 }
@@ -47,30 +47,32 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// describeFound translates the standard decoder's description of a value, such as "number 1.5", into an operator's terms.
+// describeFound translates the standard decoder's description of a value, such as "number 1.5" or "bool", into
+// the terms of JSON.
 func describeFound(value string) string {
 	name, _, _ := strings.Cut(value, " ")
 	switch name {
 	case "string":
-		return "a text"
+		return "a string"
 	case "array":
-		return "a list"
+		return "an array"
 	case "object":
 		return "an object"
 	case "bool":
-		return "true or false"
+		return "a boolean"
 	}
 	return value
 }
 
+// describeExpected returns the JSON type that is decoded into a Go type.
 func describeExpected(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
-		return "a text"
+		return "a string"
 	case reflect.Bool:
-		return "true or false"
+		return "a boolean"
 	case reflect.Slice, reflect.Array:
-		return "a list"
+		return "an array"
 	case reflect.Struct, reflect.Map:
 		return "an object"
 	case reflect.Float32, reflect.Float64:
