--- a/internal/ctl/drill_test.go
+++ b/internal/ctl/drill_test.go
@@ -34,9 +34,9 @@
 		{[]string{"fleet", "jobs"}, ExitOK, "prune-record"},
 		{[]string{"fleet", "status", "--file", "/no/such.json"}, ExitUsage, "name the file with --file"},
 		{[]string{"fleet", "status", "--file", "../../deploy/fleet.json"}, ExitUsage, "names no installation"},
-		{[]string{"fleet", "status", "--file", enabled, "--timeout", "100ms"}, ExitFailed, "no seat of the council answers"},
+		{[]string{"fleet", "status", "--file", enabled, "--timeout", "100ms"}, ExitFailed, "no replica of the consensus group responds"},
 		{[]string{"fleet", "move", "--file", enabled}, ExitUsage, "arg(s)"},
-		{[]string{"fleet", "history", "--file", enabled, "--at", "n7"}, ExitFailed, `"n7" is no seat`},
+		{[]string{"fleet", "history", "--file", enabled, "--at", "n7"}, ExitFailed, `"n7" is not a replica`},
 	})
 	// shrink prints the smallest drill that still violates a rule: it has a single fault.
 	code, out, _ := runCommand("drill", "shrink", "drawn", "--seed", "1", "--without", "fence")
--- a/internal/transport/coordination/adminclient.go
+++ b/internal/transport/coordination/adminclient.go
@@ -14,8 +14,8 @@
 
 // Errors of Admin.
 var (
-	ErrNoReplica      = errors.New("no seat of the council answers")
-	ErrUnknownReplica = errors.New("is no seat")
+	ErrNoReplica      = errors.New("no replica of the consensus group responds")
+	ErrUnknownReplica = errors.New("is not a replica")
 	errNoLeader       = errors.New("no response from a leader after one redirect")
 )
 
--- a/internal/transport/coordination/node_test.go
+++ b/internal/transport/coordination/node_test.go
@@ -169,7 +169,7 @@
 	require.Empty(t, a.Error)
 	require.Equal(t, "n0", a.Status.Jobs[0].Preferred)
 	_, err = Admin(t.Context(), conf, "n5", lease.AdminRequest{Operation: lease.AdminStatus}, time.Second)
-	require.ErrorContains(t, err, "is no seat")
+	require.ErrorContains(t, err, "is not a replica")
 	conf.Replicas[0].Addr = "127.0.0.1:1"
 	_, err = Admin(t.Context(), conf, "", lease.AdminRequest{Operation: lease.AdminStatus}, time.Second)
 	require.ErrorIs(t, err, ErrNoReplica)
