--- a/cmd/aniseloft/admin_test.go
+++ b/cmd/aniseloft/admin_test.go
@@ -102,10 +102,11 @@
 
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("by_hand paused=false out=s-00000001:2\n")
-	require.Regexp(t, `engine name=s-00000001 id=\d+ addr=\S+ ready=false`, p.logged(), "the balancer does not use it either")
+	require.Regexp(t, `engine name=s-00000001 id=\d+ addr=\S+ ready=false`, p.logged(), "the balancer does not use the engine either")
 	require.Equal(t, "ACK s-00000001 back, cold", p.adminCall("RESTORE s-00000001"))
 	require.Equal(t, "ACK s-00000001 was not out", p.adminCall("RESTORE s-00000001"))
-	// The restored engine starts cold and soon gets requests again: one RESTORE ends the suspension of two SUSPEND calls.
+	// The restored engine is in slow start (cold) and soon gets requests again: one RESTORE ends the suspension of two
+	// SUSPEND calls.
 	deadline := time.Now().Add(maxWait)
 	for id := 41; a.count(&a.attempts, "x") == 0; id++ {
 		require.True(t, time.Now().Before(deadline), "the restored engine got no request")
@@ -145,8 +146,8 @@
 	require.ErrorIs(t, err, io.EOF)
 	// On a new connection the first request is still served, as it may have been sent before the pause; an alive
 	// call is answered with "pass":false.
-	fresh := dialClient(t, p.listen)
-	require.Contains(t, fresh.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
+	newClient := dialClient(t, p.listen)
+	require.Contains(t, newClient.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
 	// A connection with an open request stays until that is answered; later requests on it are rejected.
 	time.Sleep(1700 * time.Millisecond)
 	rejected := busy.call(queryLine(2, "trip-lookup", "x", 9000))
@@ -156,7 +157,7 @@
 	require.Contains(t, busy.readLine(), `"id":1,"result"`)
 	require.NoError(t, busy.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
 	_, err = busy.reader.ReadString('\n')
-	require.ErrorIs(t, err, io.EOF, "closed once no request is open")
+	require.ErrorIs(t, err, io.EOF, "the connection is closed once no request is open")
 
 	require.Equal(t, "ACK resumed", p.adminCall("RESUME"))
 	require.Equal(t, "ACK not paused", p.adminCall("RESUME"))
@@ -221,23 +222,23 @@
 
 func TestSuspensionsSurviveAnUpgrade(t *testing.T) {
 	t.Parallel()
-	old, a, b, j := startWithTwoEngines(t)
-	require.Equal(t, "ACK s-00000001 out", old.adminCall("SUSPEND s-00000001"))
+	oldProcess, a, b, j := startWithTwoEngines(t)
+	require.Equal(t, "ACK s-00000001 out", oldProcess.adminCall("SUSPEND s-00000001"))
 	// The new process listens at the same client address beside the old one, with an admin address of its own
 	// and the same $TMPDIR.
-	fresh := &coordinator{t: t, dir: old.dir, listen: old.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
-	fresh.configure(j)
-	fresh.start(os.Environ())
-	require.Equal(t, "ACK serving", fresh.adminCall("STATUS"))
+	newProcess := &coordinator{t: t, dir: oldProcess.dir, listen: oldProcess.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
+	newProcess.configure(j)
+	newProcess.start(os.Environ())
+	require.Equal(t, "ACK serving", newProcess.adminCall("STATUS"))
 	// A SUSPEND that the old process gets after the start of the new one also applies in the new one.
-	require.Equal(t, "ACK s-00000002 out", old.adminCall("SUSPEND s-00000002"))
-	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, old.Wait())
-	fresh.waitForCounters("out=s-00000001:1,s-00000002:1")
-	c := dialClient(t, fresh.listen)
+	require.Equal(t, "ACK s-00000002 out", oldProcess.adminCall("SUSPEND s-00000002"))
+	require.NoError(t, oldProcess.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, oldProcess.Wait())
+	newProcess.waitForCounters("out=s-00000001:1,s-00000002:1")
+	c := dialClient(t, newProcess.listen)
 	answer := c.call(queryLine(1, "trip-lookup", "x", 1500))
 	require.Contains(t, answer, `"code":-32000`, "both engines are suspended")
-	require.Equal(t, "ACK s-00000002 back, cold", fresh.adminCall("RESTORE s-00000002"))
+	require.Equal(t, "ACK s-00000002 back, cold", newProcess.adminCall("RESTORE s-00000002"))
 	requireLookupsServed(t, c, 2, 5)
 	require.Zero(t, a.count(&a.attempts, "x"))
 	require.Equal(t, 5, b.count(&b.attempts, "x"))
@@ -278,28 +279,28 @@
 
 func TestUpgradeLeavesNewConnectionsToTheSuccessor(t *testing.T) {
 	t.Parallel()
-	old, e, j := startWithOneEngine(t, false)
-	held := dialClient(t, old.listen) // accepted by the old process, which still listens alone
+	oldProcess, e, j := startWithOneEngine(t, false)
+	held := dialClient(t, oldProcess.listen) // accepted by the old process, which still listens alone
 	held.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	fresh := &coordinator{t: t, dir: old.dir, listen: old.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
-	fresh.configure(j)
-	fresh.start(os.Environ())
-	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
-	old.waitForLog("a successor serves at the clients' address")
-	before := old.acceptedConnections()
+	newProcess := &coordinator{t: t, dir: oldProcess.dir, listen: oldProcess.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
+	newProcess.configure(j)
+	newProcess.start(os.Environ())
+	require.NoError(t, oldProcess.Process.Signal(syscall.SIGTERM))
+	oldProcess.waitForLog("a successor serves at the clients' address")
+	acceptedBefore := oldProcess.acceptedConnections()
 	for id := 1; id <= 20; id++ {
-		c := dialClient(t, old.listen)
+		c := dialClient(t, oldProcess.listen)
 		requireLookupsServed(t, c, id, 1)
 		_ = c.Close()
 	}
-	require.Equal(t, before, old.acceptedConnections(), "after SIGTERM the old process accepts no connection")
+	require.Equal(t, acceptedBefore, oldProcess.acceptedConnections(), "after SIGTERM the old process accepts no connection")
 	close(e.release)
 	require.Contains(t, held.readLine(), `"id":1,"result"`, "the open request is answered")
 	_, err := held.reader.ReadString('\n')
-	require.ErrorIs(t, err, io.EOF, "then its connection is closed")
-	require.NoError(t, old.Wait())
-	requireLookupsServed(t, dialClient(t, fresh.listen), 21, 3)
+	require.ErrorIs(t, err, io.EOF, "the connection is closed after its last answer")
+	require.NoError(t, oldProcess.Wait())
+	requireLookupsServed(t, dialClient(t, newProcess.listen), 21, 3)
 }
 
 func TestSIGTERMAnswersLongRequestsBeforeTheKill(t *testing.T) {
@@ -326,10 +327,10 @@
 func TestSIGTERMAnswersAllBeforeAnEarlierKill(t *testing.T) {
 	t.Parallel()
 	const killAfter = 2200 * time.Millisecond // the longest deadline plus 0.7 s
-	short := strings.NewReplacer(`"promiseMs":8000`, `"promiseMs":1000`, `"deadlineMs":10000`, `"deadlineMs":1500`).Replace(firstSettings)
+	shortDeadlines := strings.NewReplacer(`"promiseMs":8000`, `"promiseMs":1000`, `"deadlineMs":10000`, `"deadlineMs":1500`).Replace(firstSettings)
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
-	p := startWithSettings(t, testdir.Dir(t), j, "", 0, "", short)
+	p := startWithSettings(t, testdir.Dir(t), j, "", 0, "", shortDeadlines)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "timetable-load", "stay", 6000)) // clients may wait for four times the deadline
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
--- a/cmd/aniseloft/coordinator_test.go
+++ b/cmd/aniseloft/coordinator_test.go
@@ -22,6 +22,7 @@
 	"aniseloft/internal/emulator/loopback"
 )
 
+// firstSettings are the settings of most tests. secondSettings differ from them in every switch.
 const firstSettings = `{"balancers":1,"me":0,"tickMs":5,"zone":0,"zones":["hall-a"],"machineTypes":["std-16","rest-16"],
  "bounds":{"cancel":true,"connIdleMs":15000,"connectTimeoutMs":2000,"maxOpen":1000,"maxRetryAfterMs":2000,"probes":true,"retryAfter":true,"sendCap":3},
  "domain":{"sizeCores":[16,16],"kindMemoryMb":[32768,32768],"classThreads":[1,4,2],"writesTables":[false,false,true],"costInAnswers":true,"grantsCount":true,"lanesCount":true,"memoryShort":"line_up","mostGrant":0.4},
@@ -36,8 +37,8 @@
 	*exec.Cmd
 	t            *testing.T
 	dir          string
-	listen       string
-	rest         string
+	listen       string // clients' address of the JSON-RPC front
+	rest         string // clients' address of the REST front; empty: that front is off
 	admin        string // address for operators' calls
 	settings     string // the configuration's "settings"; empty: firstSettings
 	extraMembers string // further members of the configuration, each followed by a comma
@@ -83,12 +84,13 @@
 	return startWithSpool(t, dir, j, store, 600, `{}`)
 }
 
-// startWithSpool also sets the spool, which is off if spoolJSON is {}, and for how long ended queries can be read.
+// startWithSpool starts the program like startWithStore, with a spool, which is off if spoolJSON is {}. Ended queries
+// can be read for keepSeconds.
 func startWithSpool(t *testing.T, dir string, j *fakeJournal, store string, keepSeconds int, spoolJSON string) *coordinator {
 	return startWithSettings(t, dir, j, store, keepSeconds, spoolJSON, "")
 }
 
-// startWithSettings also replaces firstSettings by settings, unless those are empty.
+// startWithSettings starts the program like startWithSpool, with settings instead of firstSettings unless they are empty.
 func startWithSettings(t *testing.T, dir string, j *fakeJournal, store string, keepSeconds int, spoolJSON, settings string) *coordinator {
 	p := &coordinator{t: t, dir: dir, listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{}, settings: settings}
 	p.configure(j)
@@ -124,7 +126,8 @@
 			t.Logf("the end of the program's log:\n%s", log[max(len(log)-4<<10, 0):])
 		}
 	})
-	// Another process may listen at the clients' address too, so the status is read at this process's admin address.
+	// During an upgrade two processes listen at the clients' address, so the status is read at the admin address, which
+	// belongs to this process alone.
 	eventually(t, func() bool {
 		c, err := net.Dial("tcp", p.admin)
 		if err != nil {
--- a/cmd/aniseloft/engine_test.go
+++ b/cmd/aniseloft/engine_test.go
@@ -15,7 +15,7 @@
 // fakeEngine stands in for an engine of either protocol. Words in a statement decide how the engine answers it: "fail",
 // "full", "stay" (it runs until it is cancelled or release is closed), "rows N" (N pages of two rows); otherwise one row.
 // With "spoil KIND" each page is damaged in that way on its first request. With "unread" the first connection that brings
-// a call is reset and the call not accepted, at whichever engine. With "odd" the notes and load reports are invalid.
+// a call to any engine is reset before the call is accepted. With "odd" the notes and load reports are invalid.
 type fakeEngine struct {
 	*httptest.Server
 	mu                              sync.Mutex
@@ -27,6 +27,7 @@
 	hijacked                        []net.Conn      // connections taken over from the server for damaged answers
 }
 
+// newFakeEngine starts an engine that speaks the paged REST protocol if rest is set, else the protocol of servePaged.
 func newFakeEngine(t *testing.T, rest bool) *fakeEngine {
 	e := &fakeEngine{attempts: map[string]int{}, cancelled: map[string]int{}, maxRunning: map[string]int{}, running: map[string]int{}, requested: map[string]bool{}, release: make(chan struct{})}
 	h := e.servePaged
--- a/cmd/aniseloft/journal_test.go
+++ b/cmd/aniseloft/journal_test.go
@@ -15,8 +15,8 @@
 type fakeJournal struct {
 	*httptest.Server
 	mu         sync.Mutex
-	entries    []string
-	polls      int
+	entries    []string      // entries of the journal, as JSON
+	polls      int           // number of polls received
 	unanswered chan struct{} // if set, polls are not answered until it is closed
 }
 
@@ -84,6 +84,7 @@
 	return res.StatusCode == 200
 }
 
+// add appends an update of the endpoint list; a full one replaces the whole list.
 func (j *fakeJournal) add(full bool, servers ...string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/cmd/aniseloft/jsonrpc_test.go
+++ b/cmd/aniseloft/jsonrpc_test.go
@@ -25,13 +25,15 @@
 	return startCoordinator(t, testdir.Dir(t), j, rest), e, j
 }
 
-// startWithOneEngineAndStore starts the same with the REST front on and its record in store.
+// startWithOneEngineAndStore starts a journal service that lists one engine, and a coordinator with the REST front on
+// and its record in store.
 func startWithOneEngineAndStore(t *testing.T, store string) (*coordinator, *fakeEngine, *fakeJournal) {
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	return startWithStore(t, testdir.Dir(t), j, store), e, j
 }
 
+// eventually waits until f returns true, and fails the test after maxWait.
 func eventually(t *testing.T, f func() bool) {
 	t.Helper()
 	require.Eventually(t, f, maxWait, 5*time.Millisecond)
@@ -138,7 +140,7 @@
 		require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
 		dialClient(t, p.listen)
 	}
-	for range 10 { // the REST front has 5
+	for range 10 { // of 64 descriptors, 5 are for clients of the REST front
 		dialClient(t, p.rest)
 		require.Equal(t, 200, p.post("trip-lookup", "", "x").status)
 	}
@@ -198,7 +200,7 @@
 	}
 	require.NotContains(t, p.logged(), "ejected")
 	load := fmt.Sprintf("insert unread into sales_%d.x", 1)
-	require.Contains(t, c.call(queryLine(200, "timetable-load", load, 9000)), `"code":-32001`, "it may have run")
+	require.Contains(t, c.call(queryLine(200, "timetable-load", load, 9000)), `"code":-32001`, "the load may have run")
 	for _, e := range engines {
 		require.Zero(t, e.count(&e.attempts, load))
 	}
@@ -284,20 +286,20 @@
 
 func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	p, old, j := startWithOneEngine(t, false)
-	fresh := newFakeEngine(t, false)
+	p, oldEngine, j := startWithOneEngine(t, false)
+	newEngine := newFakeEngine(t, false)
 	c := dialClient(t, p.listen)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
-	eventually(t, func() bool { return old.count(&old.attempts, "stay") == 1 })
-	j.add(false, serverEntry(1, old, "leaving"), serverEntry(2, fresh, "active"))
+	eventually(t, func() bool { return oldEngine.count(&oldEngine.attempts, "stay") == 1 })
+	j.add(false, serverEntry(1, oldEngine, "leaving"), serverEntry(2, newEngine, "active"))
 	pollCount := func() int { j.mu.Lock(); defer j.mu.Unlock(); return j.polls }
-	before := pollCount()
-	eventually(t, func() bool { return pollCount() > before }) // the update was received, as the next poll has begun
+	pollsBefore := pollCount()
+	eventually(t, func() bool { return pollCount() > pollsBefore }) // the update was received, as the next poll has begun
 	for id := 2; id < 12; id++ {
 		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(id, "trip-lookup", "x", 9000))))
 	}
-	require.Equal(t, 10, fresh.count(&fresh.attempts, "x"))
-	close(old.release)
+	require.Equal(t, 10, newEngine.count(&newEngine.attempts, "x"))
+	close(oldEngine.release)
 	require.Contains(t, c.readLine(), `"id":1,"result"`, "a running request finishes at its engine")
 }
 
@@ -388,25 +390,25 @@
 // must be cancelled, as it would keep waiting.
 func TestSIGHUPMovesToTheNewJournalAndAnInvalidFileChangesNothing(t *testing.T) {
 	t.Parallel()
-	p, old, j := startWithOneEngine(t, false)
+	p, oldEngine, j := startWithOneEngine(t, false)
 	c := dialClient(t, p.listen)
 	p.writeConfig("{")
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	p.waitForLog("not reloaded")
 	require.Contains(t, c.call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
-	moved, fresh := newFakeJournal(t), newFakeEngine(t, false)
-	moved.add(true, serverEntry(1, old, "active"))
-	moved.add(false, serverEntry(1, old, "leaving"), serverEntry(2, fresh, "active"))
-	p.configure(moved)
+	newJournal, newEngine := newFakeJournal(t), newFakeEngine(t, false)
+	newJournal.add(true, serverEntry(1, oldEngine, "active"))
+	newJournal.add(false, serverEntry(1, oldEngine, "leaving"), serverEntry(2, newEngine, "active"))
+	p.configure(newJournal)
 	j.stopAnswering()
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-	eventually(t, func() bool { // it polls again only after it has received the update
-		moved.mu.Lock()
-		defer moved.mu.Unlock()
-		return moved.polls > 1
+	eventually(t, func() bool { // the coordinator polls again only after it has received the update
+		newJournal.mu.Lock()
+		defer newJournal.mu.Unlock()
+		return newJournal.polls > 1
 	})
 	require.Contains(t, c.call(queryLine(2, "trip-lookup", "y", 9000)), `"id":2,"result"`)
-	require.Equal(t, 1, fresh.count(&fresh.attempts, "y"))
+	require.Equal(t, 1, newEngine.count(&newEngine.attempts, "y"))
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	p.waitForLog("now=draining")
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
--- a/cmd/aniseloft/lifecycle_test.go
+++ b/cmd/aniseloft/lifecycle_test.go
@@ -25,7 +25,7 @@
 )
 
 // Guards against treating an engine whose zone or kind the settings don't name as one of the first zone or kind: it then
-// got the requests of classes bound to that.
+// got the requests of classes that are bound to that zone or kind.
 func TestEngineOfUnknownZoneOrKindGetsNoBoundClass(t *testing.T) {
 	t.Parallel()
 	for _, unknown := range [][2]string{{`"zone":"hall-a"`, `"zone":"hall-x"`}, {`"zone":"hall-a"`, `"zone":"Hall-A"`}, {`"kind":"std-16"`, `"kind":"std-99"`}} {
@@ -154,7 +154,7 @@
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	for _, c := range append(idle, info) {
 		_, err := c.reader.ReadByte()
-		require.ErrorIs(t, err, io.EOF, "closed, not reset")
+		require.ErrorIs(t, err, io.EOF, "the connection is closed, not reset")
 	}
 	require.NoError(t, p.Wait())
 }
@@ -207,8 +207,8 @@
 func TestIdleClientsLeaveDescriptorsForDiscoveryAndEngines(t *testing.T) {
 	t.Parallel()
 	const limit = 64
-	old, fresh, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
-	j.add(true, serverEntry(1, old, "active"))
+	oldEngine, newEngine, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
+	j.add(true, serverEntry(1, oldEngine, "active"))
 	p := startCoordinator(t, testdir.Dir(t), j, false)
 	require.NoError(t, unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil))
 	service := &restartableJournal{j, j.Listener.Addr().String()}
@@ -227,9 +227,9 @@
 	require.LessOrEqual(t, len(open), limit)
 	require.Contains(t, dialClient(t, p.listen).call(queryLine(2, "trip-lookup", "before", 9000)), `"result"`)
 	service.up(t)
-	j.add(false, serverEntry(1, old, "leaving"), serverEntry(2, fresh, "active"))
+	j.add(false, serverEntry(1, oldEngine, "leaving"), serverEntry(2, newEngine, "active"))
 	eventually(t, func() bool {
-		return strings.Contains(dialClient(t, p.listen).call(queryLine(3, "trip-lookup", "after", 9000)), `"result"`) && fresh.count(&fresh.attempts, "after") > 0
+		return strings.Contains(dialClient(t, p.listen).call(queryLine(3, "trip-lookup", "after", 9000)), `"result"`) && newEngine.count(&newEngine.attempts, "after") > 0
 	})
 	require.Len(t, idle, 2*limit, "the test keeps all connections to the end")
 }
@@ -237,10 +237,10 @@
 // Thirty processes start at the same time with discovery up, down, down for 8 s, and silent. Nine in ten must be ready
 // within 10 s, and each must then answer its clients; where discovery comes back, each must receive the updates since.
 func TestThirtyRestartedProcessesAreReadyAgain(t *testing.T) {
-	const processes, maxLate, away = 30, 3, 8 * time.Second
+	const processes, maxLate, outage = 30, 3, 8 * time.Second
 	for _, discovery := range []string{"up", "down", "down for a while", "silent"} {
-		e, fresh, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
-		service, back := &restartableJournal{j, j.Listener.Addr().String()}, discovery == "down for a while"
+		e, newEngine, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
+		service, comesBack := &restartableJournal{j, j.Listener.Addr().String()}, discovery == "down for a while"
 		j.add(true, serverEntry(1, e, "active"))
 		switch discovery {
 		case "down":
@@ -249,25 +249,25 @@
 			j.stopAnswering()
 		}
 		all := startAndKill(t, processes, j) // all have served once, and are restarted at the same time
-		if back {
+		if comesBack {
 			service.down()
-			j.add(false, serverEntry(1, e, "leaving"), serverEntry(2, fresh, "active"))
+			j.add(false, serverEntry(1, e, "leaving"), serverEntry(2, newEngine, "active"))
 		}
-		m := &massRestart{t: t, discovery: discovery, began: time.Now()}
-		if back {
-			m.fresh, m.updateDue = fresh, away+maxWait
+		m := &massRestart{t: t, discovery: discovery, startedAt: time.Now()}
+		if comesBack {
+			m.newEngine, m.updateDue = newEngine, outage+maxWait
 		}
 		var group sync.WaitGroup
 		for i, p := range all {
 			group.Go(func() { m.restart(p, i) })
 		}
-		if back {
-			time.Sleep(time.Until(m.began.Add(away)))
+		if comesBack {
+			time.Sleep(time.Until(m.startedAt.Add(outage)))
 			service.up(t)
 		}
 		group.Wait()
 		require.LessOrEqual(t, m.late, maxLate, "discovery %s", discovery)
-		t.Logf("discovery %s: %d of %d late, all answered after %v", discovery, m.late, processes, time.Since(m.began).Round(time.Millisecond))
+		t.Logf("discovery %s: %d of %d late, all answered after %v", discovery, m.late, processes, time.Since(m.startedAt).Round(time.Millisecond))
 	}
 }
 
@@ -292,9 +292,9 @@
 type massRestart struct {
 	t         *testing.T
 	discovery string
-	began     time.Time
-	fresh     *fakeEngine   // if set, the engine that only an update after the restart lists
-	updateDue time.Duration // time after began by which the update must be received
+	startedAt time.Time     // when the restarts began
+	newEngine *fakeEngine   // if set, an engine that is listed only by an update after the restart
+	updateDue time.Duration // time after startedAt by which the update must be received
 
 	mu   sync.Mutex
 	late int // coordinators that were not ready in time
@@ -312,7 +312,7 @@
 	defer func() { _ = command.Process.Kill(); _ = command.Wait() }()
 	c := dialClient(m.t, p.listen)
 	line := c.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`)
-	took := time.Since(m.began)
+	took := time.Since(m.startedAt)
 	if took > readyLimit || !strings.Contains(line, `"pass":true`) {
 		m.mu.Lock()
 		m.late++
@@ -322,8 +322,8 @@
 		m.t.Errorf("discovery %s: %s", m.discovery, line)
 	}
 	after := fmt.Sprint("after ", index)
-	for n := 3; m.fresh != nil && m.fresh.count(&m.fresh.attempts, after) == 0; n++ {
-		if time.Since(m.began) > m.updateDue {
+	for n := 3; m.newEngine != nil && m.newEngine.count(&m.newEngine.attempts, after) == 0; n++ {
+		if time.Since(m.startedAt) > m.updateDue {
 			m.t.Errorf("the update after discovery came back was not received")
 			return
 		}
@@ -368,9 +368,9 @@
 	require.Zero(t, e.count(&e.attempts, "x"))
 }
 
-// Guards against the loss of a suspension during an upgrade: both processes get one at the same time while a third holds
-// the state file's lock. The last writer overwrites a state that it has not read, and the other suspension was then lost
-// with the next upgrade. The test acts as the other process.
+// Guards against the loss of a suspension during an upgrade: both processes get a SUSPEND at the same time while a third
+// one holds the state file's lock. The last writer overwrites a state that it has not read, and the other suspension was
+// then lost with the next upgrade. The test acts as the other process.
 func TestSuspensionOverwrittenByAnotherProcessIsWrittenAgain(t *testing.T) {
 	t.Parallel()
 	p, _, _, _ := startWithTwoEngines(t)
--- a/cmd/aniseloft/main_test.go
+++ b/cmd/aniseloft/main_test.go
@@ -12,6 +12,7 @@
 // maxWait bounds each wait for an expected event. It is generous, as these tests do not check how soon the event comes.
 const maxWait = 20 * time.Second
 
+// binary is the path of the program under test, which TestMain builds.
 var binary string
 
 func TestMain(m *testing.M) {
--- a/cmd/aniseloft/rest_test.go
+++ b/cmd/aniseloft/rest_test.go
@@ -19,6 +19,7 @@
 	"aniseloft/internal/testdir"
 )
 
+// statementResponse is an answer of the paged REST protocol.
 type statementResponse struct {
 	status      int
 	retryAfter  string
@@ -48,6 +49,7 @@
 	return r
 }
 
+// post sends a statement to the REST front; headers are names and values in turn.
 func (p *coordinator) post(class, key, statement string, headers ...string) statementResponse {
 	all := append([]string{"X-Trino-User", "kiosk", "X-Trino-Source", class,
 		"X-Aniseloft-Work-Ms", "500", "X-Aniseloft-Memory-Mb", "4"}, headers...)
@@ -194,13 +196,13 @@
 	require.Equal(t, first.ID, again.ID)
 	require.Equal(t, text, same)
 	open := p.post("timetable-load", "k2", "stay")
-	require.Equal(t, open.ID, p.post("timetable-load", "k2", "stay").ID, "a resend joins")
+	require.Equal(t, open.ID, p.post("timetable-load", "k2", "stay").ID, "a resend joins the running query")
 	require.NoError(t, p.Process.Signal(syscall.SIGKILL))
 	_ = p.Wait()
 	q := startCoordinator(t, p.dir, j, true)
 	end, _ := followPages(t, q.post("timetable-load", "k2", "stay"))
 	require.Equal(t, open.ID, end.ID)
-	require.Equal(t, "GENERIC_INTERNAL_ERROR", end.Error.ErrorName, "it may have run")
+	require.Equal(t, "GENERIC_INTERNAL_ERROR", end.Error.ErrorName, "the load may have run")
 	_, same = followPages(t, q.post("timetable-load", "k1", "done"))
 	require.Equal(t, text, same)
 	require.Equal(t, 1, e.count(&e.attempts, "done"))
@@ -297,28 +299,28 @@
 	}
 	require.Contains(t, info(), `"starting":false`)
 	// A client that keeps its connection between calls.
-	keep, err := net.Dial("tcp", p.rest)
+	keptConn, err := net.Dial("tcp", p.rest)
 	require.NoError(t, err)
-	defer func() { _ = keep.Close() }()
-	_, err = io.WriteString(keep, "GET /v1/info HTTP/1.1\r\nHost: x\r\n\r\n")
+	defer func() { _ = keptConn.Close() }()
+	_, err = io.WriteString(keptConn, "GET /v1/info HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
-	r := bufio.NewReader(keep)
+	r := bufio.NewReader(keptConn)
 	line, err := r.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, line, "200")
-	for len(line) > 2 { // skips the header, up to the empty line
+	for len(line) > 2 { // skips the lines of the header, up to the empty line
 		line, err = r.ReadString('\n')
 		require.NoError(t, err)
 	}
 	body := make([]byte, len(`{"starting":false,"coordinator":true}`))
 	_, err = io.ReadFull(r, body)
 	require.NoError(t, err)
-	require.NoError(t, keep.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
+	require.NoError(t, keptConn.SetReadDeadline(time.Now().Add(200*time.Millisecond)))
 	_, err = r.ReadByte()
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "kept open while serving")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection stays open while the coordinator serves")
 
 	require.Equal(t, "ACK paused", p.adminCall("PAUSE"))
-	require.NoError(t, keep.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
+	require.NoError(t, keptConn.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
 	_, err = r.ReadByte()
 	require.ErrorIs(t, err, io.EOF, "the idle connection is closed at once")
 	require.Contains(t, info(), `"starting":true`, "not ready while paused")
--- a/cmd/aniseloft/secondsettings_test.go
+++ b/cmd/aniseloft/secondsettings_test.go
@@ -187,7 +187,7 @@
 	require.Contains(t, third.call(`{"jsonrpc":"2.0","id":9,"method":"alive"}`), `"id":9`)
 	close(e.release)
 	require.Equal(t, "a\tb\tc\n", answerText(t, second.readLine()))
-	require.Equal(t, 1, e.count(&e.attempts, stay), "one run")
+	require.Equal(t, 1, e.count(&e.attempts, stay), "the load ran once")
 	require.Zero(t, e.count(&e.cancelled, stay), "the run was not cancelled")
 	require.Equal(t, "a\tb\tc\n", answerText(t, third.call(keyedLine(3, stay, key))), "the key is free once its request has ended")
 }
@@ -216,15 +216,15 @@
 	p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, strings.Replace(secondSettings, `"repeatWindowMs":9000`, `"repeatWindowMs":400`, 1))
 	c, load, key := dialClient(t, p.listen), "insert fail into s_1.x", `"dedupe":"k1",`
 	require.Contains(t, c.call(keyedLine(1, load, key)), `"error"`)
-	for ended := time.Now(); time.Since(ended) < window; { // the key's window began earlier
+	for endedAt := time.Now(); time.Since(endedAt) < window; { // the key's window began earlier
 		time.Sleep(time.Millisecond)
 	}
-	before := e.count(&e.attempts, load)
-	require.Positive(t, before)
-	require.Contains(t, c.call(keyedLine(2, load, key+`"rep":"1",`)), `"code":-32001`, "it may have run, so a retry is not safe")
-	require.Equal(t, before, e.count(&e.attempts, load))
+	attemptsBefore := e.count(&e.attempts, load)
+	require.Positive(t, attemptsBefore)
+	require.Contains(t, c.call(keyedLine(2, load, key+`"rep":"1",`)), `"code":-32001`, "the load may have run, so a retry is not safe")
+	require.Equal(t, attemptsBefore, e.count(&e.attempts, load))
 	require.Contains(t, c.call(keyedLine(3, load, `"dedupe":"k2",`)), `"error"`)
-	require.Greater(t, e.count(&e.attempts, load), before, "another key is another load")
+	require.Greater(t, e.count(&e.attempts, load), attemptsBefore, "another key is another load")
 }
 
 func TestEngineProtocolViolationsAreCountedAndChangeNothing(t *testing.T) {
--- a/cmd/aniseloft/spool_test.go
+++ b/cmd/aniseloft/spool_test.go
@@ -33,7 +33,7 @@
 	statement := "select * from sales_3.trips -- rows 4"
 	first := p.post("ridership-report", "", statement)
 	second := doREST(t, "GET", first.NextURI, "")
-	require.Equal(t, second.Data, doREST(t, "GET", first.NextURI, "").Data, "the same page twice")
+	require.Equal(t, second.Data, doREST(t, "GET", first.NextURI, "").Data, "a page can be read twice")
 	third := strings.SplitN(second.NextURI, "/", 4)[3]
 	p.kill()
 	q := startWithSpool(t, p.dir, j, filepath.Join(p.dir, "record.db"), 600, settings)
@@ -42,7 +42,7 @@
 	require.Equal(t, "FINISHED", end.Stats.State)
 	require.Equal(t, strings.Join(pagesOf(statement)[2:], ""), text)
 	require.Equal(t, 1, e.count(&e.attempts, statement))
-	require.Equal(t, second.Data, doREST(t, "GET", "http://"+q.rest+"/"+strings.SplitN(first.NextURI, "/", 4)[3], "").Data, "an earlier page too")
+	require.Equal(t, second.Data, doREST(t, "GET", "http://"+q.rest+"/"+strings.SplitN(first.NextURI, "/", 4)[3], "").Data, "an earlier page can be read too")
 	out, err := restartCommand(p).CombinedOutput()
 	require.Error(t, err, "a spool has one owner")
 	require.Contains(t, string(out), "in use")
@@ -51,7 +51,7 @@
 // A query whose result may not fit into the spool is rejected before it is sent, with a time after which to retry.
 func TestFullSpoolRejectsBeforeAnyAttempt(t *testing.T) {
 	t.Parallel()
-	p, e, _ := startWithOneEngineAndSpool(t, 600, `{"total_mb":0.1}`) // room for two results of the maximum size
+	p, e, _ := startWithOneEngineAndSpool(t, 600, `{"total_mb":0.1}`) // holds two results of the maximum size
 	one, two := p.post("ridership-report", "", "stay 1"), p.post("ridership-report", "", "stay 2")
 	require.Equal(t, 200, two.status)
 	rejected := p.post("timetable-load", "k", "load 3")
@@ -90,7 +90,7 @@
 type largeResultEngine struct {
 	*httptest.Server
 	pages      int
-	pageDelay  time.Duration // before each page
+	pageDelay  time.Duration // time before each page is sent
 	failAtPage int32         // the page whose first request fails, and with it the query; 0: none
 	failed     atomic.Bool
 	holding    atomic.Int32 // queries for which memory is held
@@ -163,7 +163,7 @@
 	e, j, dir := newLargeResultEngine(t, sizeMB*4), newFakeJournal(t), testdir.Dir(t)
 	e.pageDelay = 10 * time.Millisecond // in total longer than the balancer waits for a silent engine
 	j.add(true, e.serverEntry(1))
-	longDeadlines := strings.ReplaceAll(firstSettings, `"deadlineMs":10000`, `"deadlineMs":60000`) // also enough on a slow machine
+	longDeadlines := strings.ReplaceAll(firstSettings, `"deadlineMs":10000`, `"deadlineMs":60000`) // long enough on a slow machine too
 	p := startWithSettings(t, dir, j, filepath.Join(dir, "record.db"), 600, fmt.Sprintf(`{"directory":"spool","total_mb":%d}`, sizeMB+16), longDeadlines)
 	r := p.post("ridership-report", "", "select * from sales_3.trips")
 	require.Equal(t, 200, r.status)
@@ -193,7 +193,7 @@
 	other := newLargeResultEngine(t, 6)
 	j.add(true, e.serverEntry(1), other.serverEntry(2))
 	p := startWithSpool(t, dir, j, filepath.Join(dir, "record.db"), 600, `{"directory":"spool","total_mb":32}`)
-	for i := range 6 { // each engine gets some; the one that starts at the failing engine may end at either
+	for i := range 6 { // each engine gets some queries; one that starts at the failing engine may end at either
 		r := p.post("ridership-report", "", fmt.Sprintf("select * from sales_%d.trips", i))
 		var numbers []string
 		for {
