--- a/internal/ctl/drill.go
+++ b/internal/ctl/drill.go
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-// drillSelection holds the drill of a command and the guards to disable in a run in virtual time.
+// drillSelection holds the drill of a command and the guards, that is safety checks, to disable in virtual time.
 type drillSelection struct {
 	drill    *drill.Drill
 	disabled drill.DisabledGuards
--- a/internal/ctl/drill_run.go
+++ b/internal/ctl/drill_run.go
@@ -11,16 +11,16 @@
 
 // drillRunFlags holds the flags of drill run.
 type drillRunFlags struct {
-	firstSeed, seeds uint64
-	virtual          bool
-	fleetOff         bool
+	firstSeed, seeds uint64 // the first seed and the number of consecutive ones
+	virtual          bool   // run in virtual time
+	fleetOff         bool   // run each coordinator without a consensus group
 	debug            bool
 	asJSON           bool
-	without          []string
-	coordinator      string
-	olderCoordinator string
-	output           string
-	scenario         string
+	without          []string // names of the guards to disable
+	coordinator      string   // path of the coordinator program
+	olderCoordinator string   // path of an earlier coordinator program; empty: none
+	output           string   // directory for logs and disks
+	scenario         string   // name of a scenario, for a drill that names none
 }
 
 func (f *drillRunFlags) register(cmd *cobra.Command) {
--- a/internal/ctl/drill_virtual.go
+++ b/internal/ctl/drill_virtual.go
@@ -72,7 +72,7 @@
 // seedFlags holds the flags of the commands that run one seed in virtual time.
 type seedFlags struct {
 	seed    uint64
-	without []string
+	without []string // names of the guards to disable
 }
 
 func (f *seedFlags) register(cmd *cobra.Command) {
--- a/internal/ctl/emulate_run.go
+++ b/internal/ctl/emulate_run.go
@@ -16,11 +16,11 @@
 	"aniseloft/scenarios"
 )
 
-// dayFlags holds the flags shared by the commands that run an emulated day.
+// dayFlags holds the flags shared by the commands that run an emulated day, which is one run of a scenario.
 type dayFlags struct {
 	seed    uint64
-	changes []string
-	output  string
+	changes []string // changes of scenario values, each POINTER=VALUE
+	output  string   // directory for report.json; empty: it is not written
 	asJSON  bool
 }
 
--- a/internal/ctl/fleet_admin.go
+++ b/internal/ctl/fleet_admin.go
@@ -15,7 +15,7 @@
 
 // adminFlags holds the flags of the commands that send a request to the consensus group.
 type adminFlags struct {
-	file, replica string
+	file, replica string // fleet configuration file; replica to ask, empty: each in turn
 	asJSON        bool
 	timeout       time.Duration
 }
--- a/internal/ctl/fleet_logs.go
+++ b/internal/ctl/fleet_logs.go
@@ -119,7 +119,7 @@
 	return w.Flush()
 }
 
-// printCounts prints counts in descending order.
+// printCounts prints names and their counts in descending order of the counts.
 func printCounts(printRow printFunc, counts map[string]int) {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
--- a/internal/ctl/spool_gc.go
+++ b/internal/ctl/spool_gc.go
@@ -47,7 +47,7 @@
 	}
 	defer func() { err = errors.Join(err, directory.Close()) }()
 	retentionMS := float64(retention.Milliseconds())
-	store, recovered, err := spool.Open(directory, spool.Options{
+	store, recovery, err := spool.Open(directory, spool.Options{
 		SegmentBytes: gcSegmentBytes,
 		NowMS:        func() float64 { return float64(time.Now().UnixMilli()) },
 		Limits:       ledger.Limits{Total: math.MaxInt64, RetentionMS: retentionMS, MaxRetentionMS: retentionMS},
@@ -60,6 +60,6 @@
 		return err
 	}
 	_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d expired and %d incomplete results deleted, %d kept; %d bytes before, %d after\n",
-		expired, recovered.Discarded, recovered.Sealed-expired, bytesBefore, store.Usage().StoredBytes)
+		expired, recovery.Discarded, recovery.Sealed-expired, bytesBefore, store.Usage().StoredBytes)
 	return nil
 }
--- a/internal/fleetlog/fleetlog.go
+++ b/internal/fleetlog/fleetlog.go
@@ -28,8 +28,8 @@
 
 // Summary accumulates the events of the logs. It is not safe for concurrent use.
 type Summary struct {
-	warmUpMS      float64
-	coordinators  map[string]bool
+	warmUpMS      float64         // time after an endpoint's start in which it counts as warming up
+	coordinators  map[string]bool // names of the coordinators whose logs were read
 	lines         int
 	skippedLines  int
 	perSecond     map[string]map[int64]int // events by kind and Unix second
@@ -47,8 +47,8 @@
 // updateSpread holds the time at which each coordinator first received an update. Repetitions, as in a complete list, are
 // ignored.
 type updateSpread struct {
-	first, last time.Time
-	received    map[string]time.Time // by coordinator
+	first, last time.Time            // earliest and latest receipt
+	received    map[string]time.Time // first receipt, by coordinator
 }
 
 // attempt is one attempt that a coordinator started.
--- a/internal/fleetlog/report.go
+++ b/internal/fleetlog/report.go
@@ -12,18 +12,18 @@
 	Lines           int              `json:"lines"`
 	SkippedLines    int              `json:"lines_passed_over"`
 	Rates           []Rate           `json:"rates"`
-	AttemptsEnded   map[string]int   `json:"attempts_ended"` // by outcome
-	Answers         map[string]int   `json:"answers"`        // by kind and reason
-	Endpoints       []*Endpoint      `json:"engines"`        // the busiest first
-	Updates         []EndpointUpdate `json:"notices"`        // those with the most attempts after them first
-	BusiestOverMean float64          `json:"busiest_over_mean"`
+	AttemptsEnded   map[string]int   `json:"attempts_ended"`    // by outcome
+	Answers         map[string]int   `json:"answers"`           // by kind and reason
+	Endpoints       []*Endpoint      `json:"engines"`           // the busiest first
+	Updates         []EndpointUpdate `json:"notices"`           // those with the most attempts after them first
+	BusiestOverMean float64          `json:"busiest_over_mean"` // answers of the busiest coordinator, as a multiple of the mean
 }
 
 // Rate is the rate of one event over the whole fleet.
 type Rate struct {
 	Event         string  `json:"deed"`
 	Total         int     `json:"total"`
-	MeanPerSecond float64 `json:"mean_s"` // from the first second with an event to the last
+	MeanPerSecond float64 `json:"mean_s"` // mean over the seconds from the first event to the last
 	MaxPerSecond  int     `json:"worst_s"`
 	MaxAtUnix     int64   `json:"worst_at_unix_s"` // the first of the busiest seconds, in Unix seconds
 }
@@ -36,7 +36,7 @@
 	DialsFailed        int            `json:"dials_failed"`
 	Probes             int            `json:"probes"`
 	AttemptsEnded      map[string]int `json:"ends"`                        // by outcome
-	StartedMS          float64        `json:"started_ms,omitempty"`        // Unix ms; 0: unknown or long ago
+	StartedMS          float64        `json:"started_ms,omitempty"`        // start of the endpoint, Unix ms; 0: unknown or long ago
 	MaxWarmingAttempts float64        `json:"cold_peak_sends_s,omitempty"` // attempts in the busiest second of the warm-up
 }
 
@@ -44,8 +44,8 @@
 type EndpointUpdate struct {
 	Endpoint      string  `json:"engine"`
 	State         string  `json:"state"`          // StateRemoved, StateReady or StateDraining
-	Coordinators  int     `json:"heard_by"`       // number that received the update
-	SpreadMS      float64 `json:"spread_ms"`      // from the first receipt to the last
+	Coordinators  int     `json:"heard_by"`       // number of coordinators that received the update
+	SpreadMS      float64 `json:"spread_ms"`      // time from the first receipt to the last
 	AttemptsAfter int     `json:"sent_after"`     // attempts by coordinators that had received the update; 0 for StateReady
 	LastAttemptMS float64 `json:"latest_send_ms"` // longest time in ms from a receipt to such an attempt
 }
