--- a/cmd/aniseloft/admin_test.go
+++ b/cmd/aniseloft/admin_test.go
@@ -206,16 +206,16 @@
 	j.add(true, serverEntry(1, e, "active"))
 	dir := testdir.Dir(t)
 	require.NoError(t, os.MkdirAll(filepath.Join(dir, "tmp"), 0o700))
-	state := filepath.Join(dir, "tmp", "aniseloft-state.json")
-	require.NoError(t, os.WriteFile(state, []byte(`{"version":1,"seq":4,"bans":[{"id":"s-0000`), 0o600))
+	stateFile := filepath.Join(dir, "tmp", "aniseloft-state.json")
+	require.NoError(t, os.WriteFile(stateFile, []byte(`{"version":1,"seq":4,"bans":[{"id":"s-0000`), 0o600))
 	p := startCoordinator(t, dir, j, false)
 	p.waitForLog("state file not used; kept aside")
-	_, err := os.Stat(state)
+	_, err := os.Stat(stateFile)
 	require.ErrorIs(t, err, os.ErrNotExist)
 	requireLookupsServed(t, dialClient(t, p.listen), 1, 3)
 	// The next suspension is written to a new and complete file, which a later process can read.
 	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
-	raw, err := os.ReadFile(state)
+	raw, err := os.ReadFile(stateFile)
 	require.NoError(t, err)
 	require.Contains(t, string(raw), `"bans":[{"id":"s-00000001","calls":1`)
 }
@@ -280,8 +280,8 @@
 func TestUpgradeLeavesNewConnectionsToTheSuccessor(t *testing.T) {
 	t.Parallel()
 	oldProcess, e, j := startWithOneEngine(t, false)
-	held := dialClient(t, oldProcess.listen) // accepted by the old process, which still listens alone
-	held.send(queryLine(1, "ridership-report", "stay", 9000))
+	heldClient := dialClient(t, oldProcess.listen) // accepted by the old process, which still listens alone
+	heldClient.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	newProcess := &coordinator{t: t, dir: oldProcess.dir, listen: oldProcess.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
 	newProcess.configure(j)
@@ -296,8 +296,8 @@
 	}
 	require.Equal(t, acceptedBefore, oldProcess.acceptedConnections(), "after SIGTERM the old process accepts no connection")
 	close(e.release)
-	require.Contains(t, held.readLine(), `"id":1,"result"`, "the open request is answered")
-	_, err := held.reader.ReadString('\n')
+	require.Contains(t, heldClient.readLine(), `"id":1,"result"`, "the open request is answered")
+	_, err := heldClient.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF, "the connection is closed after its last answer")
 	require.NoError(t, oldProcess.Wait())
 	requireLookupsServed(t, dialClient(t, newProcess.listen), 21, 3)
--- a/cmd/aniseloft/lifecycle_test.go
+++ b/cmd/aniseloft/lifecycle_test.go
@@ -61,13 +61,13 @@
 		return fmt.Sprintf("POST /v1/statement HTTP/1.1\r\nHost: a\r\nX-Trino-User: kiosk\r\nX-Trino-Source: trip-lookup\r\nX-Aniseloft-Work-Ms: 500\r\n%sContent-Length: %d\r\n\r\n%s",
 			headers, len(statement), statement)
 	}
-	sendAndDisconnect := func(taken, text, counters string) {
+	sendAndDisconnect := func(takenCount, text, counters string) {
 		c := dialClient(t, p.rest)
 		_, err := io.WriteString(c, text)
 		require.NoError(t, err)
-		p.waitForCounters("class=trip-lookup taken=" + taken)
+		p.waitForCounters("class=trip-lookup taken=" + takenCount)
 		_ = c.Close()
-		p.waitForCounters("class=trip-lookup taken=" + taken + " sent=0 " + counters)
+		p.waitForCounters("class=trip-lookup taken=" + takenCount + " sent=0 " + counters)
 	}
 	sendAndDisconnect("1", post("left", ""), "gone=1")
 	sendAndDisconnect("2", post("kept", "Idempotency-Key: k\r\n"), "gone=1 answered_served=0 answered_refused=1")
@@ -165,10 +165,10 @@
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	otherListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }()
-	p := &coordinator{t: t, dir: testdir.Dir(t), listen: taken.Addr().String(), admin: freeAddress(t), log: &bytes.Buffer{}}
+	defer func() { _ = otherListener.Close() }()
+	p := &coordinator{t: t, dir: testdir.Dir(t), listen: otherListener.Addr().String(), admin: freeAddress(t), log: &bytes.Buffer{}}
 	p.configure(j)
 	tmp := filepath.Join(p.dir, "tmp")
 	require.NoError(t, os.MkdirAll(tmp, 0o700))
@@ -348,8 +348,8 @@
 func TestSuspensionDoesNotWaitForTheStateFileLock(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	state := filepath.Join(p.dir, "tmp", "aniseloft-state.json")
-	fd, err := syscall.Open(state+".lock", syscall.O_CREAT|syscall.O_RDWR, 0o600)
+	stateFile := filepath.Join(p.dir, "tmp", "aniseloft-state.json")
+	fd, err := syscall.Open(stateFile+".lock", syscall.O_CREAT|syscall.O_RDWR, 0o600)
 	require.NoError(t, err)
 	defer func() { _ = syscall.Close(fd) }()
 	require.NoError(t, syscall.Flock(fd, syscall.LOCK_EX|syscall.LOCK_NB))
@@ -361,7 +361,7 @@
 	answer, err := io.ReadAll(a)
 	require.NoError(t, err)
 	require.Equal(t, "ACK s-00000001 out\n", string(answer))
-	text, err := os.ReadFile(state)
+	text, err := os.ReadFile(stateFile)
 	require.NoError(t, err)
 	require.Contains(t, string(text), "s-00000001")
 	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 300)), `"error"`)
@@ -374,8 +374,8 @@
 func TestSuspensionOverwrittenByAnotherProcessIsWrittenAgain(t *testing.T) {
 	t.Parallel()
 	p, _, _, _ := startWithTwoEngines(t)
-	state := filepath.Join(p.dir, "tmp", "aniseloft-state.json")
-	fd, err := syscall.Open(state+".lock", syscall.O_CREAT|syscall.O_RDWR, 0o600)
+	stateFile := filepath.Join(p.dir, "tmp", "aniseloft-state.json")
+	fd, err := syscall.Open(stateFile+".lock", syscall.O_CREAT|syscall.O_RDWR, 0o600)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Flock(fd, syscall.LOCK_EX|syscall.LOCK_NB))
 	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
@@ -383,12 +383,12 @@
 	other.SetListed("s-00000002", true)
 	_, err = other.Suspend("s-00000002", 1)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(state+".other", other.Encode(2), 0o600))
-	require.NoError(t, os.Rename(state+".other", state))
+	require.NoError(t, os.WriteFile(stateFile+".other", other.Encode(2), 0o600))
+	require.NoError(t, os.Rename(stateFile+".other", stateFile))
 	require.NoError(t, syscall.Close(fd)) // the lock is free
 	p.waitForCounters("out=s-00000001:1,s-00000002:1")
 	eventually(t, func() bool {
-		text, err := os.ReadFile(state)
+		text, err := os.ReadFile(stateFile)
 		return err == nil && strings.Contains(string(text), "s-00000001") && strings.Contains(string(text), "s-00000002")
 	})
 	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 1500)), `"error"`, "both engines are suspended")
--- a/cmd/aniseloft/secondsettings_test.go
+++ b/cmd/aniseloft/secondsettings_test.go
@@ -172,12 +172,12 @@
 	p, e := startWithSecondSettings(t, false)
 	key := `"dedupe":"k1",`
 	first, second, third := dialClient(t, p.listen), dialClient(t, p.listen), dialClient(t, p.listen)
-	stay := "insert stay into s_1.x"
-	first.send(keyedLine(1, stay, key))
-	eventually(t, func() bool { return e.count(&e.attempts, stay) == 1 })
-	second.send(keyedLine(1, stay, key+`"rep":"1",`))
+	stayStatement := "insert stay into s_1.x"
+	first.send(keyedLine(1, stayStatement, key))
+	eventually(t, func() bool { return e.count(&e.attempts, stayStatement) == 1 })
+	second.send(keyedLine(1, stayStatement, key+`"rep":"1",`))
 	require.Contains(t, third.call(keyedLine(1, "insert into s_2.x", key)), `"code":-32001`, "the key names another statement")
-	third.send(keyedLine(2, stay, key))
+	third.send(keyedLine(2, stayStatement, key))
 	eventually(t, func() bool {
 		_ = p.Process.Signal(syscall.SIGUSR1)
 		return strings.Contains(p.logged(), "joined=2")
@@ -187,9 +187,9 @@
 	require.Contains(t, third.call(`{"jsonrpc":"2.0","id":9,"method":"alive"}`), `"id":9`)
 	close(e.release)
 	require.Equal(t, "a\tb\tc\n", answerText(t, second.readLine()))
-	require.Equal(t, 1, e.count(&e.attempts, stay), "the load ran once")
-	require.Zero(t, e.count(&e.cancelled, stay), "the run was not cancelled")
-	require.Equal(t, "a\tb\tc\n", answerText(t, third.call(keyedLine(3, stay, key))), "the key is free once its request has ended")
+	require.Equal(t, 1, e.count(&e.attempts, stayStatement), "the load ran once")
+	require.Zero(t, e.count(&e.cancelled, stayStatement), "the run was not cancelled")
+	require.Equal(t, "a\tb\tc\n", answerText(t, third.call(keyedLine(3, stayStatement, key))), "the key is free once its request has ended")
 }
 
 // When a run ends unserved, a request that waits under the same key is tried if it can still be answered in time.
@@ -197,10 +197,10 @@
 	t.Parallel()
 	p, e := startWithSecondSettings(t, false)
 	first, second := dialClient(t, p.listen), dialClient(t, p.listen)
-	stay, key := "insert stay into s_1.x", `"dedupe":"k1",`
-	first.send(strings.Replace(keyedLine(1, stay, key), `"ttl":9000`, `"ttl":1200`, 1))
-	eventually(t, func() bool { return e.count(&e.attempts, stay) >= 1 })
-	second.send(keyedLine(1, stay, key))
+	stayStatement, key := "insert stay into s_1.x", `"dedupe":"k1",`
+	first.send(strings.Replace(keyedLine(1, stayStatement, key), `"ttl":9000`, `"ttl":1200`, 1))
+	eventually(t, func() bool { return e.count(&e.attempts, stayStatement) >= 1 })
+	second.send(keyedLine(1, stayStatement, key))
 	require.Contains(t, first.readLine(), `"error"`)
 	close(e.release)
 	require.Equal(t, "a\tb\tc\n", answerText(t, second.readLine()))
