--- a/internal/spool/crash_test.go
+++ b/internal/spool/crash_test.go
@@ -71,6 +71,7 @@
 	}
 }
 
+// crashAt fails the medium at one step of writeHistory and checks what a restart finds.
 func crashAt(t *testing.T, step int, transient bool, options func(now *float64) Options) {
 	rng := rand.New(rand.NewPCG(uint64(step), 3))
 	now := 0.0
--- a/internal/spool/faultymedium_test.go
+++ b/internal/spool/faultymedium_test.go
@@ -27,6 +27,7 @@
 
 var errNoSpace = errors.New("no space left on device")
 
+// nextStep counts a step, and returns an error if this step must fail.
 func (m *faultyMedium) nextStep() error {
 	m.step++
 	if m.dead || m.step == m.failAt {
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -12,10 +12,10 @@
 	"aniseloft/internal/testdir"
 )
 
-// recorded is a shared directory that commit d9ce9f6 wrote, with the spool of coordinator n0. This rewrites it:
+// recordedDirectory is a shared directory that commit d9ce9f6 wrote, with the spool of coordinator n0. This rewrites it:
 //
 //	go test ./internal/spool -run Recorded -update
-const recorded = "testdata/shared"
+const recordedDirectory = "testdata/shared"
 
 func recordedOptions(now float64) Options {
 	return Options{SegmentBytes: 2000, Compress: true, NowMS: func() float64 { return now },
@@ -32,9 +32,9 @@
 }
 
 func writeRecorded(t *testing.T) {
-	require.NoError(t, os.RemoveAll(recorded))
-	require.NoError(t, os.MkdirAll(recorded, 0o755))
-	dir, err := OpenDirectory(CoordinatorDirectory(recorded, "n0"))
+	require.NoError(t, os.RemoveAll(recordedDirectory))
+	require.NoError(t, os.MkdirAll(recordedDirectory, 0o755))
+	dir, err := OpenDirectory(CoordinatorDirectory(recordedDirectory, "n0"))
 	require.NoError(t, err)
 	st, _, err := Open(dir, recordedOptions(1e12))
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	require.NoError(t, st.Drop("dropped"))
 	require.NoError(t, st.Close())
 	require.NoError(t, dir.Close())
-	require.NoError(t, RunFenced(recorded, "collect-spool", 7, "n0", func() error { return nil }))
+	require.NoError(t, RunFenced(recordedDirectory, "collect-spool", 7, "n0", func() error { return nil }))
 }
 
 func TestRecordedSpoolIsServed(t *testing.T) {
@@ -59,7 +59,7 @@
 		writeRecorded(t)
 	}
 	root := testdir.Dir(t)
-	require.NoError(t, os.CopyFS(root, os.DirFS(recorded)))
+	require.NoError(t, os.CopyFS(root, os.DirFS(recordedDirectory)))
 	dir, err := OpenDirectory(CoordinatorDirectory(root, "n0"))
 	require.NoError(t, err)
 	inspection, err := Inspect(dir, true)
--- a/internal/spool/inspect.go
+++ b/internal/spool/inspect.go
@@ -32,10 +32,10 @@
 	Damage   []Damage     `json:"damage"`
 }
 
-// Inspect reads a spool without changing it; the spool may be in use meanwhile. If deep is set, every page is read and
-// verified too.
-func Inspect(m Medium, deep bool) (Inspection, error) {
-	index, inspection, err := scanMedium(m, deep)
+// Inspect reads a spool without changing it; the spool may be in use meanwhile. If verifyPages is set, every page is
+// read and verified too.
+func Inspect(m Medium, verifyPages bool) (Inspection, error) {
+	index, inspection, err := scanMedium(m, verifyPages)
 	if err != nil {
 		return inspection, err
 	}
@@ -77,7 +77,7 @@
 }
 
 // scanMedium reads all segments. It does not fill in the Results of the Inspection.
-func scanMedium(m Medium, deep bool) (*contents, Inspection, error) {
+func scanMedium(m Medium, verifyPages bool) (*contents, Inspection, error) {
 	var inspection Inspection
 	numbers, err := m.List()
 	if err != nil {
@@ -91,7 +91,7 @@
 		}
 		size, err := file.Size()
 		if err == nil {
-			_, damage := scan(number, file, size, deep, index.add)
+			_, damage := scan(number, file, size, verifyPages, index.add)
 			inspection.Damage = append(inspection.Damage, damage...)
 			inspection.Bytes += size
 		}
--- a/internal/spool/ledger/ledger.go
+++ b/internal/spool/ledger/ledger.go
@@ -175,15 +175,15 @@
 	return true
 }
 
-// EndRead ends a read; last is set if the read returned the last page.
-func (l *Ledger) EndRead(now float64, name string, last bool) {
+// EndRead ends a read; isLast is set if the read returned the last page.
+func (l *Ledger) EndRead(now float64, name string, isLast bool) {
 	e := l.results[name]
 	if e == nil || e.readers == 0 {
 		return
 	}
 	e.readers--
 	e.lastReadAtMS = max(e.lastReadAtMS, now)
-	if last && e.phase == PhaseSealed {
+	if isLast && e.phase == PhaseSealed {
 		e.phase = PhaseRead
 	}
 }
--- a/internal/spool/ledger/ledger_test.go
+++ b/internal/spool/ledger/ledger_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var limits = Limits{Total: 100, PerOwner: 60, PerClass: map[string]int64{"report": 80}, RetentionMS: 10, MaxRetentionMS: 50, RetryAfterMS: 40}
+var testLimits = Limits{Total: 100, PerOwner: 60, PerClass: map[string]int64{"report": 80}, RetentionMS: 10, MaxRetentionMS: 50, RetryAfterMS: 40}
 
 func begin(t *testing.T, l *Ledger, now float64, name, owner, class string, n int64) Decision {
 	d, err := l.Begin(now, name, owner, class, n)
@@ -15,7 +15,7 @@
 }
 
 func TestRejectionNamesTheExhaustedQuota(t *testing.T) {
-	l, err := New(limits)
+	l, err := New(testLimits)
 	require.NoError(t, err)
 	require.Equal(t, Reserved, begin(t, l, 0, "a", "x", "report", 60).Verdict)
 	require.Equal(t, "the owner's share of the spool is full", begin(t, l, 0, "b", "x", "trip", 1).Reason)
@@ -29,7 +29,7 @@
 }
 
 func TestRetainedResultIsNotEvicted(t *testing.T) {
-	l, _ := New(limits)
+	l, _ := New(testLimits)
 	begin(t, l, 0, "a", "x", "trip", 60)
 	_, _ = l.Grow(0, "a", 60)
 	require.NoError(t, l.Seal(0, "a"))
@@ -50,7 +50,7 @@
 
 // Two growing results fill the spool. If both waited they would deadlock: the younger waits and the older is rejected.
 func TestOldestOpenResultIsRejectedRatherThanWaiting(t *testing.T) {
-	l, _ := New(limits)
+	l, _ := New(testLimits)
 	begin(t, l, 0, "a", "x", "trip", 50)
 	begin(t, l, 0, "b", "y", "trip", 50)
 	for _, name := range []string{"a", "b"} {
--- a/internal/spool/ledger/model_test.go
+++ b/internal/spool/ledger/model_test.go
@@ -33,7 +33,7 @@
 }
 
 func (r *modelResult) isRetained(now float64) bool {
-	return now < min(r.lastReadAt+limits.RetentionMS, r.sealedAt+limits.MaxRetentionMS)
+	return now < min(r.lastReadAt+testLimits.RetentionMS, r.sealedAt+testLimits.MaxRetentionMS)
 }
 
 // draw returns one of the results, or skips the step if there is none.
@@ -160,7 +160,7 @@
 // is still retained for its client.
 func TestLedgerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, err := New(limits)
+		l, err := New(testLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/spool/reader.go
+++ b/internal/spool/reader.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// Read returns one page of a result after verifying its checksum. last reports that the result is sealed and that
+// Read returns one page of a result after verifying its checksum. isLast reports that the result is sealed and that
 // this is its last page. Errors are ErrNotFound, ErrNoPage, ErrExpired, ErrMedium and ErrCorruptPage.
-func (s *Store) Read(name string, page int) (b []byte, last bool, err error) {
+func (s *Store) Read(name string, page int) (b []byte, isLast bool, err error) {
 	r, at, seg, err := s.beginRead(name, page)
 	if err != nil {
 		return nil, false, err
 	}
 	stored := make([]byte, at.length)
 	_, readErr := seg.file.ReadAt(stored, at.payloadOffset())
-	last = s.endRead(r, page, seg, readErr == nil)
+	isLast = s.endRead(r, page, seg, readErr == nil)
 	if readErr != nil {
 		return nil, false, fmt.Errorf("%w: segment %016x, offset %d: %w", ErrMedium, at.segment, at.offset, readErr)
 	}
 	if b, err = decompress(at, stored); err != nil {
 		return nil, false, fmt.Errorf("%w: segment %016x, page %d, offset %d: %w", ErrCorruptPage, at.segment, page, at.offset, err)
 	}
-	return b, last, nil
+	return b, isLast, nil
 }
 
 // beginRead looks up a page. Until endRead its result is not evicted and its segment is not removed.
@@ -41,13 +41,13 @@
 }
 
 // endRead ends a read and reports whether the page was the last one of a sealed result.
-func (s *Store) endRead(r *result, page int, seg *segment, succeeded bool) (last bool) {
+func (s *Store) endRead(r *result, page int, seg *segment, succeeded bool) (isLast bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seg.readers--
-	last = r.seal != nil && page == len(r.pages)-1
-	s.ledger.EndRead(s.options.NowMS(), r.name, last && succeeded)
-	return last
+	isLast = r.seal != nil && page == len(r.pages)-1
+	s.ledger.EndRead(s.options.NowMS(), r.name, isLast && succeeded)
+	return isLast
 }
 
 // Pages returns the number of pages written to a result so far, and whether it is sealed.
--- a/internal/spool/scan.go
+++ b/internal/spool/scan.go
@@ -22,10 +22,10 @@
 }
 
 // scan reads a segment's records in order and calls visit for each of them. It reads and verifies the payloads of seals
-// and, if deep is set, those of all records. A corrupt seal is skipped; for other records with a corrupt payload, visit
-// is called with a nil payload. It returns the offset at which the last complete record ends. A truncated record after
-// that is not damage, as a crash during a write leaves one.
-func scan(segment uint64, file io.ReaderAt, size int64, deep bool, visit func(h header, at location, payload []byte)) (end int64, damage []Damage) {
+// and, if verifyPages is set, those of all records. A corrupt seal is skipped; for other records with a corrupt payload,
+// visit is called with a nil payload. scan returns the offset at which the last complete record ends. A truncated record
+// after that is not damage, as a crash during a write leaves one.
+func scan(segment uint64, file io.ReaderAt, size int64, verifyPages bool, visit func(h header, at location, payload []byte)) (end int64, damage []Damage) {
 	var buffer [headerSize]byte
 	for end < size {
 		h, err := readHeader(file, buffer[:], end, size)
@@ -37,7 +37,7 @@
 		}
 		at := location{segment: segment, offset: end, length: h.length, checksum: h.checksum, flags: h.flags}
 		var payload []byte
-		if deep || h.kind == kindSeal {
+		if verifyPages || h.kind == kindSeal {
 			if payload, err = readPayload(file, at); errors.Is(err, errCorruptPayload) {
 				damage = append(damage, Damage{segment, end, fmt.Sprintf("%x", h.resultID), int(h.page), err.Error()})
 			} else if err != nil {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -14,10 +14,10 @@
 	"aniseloft/internal/testdir"
 )
 
-// recorded is a record that commit d9ce9f6 wrote. This rewrites it:
+// recordedFile is a record that commit d9ce9f6 wrote. This rewrites it:
 //
 //	go test ./internal/store -run Recorded -update
-const recorded = "testdata/record.db"
+const recordedFile = "testdata/record.db"
 
 // recordedExpiry is in the year 2100, so that the queries of the record do not expire.
 var recordedExpiry = time.UnixMilli(4102444800000)
@@ -45,8 +45,8 @@
 
 func writeRecorded(t *testing.T) {
 	ctx := context.Background()
-	require.NoError(t, os.RemoveAll(recorded))
-	s, err := Open(ctx, recorded)
+	require.NoError(t, os.RemoveAll(recordedFile))
+	s, err := Open(ctx, recordedFile)
 	require.NoError(t, err)
 	for _, q := range recordedQueries() {
 		q.Coordinator = "n0"
@@ -71,7 +71,7 @@
 		writeRecorded(t)
 	}
 	ctx, path := context.Background(), filepath.Join(testdir.Dir(t), "record.db")
-	raw, err := os.ReadFile(recorded)
+	raw, err := os.ReadFile(recordedFile)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, raw, 0o600))
 	s, err := Open(ctx, path)
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -31,14 +31,14 @@
 // have the lease nevertheless, as the outcome of a commit can be unknown: the next call then renews it, under the
 // same fence.
 func (s *Store) AcquireLease(ctx context.Context, job, holder string, durationMS float64, acquire bool) (LeaseRow, error) {
-	until := fmt.Sprintf("%s + %.0f", s.nowSQL, durationMS)
-	renew := `UPDATE lease SET until_ms = ` + until + ` WHERE job = $1 AND holder = $2 RETURNING fence`
-	fence, held, err := s.queryFence(ctx, renew, job, holder)
+	expiresAtSQL := fmt.Sprintf("%s + %.0f", s.nowSQL, durationMS)
+	renewSQL := `UPDATE lease SET until_ms = ` + expiresAtSQL + ` WHERE job = $1 AND holder = $2 RETURNING fence`
+	fence, held, err := s.queryFence(ctx, renewSQL, job, holder)
 	if err == nil && !held && acquire {
-		take := `INSERT INTO lease (job, fence, holder, until_ms) VALUES ($1, 1, $2, ` + until + `)
+		acquireSQL := `INSERT INTO lease (job, fence, holder, until_ms) VALUES ($1, 1, $2, ` + expiresAtSQL + `)
 			ON CONFLICT (job) DO UPDATE SET fence = lease.fence + 1, holder = excluded.holder, until_ms = excluded.until_ms
 			WHERE lease.holder = '' OR lease.until_ms < ` + s.nowSQL + ` RETURNING fence`
-		fence, held, err = s.queryFence(ctx, take, job, holder)
+		fence, held, err = s.queryFence(ctx, acquireSQL, job, holder)
 	}
 	if err != nil || held {
 		return LeaseRow{Fence: fence, Holder: holder}, err
