--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -13,6 +13,7 @@
 	"aniseloft/internal/wire"
 )
 
+// codec distinguishes upper and lower case in field names, and ignores unknown fields.
 var codec = jsoniter.Config{CaseSensitive: true}.Froze()
 
 // MinMemoryMB and MinSockets are the lowest limits with which the program works.
--- a/internal/ctl/check_test.go
+++ b/internal/ctl/check_test.go
@@ -11,11 +11,11 @@
 	config := writeTestFile(t, "config.json", `{"settings":{"balancers":1,"me":0,"tickMs":5,"zones":["a"],"machineTypes":["std-16"],
 		"lanes":[{"name":"trip-lookup","deadlineMs":2500,"promiseMs":500,"repeat":"repeatable","gain":1}]}}`)
 	typo := `{"listen":"","spool":{"total_mb":4,"clas_mb":{}}}` //nolint:misspell // the typing mistake is the case
-	bad := writeTestFile(t, "bad.json", typo)
+	badFile := writeTestFile(t, "bad.json", typo)
 	requireCommands(t, []commandCase{
 		{[]string{"check", "rest", "../../deploy/rest.json"}, ExitOK, ": valid"},
 		{[]string{"check", "rest", "--help"}, ExitOK, "aniseloftctl check rest deploy/rest.json --config"},
-		{[]string{"check", "rest", bad}, ExitUsage, "bad.json: /spool: additional properties 'clas_mb' not allowed"},
+		{[]string{"check", "rest", badFile}, ExitUsage, "bad.json: /spool: additional properties 'clas_mb' not allowed"},
 		{[]string{"check", "rest", writeTestFile(t, "kinds.json", `{"engine_kinds":["gpu-8"]}`), "--config", config}, ExitUsage,
 			`/engine_kinds/0: "gpu-8" is not an engine kind of the coordinator (settings.machineTypes); name one of [std-16]`},
 		{[]string{"check", "rest", writeTestFile(t, "class.json", `{"spool":{"total_mb":4,"class_mb":{"trip-lookup":8}}}`)}, ExitUsage,
@@ -34,9 +34,9 @@
 		{[]string{"check", "config", writeTestFile(t, "conf.json", `{"settings":{"lanes":5}}`)}, ExitUsage, "settings.lanes: number: must be an array"},
 		{[]string{"check", "config"}, ExitUsage, "arg(s)"},
 		{[]string{"check", "rest", "/no/such.json"}, ExitUsage, "no such file"},
-		{[]string{"check", "rest", bad, "--config", "/no/such.json"}, ExitUsage, "clas_mb"}, //nolint:misspell // the typing mistake is the case
+		{[]string{"check", "rest", badFile, "--config", "/no/such.json"}, ExitUsage, "clas_mb"}, //nolint:misspell // the typing mistake is the case
 	})
-	code, out, _ := runCommand("check", "rest", bad, "--json")
+	code, out, _ := runCommand("check", "rest", badFile, "--json")
 	require.Equal(t, ExitUsage, code)
 	var got struct {
 		Faults []struct{ Pointer, Problem, Mend string }
@@ -44,7 +44,7 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &got))
 	require.Len(t, got.Faults, 1)
 	require.Equal(t, "/spool", got.Faults[0].Pointer)
-	require.Equal(t, typo, readTestFile(t, bad), "the file is unchanged")
+	require.Equal(t, typo, readTestFile(t, badFile), "the file is unchanged")
 }
 
 func TestFleetLogsPrintsSums(t *testing.T) {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -11,20 +11,20 @@
 )
 
 func TestExitCodesAndMessagesOfEmulateAndExperiment(t *testing.T) {
-	bad := writeTestFile(t, "bad.json", `{"name":"x","tells":"y","duration_ms":60,"lode":1}`)
-	broken := writeTestFile(t, "cold.json", `{"name":"cold","tells":"y","duration_ms":8000,"engines":{"count":1,"cold_from":0.01},"load":{"per_s":300},
+	badFile := writeTestFile(t, "bad.json", `{"name":"x","tells":"y","duration_ms":60,"lode":1}`)
+	brokenFile := writeTestFile(t, "cold.json", `{"name":"cold","tells":"y","duration_ms":8000,"engines":{"count":1,"cold_from":0.01},"load":{"per_s":300},
 		"rules":{"fall_multiple":0.2},"troubles":[{"kind":"join","at_ms":500,"count":1}],"roster":{"notice_ms":0}}`)
 	requireCommands(t, []commandCase{
 		{[]string{"emulate", "list", "--names"}, ExitOK, "flood-day"},
 		{[]string{"emulate", "run", "--help"}, ExitOK, "aniseloftctl emulate run flood-day --seed 7"},
-		{[]string{"emulate", "check", bad}, ExitUsage, "bad.json: /: additional properties 'lode' not allowed; remove it"},
+		{[]string{"emulate", "check", badFile}, ExitUsage, "bad.json: /: additional properties 'lode' not allowed; remove it"},
 		{[]string{"emulate", "run", "no-such-day"}, ExitUsage, "neither an embedded scenario nor a file"},
 		{[]string{"emulate", "run", "calm-weekday", "--policy", "best"}, ExitUsage, "--policy best"},
 		{[]string{"emulate", "run", "calm-weekday", "--sede", "1"}, ExitUsage, "--help"},
 		{[]string{"emulate", "run", "calm-weekday", "--set", "load=1"}, ExitUsage, "/load/per_s=300"},
 		{[]string{"emulate", "run"}, ExitUsage, "1 arg(s)"},
 		{[]string{"emulate", "rehearse", "calm-weekday", "--coordinator", "/no/such"}, ExitUsage, "--coordinator"},
-		{[]string{"emulate", "run", broken, "--policy", "random"}, ExitRules, "fail_back"},
+		{[]string{"emulate", "run", brokenFile, "--policy", "random"}, ExitRules, "fail_back"},
 		{[]string{"emulat"}, ExitUsage, "unknown command"},
 		{[]string{"emulate", "lis"}, ExitUsage, "unknown command"},
 		{[]string{"completion", "bash", "more"}, ExitUsage, "unknown command"},
@@ -32,7 +32,7 @@
 		{[]string{"emulate"}, ExitOK, "rehearse"},
 		{nil, ExitOK, "Exit codes: 0 success"},
 		{[]string{"experiment", "table", t.TempDir()}, ExitUsage, "results.jsonl"},
-		{[]string{"experiment", "run", bad}, ExitUsage, "missing propert"},
+		{[]string{"experiment", "run", badFile}, ExitUsage, "missing propert"},
 	})
 }
 
--- a/internal/ctl/drill_print.go
+++ b/internal/ctl/drill_print.go
@@ -12,7 +12,7 @@
 // printDrillSummary prints the summary of a drill's runs in virtual time.
 func printDrillSummary(cmd *cobra.Command, s *drill.Summary) error {
 	w := tableWriter(cmd)
-	_, _ = fmt.Fprintf(w, "%s: %d runs, %d with a rule violation; %d fenced writes, %d rejected, %d grants; jobs owned %.3f of the time\n",
+	_, _ = fmt.Fprintf(w, "%s: %d runs, %d with a rule violation; %d fenced writes, %d rejected, %d grants; jobs had a holder %.3f of the time\n",
 		s.Name, s.Runs, len(s.Failed), s.Writes, s.Rejected, s.Grants, s.OwnedRatio)
 	printUnownedTimes(w, s.Unowned)
 	printViolations(w, s.Violations)
@@ -34,9 +34,10 @@
 	return w.Flush()
 }
 
+// printUnownedTimes prints, by cause, how long jobs had no holder.
 func printUnownedTimes(w io.Writer, rows []drill.UnownedTime) {
 	if len(rows) > 0 {
-		_, _ = fmt.Fprintln(w, "\nunowned after\tcount\tp50 ms\tp95 ms\tmax ms")
+		_, _ = fmt.Fprintln(w, "\njob without a holder after\tcount\tp50 ms\tp95 ms\tmax ms")
 	}
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%.0f\n", row.Cause, row.Count, row.P50, row.P95, row.Max)
--- a/internal/ctl/drill_test.go
+++ b/internal/ctl/drill_test.go
@@ -11,7 +11,7 @@
 
 func TestExitCodesAndMessagesOfDrillAndFleet(t *testing.T) {
 	seats := `"seats":[{"name":"n0","addr":"127.0.0.1:1"}]`
-	enabled := writeTestFile(t, "fleet.json", `{"installation":"x","generation":1,"directory":"d","jobs":["prune-record"],`+seats+`}`)
+	enabledFile := writeTestFile(t, "fleet.json", `{"installation":"x","generation":1,"directory":"d","jobs":["prune-record"],`+seats+`}`)
 	requireCommands(t, []commandCase{
 		{[]string{"drill", "--help"}, ExitOK, "replay"},
 		{[]string{"drill", "run", "--help"}, ExitOK, "aniseloftctl drill run drawn --virtual --seeds 10000"},
@@ -29,14 +29,14 @@
 		{[]string{"drill", "check", writeTestFile(t, "d.json", `{"name":"x","tells":"y","members":3,"faults":[{"kind":"kill","at_ms":1e9,"who":"n9"}]}`)}, ExitUsage,
 			`/faults/0/who: "n9" is neither a process nor a role`},
 		{[]string{"check", "fleet", "../../deploy/fleet.json"}, ExitOK, ": valid"},
-		{[]string{"check", "fleet", enabled}, ExitOK, ": valid"},
+		{[]string{"check", "fleet", enabledFile}, ExitOK, ": valid"},
 		{[]string{"check", "fleet", writeTestFile(t, "f.json", `{"installation":"x","generation":1,"directory":"d","jobs":["dance"],`+seats+`}`)}, ExitUsage, "/jobs/0"},
 		{[]string{"fleet", "jobs"}, ExitOK, "prune-record"},
 		{[]string{"fleet", "status", "--file", "/no/such.json"}, ExitUsage, "name the file with --file"},
 		{[]string{"fleet", "status", "--file", "../../deploy/fleet.json"}, ExitUsage, "names no installation"},
-		{[]string{"fleet", "status", "--file", enabled, "--timeout", "100ms"}, ExitFailed, "no replica of the consensus group responds"},
-		{[]string{"fleet", "move", "--file", enabled}, ExitUsage, "arg(s)"},
-		{[]string{"fleet", "history", "--file", enabled, "--at", "n7"}, ExitFailed, `"n7" is not a replica`},
+		{[]string{"fleet", "status", "--file", enabledFile, "--timeout", "100ms"}, ExitFailed, "no replica of the consensus group responds"},
+		{[]string{"fleet", "move", "--file", enabledFile}, ExitUsage, "arg(s)"},
+		{[]string{"fleet", "history", "--file", enabledFile, "--at", "n7"}, ExitFailed, `"n7" is not a replica`},
 	})
 	// shrink prints the smallest drill that still violates a rule: it has a single fault.
 	code, out, _ := runCommand("drill", "shrink", "drawn", "--seed", "1", "--without", "fence")
