--- a/internal/ctl/check_test.go
+++ b/internal/ctl/check_test.go
@@ -30,8 +30,8 @@
 		{[]string{"check", "config", writeTestFile(t, "conf.json", `{"listen":"host:8443"}`)}, ExitUsage,
 			"conf.json: listen: host:8443: must be an IP address and port, such as 127.0.0.1:8443"},
 		{[]string{"check", "config", writeTestFile(t, "conf.json", `{`)}, ExitUsage, "configuration: unreadable"},
-		{[]string{"check", "config", writeTestFile(t, "conf.json", `{"name":"n0",`+"\n"+`"limits":{"cores":"x"}}`)}, ExitUsage, "limits.cores: a string: must be a number, at line 2, column 21"},
-		{[]string{"check", "config", writeTestFile(t, "conf.json", `{"settings":{"lanes":5}}`)}, ExitUsage, "settings.lanes: number: must be an array"},
+		{[]string{"check", "config", writeTestFile(t, "conf.json", `{"name":"n0",`+"\n"+`"limits":{"cores":"x"}}`)}, ExitUsage, "limits.cores: a string: a number is expected, at line 2, column 21"},
+		{[]string{"check", "config", writeTestFile(t, "conf.json", `{"settings":{"lanes":5}}`)}, ExitUsage, "settings.lanes: number: an array is expected"},
 		{[]string{"check", "config"}, ExitUsage, "arg(s)"},
 		{[]string{"check", "rest", "/no/such.json"}, ExitUsage, "no such file"},
 		{[]string{"check", "rest", badFile, "--config", "/no/such.json"}, ExitUsage, "clas_mb"}, //nolint:misspell // the typing mistake is the case
--- a/internal/jsonfault/jsonfault.go
+++ b/internal/jsonfault/jsonfault.go
@@ -15,7 +15,7 @@
 type Fault struct {
 	Field    string // path of the field, by its names in the file; empty: the fault concerns the whole text
 	Found    string // type of the value at the field; empty: no value was read
-	Problem  string // what is wrong, such as the type that the value must have
+	Problem  string // what is wrong, such as "a number is expected"
 	Position string // line and column, from 1
 }
 
@@ -34,7 +34,7 @@
 	case errors.As(err, &syntaxError):
 		return Fault{Problem: "invalid JSON: " + syntaxError.Error(), Position: position(raw, syntaxError.Offset)}, true
 	case errors.As(err, &typeError):
-		return Fault{Field: typeError.Field, Found: describeFound(typeError.Value), Problem: "must be " + describeExpected(typeError.Type), Position: position(raw, typeError.Offset)}, true
+		return Fault{Field: typeError.Field, Found: describeFound(typeError.Value), Problem: describeExpected(typeError.Type) + " is expected", Position: position(raw, typeError.Offset)}, true
 	}
 	return Fault{Problem: err.Error(), Position: position(raw, 0)}, true
 }
