--- a/internal/transport/upstream/cancel.go
+++ b/internal/transport/upstream/cancel.go
@@ -23,7 +23,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		// The client's answer is due now and must not wait for the cancellation.
 		go cancel()
-		return routing.Result{Outcome: decide.OutcomeTimeout, Reason: "deadline exceeded"}
+		return routing.Result{Outcome: decide.OutcomeTimeout, Reason: "deadline"}
 	}
 	if ctx.Err() != nil {
 		cancel()
