--- a/drills/drills_test.go
+++ b/drills/drills_test.go
@@ -14,7 +14,7 @@
 var equalRunSeeds = flag.Uint64("equal-run-seeds", 25, "number of seeds that TestEqualSeedsGiveEqualRunsOfAllDrills runs of each drill")
 
 // Runs each drill in virtual time with 20 seeds, or with one if it has more than 100 members. Longer checks, which are
-// started by hand, run thousands.
+// started by hand, run thousands of seeds.
 func TestVirtualDrillsViolateNoRule(t *testing.T) {
 	for _, name := range drills.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -26,17 +26,17 @@
 			if d.Members > 100 {
 				seeds = 1
 			}
-			var owned float64
+			var ownedRatio float64
 			for seed := range seeds {
 				result, err := drill.RunVirtual(d, seed, drill.DisabledGuards{}, false)
 				require.NoError(t, err)
 				for _, violation := range result.Violations {
 					t.Errorf("seed %d: %v %v", seed, violation, violation.Evidence)
 				}
-				owned += result.OwnedRatio / float64(seeds)
+				ownedRatio += result.OwnedRatio / float64(seeds)
 			}
-			t.Logf("owned %.3f of the time", owned)
-			require.Greater(t, owned, d.MinOwnedRatio, "the jobs had no owner for too long")
+			t.Logf("owned %.3f of the time", ownedRatio)
+			require.Greater(t, ownedRatio, d.MinOwnedRatio, "the jobs had no owner for too long")
 		})
 	}
 }
--- a/internal/drill/datagram_relay.go
+++ b/internal/drill/datagram_relay.go
@@ -17,12 +17,12 @@
 // place of each coordinator, because a coordinator accepts a datagram only from the address that it sends to. One goroutine
 // for each socket reads until Close.
 type DatagramRelay struct {
-	sockets      [2]*net.UDPConn   // each in place of the coordinator with the same index
+	sockets      [2]*net.UDPConn   // each socket stands in place of the coordinator with the same index
 	coordinators [2]netip.AddrPort // addresses at which the coordinators receive datagrams
 
 	mu             sync.Mutex // guards the fields below
 	lossRatio      float64
-	duplicateRatio float64 // of the datagrams that are not lost
+	duplicateRatio float64 // ratio of duplicated datagrams among those that are not lost
 	maxDelay       time.Duration
 }
 
@@ -44,7 +44,8 @@
 	return r, nil
 }
 
-// Address returns the address to which the other coordinator sends datagrams for the first (0) or the second (1).
+// Address returns the address to which the other coordinator sends datagrams for the given coordinator: 0 for the first,
+// 1 for the second.
 func (r *DatagramRelay) Address(coordinator int) string {
 	return r.sockets[coordinator].LocalAddr().String()
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -17,16 +17,16 @@
 	Name          string   `json:"name"`
 	Purpose       string   `json:"tells"`
 	DurationMS    float64  `json:"duration_ms"`
-	Members       int      `json:"members"` // coordinators
-	Replicas      int      `json:"seats"`   // size of the consensus group: the first members are its replicas
+	Members       int      `json:"members"` // number of coordinators
+	Replicas      int      `json:"seats"`   // number of replicas in the consensus group; they run in the first members
 	Jobs          []string `json:"jobs"`
 	LeaseMS       float64  `json:"lease_ms"`
-	DriftBound    float64  `json:"drift_bound"` // upper bound of clock drift that coordinators are given, as a ratio
-	MinOwnedRatio float64  `json:"owned_least"` // minimum ratio of the time in which the jobs must have an owner
+	DriftBound    float64  `json:"drift_bound"` // upper bound of the clock drift that the coordinators allow for, as a ratio
+	MinOwnedRatio float64  `json:"owned_least"` // minimum part of the time, from 0 to 1, in which the jobs must have an owner
 	Faults        []Fault  `json:"faults"`
 	RandomFaults  int      `json:"drawn"`              // number of additional faults, generated from the seed
 	Scenario      string   `json:"scenario,omitempty"` // clients and engines of a run with real processes; empty: none
-	Soak          bool     `json:"soak,omitempty"`     // adds shutdowns with overlapping faults, generated from the seed
+	Soak          bool     `json:"soak,omitempty"`     // adds shutdowns and faults that overlap with them, generated from the seed
 }
 
 // defaults returns the values of the fields that a drill file leaves out.
@@ -82,7 +82,7 @@
 	return index >= 0 && index < d.Members && target == ProcessName(index)
 }
 
-// ProcessName returns the name of the process with an index.
+// ProcessName returns the name of the process with the given index, such as n0.
 func ProcessName(index int) string { return fmt.Sprintf("n%d", index) }
 
 // processNames returns the names of the first count processes.
@@ -94,7 +94,8 @@
 	return names
 }
 
-// schedule returns all faults of a run in order of time: those that the drill lists and those generated from the seed.
+// schedule returns all faults of a run in order of time: those that the drill lists and those that are
+// generated from the seed.
 func (d *Drill) schedule(seed uint64) []Fault {
 	faults := slices.Clone(d.Faults)
 	rng := des.Stream(seed, "faults")
--- a/internal/drill/fault.go
+++ b/internal/drill/fault.go
@@ -16,30 +16,30 @@
 	FaultPause            FaultKind = "stop"       // SIGSTOP, and SIGCONT after DurationMS
 	FaultPartition        FaultKind = "cut"        // blocks traffic between Target and Peer in Direction
 	FaultLossyNetwork     FaultKind = "lossy"      // messages are lost, duplicated or delayed; Magnitude is the ratio of losses
-	FaultSlowDisk         FaultKind = "slow_disk"  // one sync takes DurationMS
+	FaultSlowDisk         FaultKind = "slow_disk"  // one sync of the disk takes DurationMS
 	FaultFullDisk         FaultKind = "full_disk"  // writes to the disk fail
-	FaultClockDrift       FaultKind = "drift"      // the clock's rate changes by the ratio Magnitude, permanently
+	FaultClockDrift       FaultKind = "drift"      // adds Magnitude to the clock's rate, permanently
 	FaultClockStep        FaultKind = "step"       // the clock jumps by ClockStepMS
 	FaultKillAll          FaultKind = "kill_all"   // kills each process within 100 ms and restarts it within DurationMS
 	FaultStepDown         FaultKind = "step_down"  // an operator makes the leader step down
 	FaultMoveJob          FaultKind = "move"       // an operator moves a job to Target
-	FaultResetConnections FaultKind = "reconnect"  // all connections break at once
+	FaultResetConnections FaultKind = "reconnect"  // all connections between coordinators break at once
 	FaultResize           FaultKind = "resize"     // the configured number of replicas becomes Replicas
-	FaultDuplicateName    FaultKind = "twin"       // a second process under the name of Target
-	FaultPauseBeforeWrite FaultKind = "in_the_act" // as FaultPause, between the owner's lease check and its write
-	FaultKillAfterVote    FaultKind = "voted"      // as FaultKill, immediately after Target has voted for another replica
+	FaultDuplicateName    FaultKind = "twin"       // a second process runs under the name of Target
+	FaultPauseBeforeWrite FaultKind = "in_the_act" // a pause between the owner's lease check and its write
+	FaultKillAfterVote    FaultKind = "voted"      // a kill immediately after Target has voted for another replica
 	// FaultShutdown sends SIGTERM within a random series of signals, and SIGKILL at the earliest time at which the platform
 	// may send it, while clients go on using their open connections.
 	FaultShutdown FaultKind = "shutdown"
-	FaultCrowd    FaultKind = "crowd" // opens crowdConnections that idle, stop within a message, or close and reopen
+	FaultCrowd    FaultKind = "crowd" // clients open crowdConnections that idle, stop within a message, or close and reopen
 )
 
 // Roles that a fault may have as its target instead of a process name.
 const (
 	TargetAny     = "any"
 	TargetLeader  = "leader"
-	TargetOwner   = "owner" // of a job
-	TargetReplica = "seat"
+	TargetOwner   = "owner" // the process that holds the lease of a job
+	TargetReplica = "seat"  // any replica of the consensus group
 )
 
 // Services that may be the peer of a partition in runs with real processes.
@@ -55,7 +55,7 @@
 const (
 	DiskIntact     DiskState = "kept"
 	DiskLost       DiskState = "lost"
-	DiskRolledBack DiskState = "rolled_back" // restored to an earlier state
+	DiskRolledBack DiskState = "rolled_back" // the disk holds an earlier state
 )
 
 // Direction is the direction of the traffic that a partition blocks.
@@ -71,14 +71,14 @@
 // Fault is one fault of a drill. Its kind determines which fields are used.
 type Fault struct {
 	Kind        FaultKind `json:"kind"`
-	AtMS        float64   `json:"at_ms"` // since the drill's start
+	AtMS        float64   `json:"at_ms"` // time of the fault in ms since the drill's start
 	DurationMS  float64   `json:"for_ms,omitempty"`
 	Target      string    `json:"who,omitempty"`     // a process name such as n0, or a role; empty: any
 	Peer        string    `json:"to,omitempty"`      // other side of a partition; empty: all others
 	Direction   Direction `json:"way,omitempty"`     // blocked direction of a partition
 	Disk        DiskState `json:"disk,omitempty"`    // state of the disk after a kill
-	Magnitude   float64   `json:"size,omitempty"`    // ratio, with a meaning that depends on the kind
-	ClockStepMS float64   `json:"size_ms,omitempty"` // jump of a clock step
+	Magnitude   float64   `json:"size,omitempty"`    // ratio of lost messages, or change of the clock's rate
+	ClockStepMS float64   `json:"size_ms,omitempty"` // change of the clock's time by a clock step
 	Replicas    int       `json:"count,omitempty"`   // number of replicas after a resize
 }
 
@@ -103,7 +103,8 @@
 	return strings.Join(parts, " ")
 }
 
-// hasServicePeer reports whether the peer is a service rather than a coordinator.
+// hasServicePeer reports whether the other side of a partition is the journal service or the engines, rather than a
+// coordinator.
 func (f Fault) hasServicePeer() bool { return f.Peer == PeerJournal || f.Peer == PeerEngines }
 
 // Random faults start after the fleet has elected a leader and granted the jobs, and early enough for the fleet to recover
@@ -153,5 +154,5 @@
 	return f
 }
 
-// randomPauseMS returns a random duration of a pause, from 0.2 to 3.2 leases.
+// randomPauseMS returns a random duration of a pause in ms, from 0.2 to 3.2 times the duration of a lease.
 func (d *Drill) randomPauseMS(rng *rand.Rand) float64 { return d.LeaseMS * (0.2 + 3*rng.Float64()) }
--- a/internal/drill/history.go
+++ b/internal/drill/history.go
@@ -9,8 +9,8 @@
 	"aniseloft/internal/lease"
 )
 
-// FencedWrite is one write under a fencing token, with the times of its call and return at the owner and of its effect at
-// the target.
+// FencedWrite is one write that a job's owner sends to the job's target under a fencing token. It holds the times of the
+// call and the return at the owner, and of the write's effect at the target.
 type FencedWrite struct {
 	Job          string      `json:"job"`
 	Fence        lease.Fence `json:"fence"`
@@ -24,28 +24,28 @@
 // CheckFencing returns a violation for each write that was admitted after a write under a higher fencing token, or after a
 // write of another holder under the same token. The writes are in the order in which the target applied them.
 func CheckFencing(writes []FencedWrite) (violations []Violation) {
-	newest := map[string]FencedWrite{} // last admitted write, by job
+	lastAdmitted := map[string]FencedWrite{} // by job
 	for _, write := range writes {
 		if !write.Admitted {
 			continue
 		}
-		last, ok := newest[write.Job]
+		last, ok := lastAdmitted[write.Job]
 		stale := write.Fence < last.Fence || write.Fence == last.Fence && write.Holder != last.Holder
 		if ok && stale {
 			violations = append(violations, fencingViolation(write, last))
 			continue
 		}
-		newest[write.Job] = write
+		lastAdmitted[write.Job] = write
 	}
 	return violations
 }
 
-func fencingViolation(write, newest FencedWrite) Violation {
+func fencingViolation(write, last FencedWrite) Violation {
 	return Violation{
 		Rule: RuleFence, Process: write.Holder, AtMS: write.AppliedAtMS,
-		Detail: fmt.Sprintf("%s: write under fence %d admitted after one under fence %d", write.Job, write.Fence, newest.Fence),
+		Detail: fmt.Sprintf("%s: write under fence %d admitted after one under fence %d", write.Job, write.Fence, last.Fence),
 		Evidence: []string{
-			fmt.Sprintf("%.1f ms: %s wrote under fence %d", newest.AppliedAtMS, newest.Holder, newest.Fence),
+			fmt.Sprintf("%.1f ms: %s wrote under fence %d", last.AppliedAtMS, last.Holder, last.Fence),
 			fmt.Sprintf("%.1f ms: %s wrote under fence %d", write.AppliedAtMS, write.Holder, write.Fence),
 		},
 	}
@@ -81,8 +81,8 @@
 	return parts
 }
 
-// CheckLinearizability checks that the writes, by the times of their calls and returns, are linearizable over a register
-// whose fencing token never decreases.
+// CheckLinearizability returns a violation for each job whose writes, by the times of their calls and returns, are not
+// linearizable over a register whose fencing token never decreases.
 func CheckLinearizability(writes []FencedWrite) []Violation {
 	const microsPerMilli = 1000
 	var operations []porcupine.Operation
--- a/internal/drill/real.go
+++ b/internal/drill/real.go
@@ -25,10 +25,10 @@
 	Coordinator      string                     // path of the coordinator's program
 	OlderCoordinator string                     // program of each process until its first graceful shutdown; empty: Coordinator
 	Scenario         *scenario.Scenario         // engines and clients
-	Directory        string                     // for logs and disks; empty: a temporary one
+	Directory        string                     // directory for logs and disks; empty: a temporary directory
 	FleetOff         bool                       // coordinators run without a fleet configuration, for comparison
 	Debug            bool                       // coordinators log at debug level
-	Progress         func(nowMS, endMS float64) // nil: none
+	Progress         func(nowMS, endMS float64) // called with the progress of the run; nil: not called
 }
 
 // RealResult is the result of a run with real processes.
@@ -37,13 +37,13 @@
 	Violations     []Violation      `json:"broken"`
 	Writes         int              `json:"acts"`
 	Rejected       int              `json:"refused"` // number of rejected writes
-	Unknown        int              `json:"unknown"` // writes whose outcome their owner did not receive
+	Unknown        int              `json:"unknown"` // number of writes whose outcome their owner did not receive
 	Grants         []store.FenceRow `json:"grants"`
-	Unowned        []UnownedTime    `json:"gaps"` // times between two writes to the record
+	Unowned        []UnownedTime    `json:"gaps"` // times between two writes to the query record in which its job had no owner
 	Service        float64          `json:"service"`
 	JournalCalls   int              `json:"journal_calls"`
-	BytesPerSecond float64          `json:"bytes_s"` // sent by one coordinator to the others, on average
-	SyncsPerSecond float64          `json:"syncs_s"` // disk syncs of one replica, on average
+	BytesPerSecond float64          `json:"bytes_s"` // bytes that one coordinator sends to the others per second, on average
+	SyncsPerSecond float64          `json:"syncs_s"` // disk syncs of one replica per second, on average
 	Faults         []string         `json:"faults"`
 	Report         *observer.Report `json:"report"`
 }
@@ -53,9 +53,9 @@
 	drill            *Drill
 	options          RealOptions
 	directory        string
-	network          *loopback.Network // network of the addresses below
-	replicaAddresses []string          // by process
-	restAddresses    []string          // by process
+	network          *loopback.Network // loopback network to which the addresses below belong
+	replicaAddresses []string          // addresses of the replicas, by process index
+	restAddresses    []string          // addresses of the REST listeners, by process index
 	logs             []*processLog
 	origins          *connectionOrigins
 	controller       *live.Controller // set once, before the first fault
@@ -64,26 +64,27 @@
 	rngMu sync.Mutex // guards rng
 	rng   *rand.Rand
 
-	mu             sync.Mutex       // guards the fields below
-	fleet          fleetconf.Config // newest configuration, with the replicas' addresses without relays
-	replicaRelays  map[link]*Relay
-	serviceRelays  map[serviceRoute]*Relay
-	datagramRelays map[link]*DatagramRelay // by the link from the lower to the higher process index
-	faultLog       []string
-	injected       []injectedFault
-	faulted        map[int]bool // whether a process is killed, shut down or paused now, by process
-	upgraded       map[int]bool // whether a process has shut down gracefully, by process
-	unanswered     []unansweredCall
-	notStarted     []Violation
+	mu              sync.Mutex       // guards the fields below
+	fleet           fleetconf.Config // newest configuration, with the replicas' addresses without relays
+	replicaRelays   map[link]*Relay
+	serviceRelays   map[serviceRoute]*Relay
+	datagramRelays  map[link]*DatagramRelay // by the link from the lower to the higher process index
+	faultLog        []string
+	injectedFaults  []injectedFault
+	faulted         map[int]bool // whether a process is killed, shut down or paused now, by process index
+	upgraded        map[int]bool // whether a process has shut down gracefully, by process index
+	unansweredCalls []unansweredCall
+	startFailures   []Violation // processes that failed to restart
 }
 
 // serviceRoute identifies the route from a process to the journal service or an engine.
 type serviceRoute struct {
 	process int
-	service string // live.ToJournal or live.ToEngine
+	service string // kind of the service: live.ToJournal or live.ToEngine
 	address string
 }
 
+// injectedFault is the kind of a fault and the time at which it was injected.
 type injectedFault struct {
 	injectedAt time.Time
 	kind       FaultKind
@@ -106,7 +107,7 @@
 	if r.network, err = loopback.Claim(); err != nil {
 		return nil, fmt.Errorf("drill: %w", err)
 	}
-	defer r.network.Release() // once the processes have ended
+	defer r.network.Release() // other runs may use the addresses once the processes have ended
 	defer r.closeRelays()
 	if err := r.prepare(); err != nil {
 		return nil, err
@@ -131,7 +132,7 @@
 		ServiceAddress: r.serviceAddress, ReceivedAt: r.origins.receivedAt, GossipAddresses: r.peerAddresses, Program: r.program,
 		Control: func(_ context.Context, controller *live.Controller) { r.start(controller) },
 	}
-	if r.drill.Soak { // with a crowd, a coordinator may close an idle connection as a request is sent on it
+	if r.drill.Soak { // a coordinator with a crowd may close an idle connection while a client sends a request on it
 		options.Unanswered = r.addUnanswered
 	}
 	return live.Run(ctx, &s, options)
--- a/internal/drill/real_config.go
+++ b/internal/drill/real_config.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	purgeIntervalMS = 50 // interval between two writes of the owner of lease.JobPruneRecord
-	withoutRelays   = -1 // in place of a process index, for a configuration without relays
+	purgeIntervalMS = 50 // interval between two writes to the query record by the owner of lease.JobPruneRecord
+	withoutRelays   = -1 // argument of fleetConfig in place of a process index, for a configuration without relays
 )
 
 // Blocks of hosts in a run's loopback network, as loopback.Network.Host takes them.
@@ -22,7 +22,7 @@
 	restHosts    = 10
 )
 
-// prepare chooses the addresses, and writes the first configuration of each process.
+// prepare chooses the addresses of the replicas and REST listeners, and writes the first configuration of each process.
 func (r *realRun) prepare() error {
 	for process := range r.drill.Members {
 		replica, err := r.network.FreeTCPAddress(replicaHosts, process)
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// recordFile returns the path of the query record, the SQL store that all processes share.
 func (r *realRun) recordFile() string { return filepath.Join(r.directory, "record.db") }
 
 func writeJSONFile(file string, content any) error {
@@ -103,8 +104,8 @@
 	return os.WriteFile(file, raw, 0o600)
 }
 
-// environment returns the variables that are added to a process's environment: the directory for temporary files, which
-// outlive the process, and the faults of its clock and disk. A process reads these faults only at its start, so the faults
+// environment returns the variables that are added to a process's environment: a directory for temporary files, which is
+// kept after the process ends, and the faults of the process's clock and disk. A process reads these faults only at its start, so the faults
 // must name the process: a role is resolved too late.
 func (r *realRun) environment(process int) []string {
 	environment := []string{"TMPDIR=" + r.processDirectory(process)}
--- a/internal/drill/real_config_test.go
+++ b/internal/drill/real_config_test.go
@@ -9,7 +9,7 @@
 	"aniseloft/internal/emulator/loopback"
 )
 
-// Coordinators listen with SO_REUSEPORT, so that two runs could listen at one address and receive each other's connections.
+// Coordinators listen with SO_REUSEPORT, so two runs that chose the same address would receive each other's connections.
 // Each run must therefore use its own hosts for replicas and REST listeners.
 func TestConcurrentRealRunsShareNoHost(t *testing.T) {
 	runOf := map[string]int{} // by host
--- a/internal/drill/real_faults.go
+++ b/internal/drill/real_faults.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	noProcess          = -1 // in place of a process index: the target does not exist now, or there is no peer
+	noProcess          = -1 // in place of a process index: no process matches the target now, or the fault has no peer
 	statusTimeout      = 300 * time.Millisecond
 	adminTimeout       = time.Second
 	killAllWithin      = 100 * time.Millisecond
@@ -39,16 +39,16 @@
 	}
 	r.recordFault(f, target)
 	duration := time.Duration(f.DurationMS * float64(time.Millisecond))
-	named := f.Target == ProcessName(target)
+	targetIsName := f.Target == ProcessName(target)
 	switch f.Kind {
 	case FaultDuplicateName:
 		r.logNotInjected(f)
 	case FaultFullDisk, FaultClockDrift, FaultClockStep:
-		if !named { // a process that the drill names has had the fault since its start
+		if !targetIsName { // a process that the drill names has had the fault since its start
 			r.logNotInjected(f)
 		}
 	case FaultSlowDisk:
-		if !named {
+		if !targetIsName {
 			r.disturbNetwork(target, peer, f, duration)
 		}
 	case FaultPartition, FaultLossyNetwork:
@@ -79,7 +79,7 @@
 	r.logFault(fmt.Sprintf("%s (%s)", f, ProcessName(target)))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.injected = append(r.injected, injectedFault{time.Now(), f.Kind})
+	r.injectedFaults = append(r.injectedFaults, injectedFault{time.Now(), f.Kind})
 }
 
 func (r *realRun) logNotInjected(f Fault) {
@@ -259,7 +259,7 @@
 	if err := r.controller.Start(process); err != nil {
 		r.logFault(fmt.Sprintf("%s failed to start: %v", ProcessName(process), err))
 		r.mu.Lock()
-		r.notStarted = append(r.notStarted, Violation{Rule: RuleRequest, Process: ProcessName(process), Detail: "the process failed to start: " + err.Error()})
+		r.startFailures = append(r.startFailures, Violation{Rule: RuleRequest, Process: ProcessName(process), Detail: "the process failed to start: " + err.Error()})
 		r.mu.Unlock()
 	}
 	r.setFaulted(process, false)
--- a/internal/drill/real_log.go
+++ b/internal/drill/real_log.go
@@ -63,14 +63,14 @@
 	return nil
 }
 
-// logSummary holds the writes and the counters that logs contain.
+// logSummary holds the fenced writes and the counters that are read from the logs of processes.
 type logSummary struct {
 	writes       []FencedWrite // writes with a known outcome
 	rejected     int           // number of rejected writes
 	unknown      int           // number of writes with an unknown outcome
-	sentBytes    float64       // sent to other coordinators
-	syncs        float64
-	journalCalls int
+	sentBytes    float64       // number of bytes sent to other coordinators
+	syncs        float64       // number of disk syncs
+	journalCalls int           // number of calls to the journal service
 }
 
 func (s *logSummary) add(other logSummary) {
--- a/internal/drill/real_network.go
+++ b/internal/drill/real_network.go
@@ -7,14 +7,15 @@
 	"aniseloft/internal/emulator/live"
 )
 
-// maxServiceRelays limits the number of relays to services. Once it is reached, further connections to engines use no relay.
+// maxServiceRelays limits the number of relays to services. Once the limit is reached, further engines are reached without a
+// relay.
 const maxServiceRelays = 256
 
 // Effects of FaultLossyNetwork. TCP retransmits lost bytes, so that a lossy network delays streams and lowers their
 // throughput.
 const (
 	lossyMaxDelay       = 200 * time.Millisecond
-	lossyStreamDelayMS  = 200 // multiplied by the loss ratio
+	lossyStreamDelayMS  = 200 // delay of a TCP stream at a loss ratio of 1; it is proportional to the ratio
 	lossyBytesPerSecond = 64 << 10
 )
 
--- a/internal/drill/real_result.go
+++ b/internal/drill/real_result.go
@@ -13,11 +13,12 @@
 
 const (
 	recordTimeout = 5 * time.Second
-	// minUnownedIntervals is a number of purge intervals. The job counts as unowned between two writes that are further apart.
+	// minUnownedIntervals is a number of purge intervals. Between two writes that are further apart, lease.JobPruneRecord
+	// counts as a job without an owner.
 	minUnownedIntervals = 4
 )
 
-// evaluate reads the logs and the record, and checks them.
+// evaluate reads the processes' logs and the query record, and checks both against the rules.
 func (r *realRun) evaluate(ctx context.Context, report *observer.Report) (*RealResult, error) {
 	result, writes, err := r.evaluateLogs(report)
 	if err != nil {
@@ -31,7 +32,7 @@
 	result.Violations = append(result.Violations, r.checkUnanswered()...)
 	r.mu.Lock()
 	if r.drill.Soak { // in other drills a process may still be starting when the drill ends
-		result.Violations = append(result.Violations, r.notStarted...)
+		result.Violations = append(result.Violations, r.startFailures...)
 	}
 	r.mu.Unlock()
 	if r.options.FleetOff {
@@ -42,7 +43,7 @@
 	}
 	result.Unowned = r.unownedTimes(writes).rows()
 	if slices.Contains(r.drill.Jobs, lease.JobPruneRecord) && len(result.Grants) == 0 {
-		result.Violations = append(result.Violations, Violation{Rule: RuleProgress, Detail: "no process ever wrote to the record"})
+		result.Violations = append(result.Violations, Violation{Rule: RuleProgress, Detail: "no process ever wrote to the query record"})
 	}
 	return result, nil
 }
@@ -72,7 +73,7 @@
 	}, total.writes, nil
 }
 
-// readGrants returns the grants under which the record was written.
+// readGrants returns the grants (fencing token and holder) under which processes wrote to the query record.
 func (r *realRun) readGrants(ctx context.Context) ([]store.FenceRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -84,7 +85,7 @@
 	return record.Fences(ctx)
 }
 
-// unownedTimes returns the times between admitted writes that are longer than an owner's regular interval allows.
+// unownedTimes returns the times between two admitted writes that exceed minUnownedIntervals purge intervals.
 func (r *realRun) unownedTimes(writes []FencedWrite) unownedTimes {
 	times := unownedTimes{}
 	lastReturn := 0.0
@@ -106,7 +107,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kind := causeBeforeFault
-	for _, fault := range r.injected {
+	for _, fault := range r.injectedFaults {
 		if r.sinceStartMS(fault.injectedAt) <= ms {
 			kind = fault.kind
 		}
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -16,7 +16,7 @@
 type Relay struct {
 	target   string
 	listener net.Listener
-	origins  *connectionOrigins // records each connection to the target; nil: not recorded
+	origins  *connectionOrigins // records the client's connection of each connection to the target; nil: not recorded
 
 	mu                sync.Mutex // guards the fields below
 	unblocked         *sync.Cond // signals a change of the blocked fields or of closed
@@ -26,7 +26,7 @@
 	blockedFromTarget bool
 	delay             time.Duration
 	jitter            time.Duration
-	bytesPerSecond    int // in each direction; 0: no limit
+	bytesPerSecond    int // limit of the throughput in each direction; 0: no limit
 }
 
 // NewRelay opens a relay that listens on loopback and forwards connections to target.
@@ -111,7 +111,7 @@
 	r.connections[connection] = struct{}{}
 }
 
-// closeConnection closes a tracked connection.
+// closeConnection closes a connection that track has added, and removes it from the connections.
 func (r *Relay) closeConnection(connection net.Conn) {
 	r.mu.Lock()
 	delete(r.connections, connection)
--- a/internal/drill/soak.go
+++ b/internal/drill/soak.go
@@ -17,13 +17,13 @@
 	soakShutdownEveryMS = 5000
 	soakDowntimeMS      = 300
 	soakOverlapMS       = 1500 // maximum time from the start of an overlapping fault to its shutdown
-	soakCrowdOneIn      = 4    // one in this number of runs has a crowd
+	soakCrowdOneIn      = 4    // one in this number of runs has a FaultCrowd
 	soakCrowdMS         = 6000
 	crowdConnections    = 1500
 	soakMinPauseMS      = 50
 	soakMaxPauseMS      = 500
-	soakStartOneIn      = 3                     // one in this number of shutdowns is followed by another during the restart
-	soakMaxTermDelay    = 60 * time.Millisecond // maximum time from a start to SIGTERM
+	soakStartOneIn      = 3                     // after one in this number of shutdowns, the process gets SIGTERM while it restarts
+	soakMaxTermDelay    = 60 * time.Millisecond // maximum time from the start of such a process to its SIGTERM
 )
 
 // soakFaults generates the faults of a soak from the seed.
@@ -90,13 +90,13 @@
 // unansweredCall is a request whose connection its coordinator closed without an answer.
 type unansweredCall struct {
 	process int
-	call    string
+	call    string // identifier of the request, as logs contain it
 }
 
 func (r *realRun) addUnanswered(process int, call string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unanswered = append(r.unanswered, unansweredCall{process, call})
+	r.unansweredCalls = append(r.unansweredCalls, unansweredCall{process, call})
 }
 
 // checkUnanswered returns a violation for each request that, by the debug log, its coordinator had received before it closed
@@ -105,7 +105,7 @@
 func (r *realRun) checkUnanswered() (violations []Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, u := range r.unanswered {
+	for _, u := range r.unansweredCalls {
 		lines := linesWithCall(r.logs[u.process].bytes(), u.call)
 		if len(lines) > 0 {
 			violations = append(violations, Violation{Rule: RuleRequest, Process: ProcessName(u.process),
@@ -115,7 +115,7 @@
 	return violations
 }
 
-// linesWithCall returns the lines of a debug log that name a call.
+// linesWithCall returns the lines of a debug log that contain the identifier of a request.
 func linesWithCall(log []byte, call string) (lines []string) {
 	for line := range bytes.SplitSeq(log, []byte("\n")) {
 		if strings.Contains(string(line), "call="+call) {
--- a/internal/drill/summary.go
+++ b/internal/drill/summary.go
@@ -5,8 +5,8 @@
 	Name       string        `json:"name"`
 	Runs       int           `json:"plays"`
 	Failed     []uint64      `json:"failed"` // seeds of the runs with violations
-	Violations []Violation   `json:"broken"` // of the first failed run
-	OwnedRatio float64       `json:"owned"`  // mean ratio of the time in which the jobs had an owner
+	Violations []Violation   `json:"broken"` // violations of the first failed run
+	OwnedRatio float64       `json:"owned"`  // mean part of the time, from 0 to 1, in which the jobs had an owner
 	Writes     int           `json:"acts"`
 	Rejected   int           `json:"refused"`
 	Grants     int           `json:"grants"`
@@ -14,13 +14,13 @@
 	Syncs      int           `json:"syncs"`
 	Unowned    []UnownedTime `json:"gaps"`
 
-	unowned unownedTimes
+	unownedByCause unownedTimes
 }
 
-// Add adds the result of a run, and may keep and modify its histograms.
+// Add adds the result of a run to the summary. The summary may keep and modify the histograms of that result.
 func (s *Summary) Add(r *VirtualResult) {
-	if s.unowned == nil {
-		s.unowned = unownedTimes{}
+	if s.unownedByCause == nil {
+		s.unownedByCause = unownedTimes{}
 	}
 	if len(r.Violations) > 0 {
 		s.Failed = append(s.Failed, r.Seed)
@@ -35,6 +35,6 @@
 	s.Grants += r.Grants
 	s.Messages += r.Messages
 	s.Syncs += r.Syncs
-	s.unowned.merge(r.unowned)
-	s.Unowned = s.unowned.rows()
+	s.unownedByCause.merge(r.unownedByCause)
+	s.Unowned = s.unownedByCause.rows()
 }
--- a/internal/drill/unowned.go
+++ b/internal/drill/unowned.go
@@ -8,15 +8,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms of times without an owner.
+// Parameters of the histograms of times in which a job had no owner.
 const (
 	minUnownedMS     = 1
 	maxUnownedMS     = 600000
-	histogramDigits  = 3 // significant digits
-	causeBeforeFault = FaultKind("start")
+	histogramDigits  = 3                  // significant digits
+	causeBeforeFault = FaultKind("start") // cause of a time without an owner that begins before any fault
 )
 
-// unownedTimes holds a histogram of the times in which a job had no owner, in ms, for each cause.
+// unownedTimes holds, for each cause, a histogram of the times in ms in which a job had no owner. The cause is the kind of
+// the last fault before that time.
 type unownedTimes map[FaultKind]*hdrhistogram.Histogram
 
 func (u unownedTimes) add(cause FaultKind, ms float64) {
@@ -26,7 +27,7 @@
 	_ = u[cause].RecordValue(int64(math.Max(ms, minUnownedMS)))
 }
 
-// merge adds the times of other, whose histograms it may keep and modify.
+// merge adds the times of other. It may keep and modify the histograms of other.
 func (u unownedTimes) merge(other unownedTimes) {
 	for cause, histogram := range other {
 		if u[cause] == nil {
@@ -37,9 +38,9 @@
 	}
 }
 
-// UnownedTime summarizes the times without an owner that had one cause.
+// UnownedTime summarizes the times without an owner that have the same cause.
 type UnownedTime struct {
-	Cause FaultKind `json:"after"` // kind of the last fault before the time, or "start"
+	Cause FaultKind `json:"after"` // kind of the last fault before the times, or "start" if there was none
 	Count int64     `json:"n"`
 	P50   float64   `json:"p50_ms"`
 	P95   float64   `json:"p95_ms"`
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -4,11 +4,11 @@
 
 // The rules that runs are checked against. The values are written to results.
 const (
-	RuleFence        = "fence"   // no write under a lower fencing token after one under a higher
+	RuleFence        = "fence"   // no target admits a write after a write under a higher fencing token
 	RuleSingleOwner  = "one"     // no two processes hold the lease of a job at the same time, each by its own clock
-	RuleLinearizable = "order"   // admitted and rejected writes are linearizable over a register that never decreases
+	RuleLinearizable = "order"   // writes are linearizable over a register whose fencing token never decreases
 	RuleRequest      = "request" // no request is lost, no rule of package observer is violated, and each process starts
-	RuleProgress     = "owned"   // the record is written to under lease.JobPruneRecord
+	RuleProgress     = "owned"   // the owner of lease.JobPruneRecord writes to the query record
 	RuleRefusal      = "refused" // no grant is renewed for more than maxRefusedKeepAlives while its target rejects its writes
 )
 
--- a/internal/drill/virtual.go
+++ b/internal/drill/virtual.go
@@ -11,10 +11,10 @@
 // DisabledGuards selects the guards that a virtual run leaves out, to show that each guard is necessary and that the
 // checkers detect violations.
 type DisabledGuards struct {
-	FenceCheck       bool // targets admit all writes
-	LeaseFromRequest bool // leases start at the response instead of the request
-	VoteSync         bool // a vote is not synced, so that a kill undoes it
-	DriftAllowance   bool // lease holders do not allow for clock drift
+	FenceCheck       bool // if set, targets admit all writes
+	LeaseFromRequest bool // if set, a lease starts when its holder receives the response, instead of when it sends the request
+	VoteSync         bool // if set, a vote is not synced to the disk, so that a kill undoes it
+	DriftAllowance   bool // if set, lease holders do not allow for clock drift
 }
 
 // VirtualResult is the result of one virtual run.
@@ -24,14 +24,14 @@
 	Writes     int         `json:"acts"`
 	Rejected   int         `json:"refused"` // number of rejected writes
 	Grants     int         `json:"grants"`
-	OwnedRatio float64     `json:"owned"` // ratio of the time in which the jobs had an owner
+	OwnedRatio float64     `json:"owned"` // part of the time, from 0 to 1, in which the jobs had an owner
 	Faults     []Fault     `json:"faults"`
 	Log        []string    `json:"log,omitempty"`
 	Messages   int         `json:"messages"`
 	Syncs      int         `json:"syncs"`
 
-	writes  []FencedWrite
-	unowned unownedTimes
+	writes         []FencedWrite
+	unownedByCause unownedTimes
 }
 
 // simulation is one virtual run. All its code runs on the event loop's goroutine.
@@ -44,23 +44,23 @@
 	timing       lease.Timing
 	processes    []*process
 	replicas     []string // names of the consensus group's replicas in the newest configuration
-	generation   uint64   // generation of that configuration
+	generation   uint64   // generation of the newest configuration of the consensus group
 	fenceRecords map[string]*lease.FenceRecord
-	refusals     map[string]*refusedGrant // grants whose writes the target rejects, by job
+	refusals     map[string]*refusedGrant // grants whose writes the job's target rejects, by job
 	partitions   map[link]int             // number of partitions that block a link
 	lossRatio    float64
 	// assumptionsHold is false once a clock or a disk has violated the protocol's assumptions, or RuleSingleOwner has been
 	// violated. RuleSingleOwner is checked only while it is true.
 	assumptionsHold bool
 	lastFault       FaultKind
-	unownedSince    map[string]float64 // start of the time without an owner, by job; negative: the job has an owner
-	ownedSamples    float64
-	incarnations    uint64 // started so far
+	unownedSince    map[string]float64 // time in ms since which a job has no owner, by job; negative: the job has an owner
+	ownedSamples    float64            // number of samples in which a job had an owner, over all jobs
+	incarnations    uint64             // number of process starts so far
 	keepLog         bool
 	result          *VirtualResult
 }
 
-// link is the direction of traffic from one process to another, by their indexes.
+// link is the path of messages from one process to another, given by their indexes.
 type link struct {
 	source, destination int
 }
@@ -91,7 +91,7 @@
 		timing: lease.DefaultTiming(), replicas: processNames(d.Replicas), generation: 1,
 		fenceRecords: map[string]*lease.FenceRecord{}, refusals: map[string]*refusedGrant{}, partitions: map[link]int{},
 		assumptionsHold: true, lastFault: causeBeforeFault, unownedSince: map[string]float64{},
-		result: &VirtualResult{Seed: seed, unowned: unownedTimes{}, Faults: d.schedule(seed)},
+		result: &VirtualResult{Seed: seed, unownedByCause: unownedTimes{}, Faults: d.schedule(seed)},
 	}
 	s.timing.LeaseTTL = d.LeaseMS
 	s.timing.DriftBound = d.DriftBound
@@ -138,10 +138,10 @@
 	}
 }
 
-// find returns the process with a name, but no duplicate of it. It returns nil if there is no such process.
+// find returns the process with the given name, but no duplicate that FaultDuplicateName started. It returns nil if there is no such process.
 func (s *simulation) find(name string) *process {
 	for _, p := range s.processes {
-		if p.name == name && !p.duplicate {
+		if p.name == name && !p.isDuplicate {
 			return p
 		}
 	}
--- a/internal/drill/virtual_checks.go
+++ b/internal/drill/virtual_checks.go
@@ -7,10 +7,10 @@
 	"aniseloft/internal/lease"
 )
 
-// sampleIntervalMS is the resolution of the times without an owner.
+// sampleIntervalMS is the interval between two checks for the owners of jobs. Times without an owner have this resolution.
 const sampleIntervalMS = 10.0
 
-// sampleOwners checks once each interval which jobs have a running owner, and that no job has two.
+// sampleOwners checks every sampleIntervalMS which jobs have a running owner, and that no job has two owners.
 func (s *simulation) sampleOwners() {
 	for _, job := range s.drill.Jobs {
 		s.sampleOwner(job)
@@ -24,17 +24,17 @@
 }
 
 func (s *simulation) sampleOwner(job string) {
-	now, since := s.loop.Now(), s.unownedSince[job]
+	now, unownedSince := s.loop.Now(), s.unownedSince[job]
 	owned := slices.ContainsFunc(s.processes, func(p *process) bool { return p.running && !p.paused && p.owns(job) })
 	if !owned {
-		if since < 0 {
+		if unownedSince < 0 {
 			s.unownedSince[job] = now
 		}
 		return
 	}
 	s.ownedSamples++
-	if since >= 0 && now > since {
-		s.result.unowned.add(s.lastFault, now-since)
+	if unownedSince >= 0 && now > unownedSince {
+		s.result.unownedByCause.add(s.lastFault, now-unownedSince)
 	}
 	s.unownedSince[job] = -1
 }
@@ -79,12 +79,13 @@
 // writes. The holder reports the rejection with its next keep-alive.
 const maxRefusedKeepAlives = 3
 
-// refusedGrant is a grant whose writes the target has rejected since a time, with no write under another grant in between.
+// refusedGrant is a grant under which the target has rejected each write since sinceMS, without a write under another
+// grant in between.
 type refusedGrant struct {
 	fence    lease.Fence
 	holder   string
-	since    float64
-	violated bool
+	sinceMS  float64 // time of the first rejected write
+	reported bool    // whether a violation has been reported for the grant
 }
 
 // checkRefusals reports a violation if a grant is renewed for too long while its target rejects its writes, because the job
@@ -96,16 +97,16 @@
 	}
 	now, refused := s.loop.Now(), s.refusals[write.Job]
 	if refused == nil || refused.fence != write.Fence || refused.holder != write.Holder {
-		s.refusals[write.Job] = &refusedGrant{fence: write.Fence, holder: write.Holder, since: now}
+		s.refusals[write.Job] = &refusedGrant{fence: write.Fence, holder: write.Holder, sinceMS: now}
 		return
 	}
 	limit := maxRefusedKeepAlives * s.timing.LeaseTTL / lease.KeepAlivesPerLease
-	if refused.violated || now-refused.since <= limit {
+	if refused.reported || now-refused.sinceMS <= limit {
 		return
 	}
-	refused.violated = true
+	refused.reported = true
 	s.result.Violations = append(s.result.Violations, Violation{
 		Rule: RuleRefusal, Process: write.Holder, AtMS: now,
-		Detail: fmt.Sprintf("%s: the target has rejected writes under fence %d since %.0f ms, but the grant is still renewed", write.Job, write.Fence, refused.since),
+		Detail: fmt.Sprintf("%s: the target has rejected writes under fence %d since %.0f ms, but the grant is still renewed", write.Job, write.Fence, refused.sinceMS),
 	})
 }
--- a/internal/drill/virtual_faults.go
+++ b/internal/drill/virtual_faults.go
@@ -59,7 +59,7 @@
 	case FaultPauseBeforeWrite:
 		target.pauseBeforeWrite, target.writePauseMS = true, f.DurationMS
 	case FaultPartition:
-		if !f.hasServicePeer() { // services are not simulated
+		if !f.hasServicePeer() { // the journal service and the engines are not simulated
 			s.partition(target, peer, f)
 		}
 	case FaultLossyNetwork:
@@ -87,11 +87,11 @@
 	}
 }
 
-// killAll kills each process within a short time.
+// killAll kills each process at a random time within killWithinMS.
 func (s *simulation) killAll(f Fault) {
-	const withinMS = 100
+	const killWithinMS = 100
 	for _, p := range slices.Clone(s.processes) {
-		s.loop.After(withinMS*s.faultRand.Float64(), func() {
+		s.loop.After(killWithinMS*s.faultRand.Float64(), func() {
 			if p.running {
 				p.end(Fault{Kind: FaultKill, DurationMS: f.DurationMS * s.faultRand.Float64(), Disk: DiskIntact})
 			}
@@ -127,14 +127,14 @@
 	}
 }
 
-// addDuplicate runs a second process with the same name for a duration. It has its own clock and disk.
+// addDuplicate runs a second process with the name of another for a duration. The second process has its own clock and disk.
 func (s *simulation) addDuplicate(name string, durationMS float64) {
 	const (
 		maxClockOffsetMS  = 1e6
-		incarnationOffset = 1000 // distinguishes its writes from those of the first process
+		incarnationOffset = 1000 // distinguishes the writes of the duplicate from those of the first process
 	)
 	p := &process{
-		sim: s, index: len(s.processes), name: name, duplicate: true,
+		sim: s, index: len(s.processes), name: name, isDuplicate: true,
 		clockOffset: s.faultRand.Float64() * maxClockOffsetMS, clockRate: 1, incarnation: incarnationOffset,
 	}
 	s.processes = append(s.processes, p)
@@ -143,14 +143,14 @@
 	}
 }
 
-// resize gives each process a new configuration of the consensus group, one after another.
+// resize gives each process a new configuration of the consensus group, at a random time within resizeWithinMS.
 func (s *simulation) resize(replicas int) {
-	const withinMS = 500
+	const resizeWithinMS = 500
 	s.replicas = processNames(replicas)
 	s.generation++
 	names, generation := s.replicas, s.generation
 	for _, p := range s.processes {
-		s.loop.After(withinMS*s.faultRand.Float64(), func() { p.reconfigure(names, generation) })
+		s.loop.After(resizeWithinMS*s.faultRand.Float64(), func() { p.reconfigure(names, generation) })
 	}
 }
 
--- a/internal/drill/virtual_network.go
+++ b/internal/drill/virtual_network.go
@@ -4,10 +4,10 @@
 // messages.
 func (s *simulation) send(from, to *process, receive func()) {
 	const (
-		minDelayMS     = 0.1
-		meanDelayMS    = 2
-		maxLateMS      = 200
-		maxDuplicateMS = 300
+		minDelayMS          = 0.1
+		meanDelayMS         = 2
+		maxExtraDelayMS     = 200
+		maxDuplicateDelayMS = 300
 	)
 	s.result.Messages++
 	l := link{from.index, to.index}
@@ -16,7 +16,7 @@
 	}
 	delay := minDelayMS + meanDelayMS*s.networkRand.ExpFloat64()
 	if s.drawNetworkFault(s.lossRatio) {
-		delay += maxLateMS * s.networkRand.Float64()
+		delay += maxExtraDelayMS * s.networkRand.Float64()
 	}
 	s.loop.After(delay, func() {
 		if s.partitions[l] == 0 {
@@ -24,16 +24,16 @@
 		}
 	})
 	if s.drawNetworkFault(s.lossRatio / 2) {
-		s.loop.After(delay+maxDuplicateMS*s.networkRand.Float64(), receive)
+		s.loop.After(delay+maxDuplicateDelayMS*s.networkRand.Float64(), receive)
 	}
 }
 
-// drawNetworkFault reports whether a message suffers a random network fault of the given ratio.
+// drawNetworkFault reports whether a message is lost, delayed or duplicated, at random with the given ratio.
 func (s *simulation) drawNetworkFault(ratio float64) bool {
 	return s.lossRatio > 0 && s.networkRand.Float64() < ratio
 }
 
-// partition blocks the links between a target and a peer, or all others.
+// partition blocks the links between a target and a peer, or all other processes if the fault names no peer.
 func (s *simulation) partition(target, peer *process, f Fault) {
 	var blocked []link
 	for _, other := range s.processes {
--- a/internal/drill/virtual_owner.go
+++ b/internal/drill/virtual_owner.go
@@ -6,7 +6,7 @@
 	"aniseloft/internal/lease"
 )
 
-// heartbeat sends a keep-alive to the replica that may lead, when one is due.
+// heartbeat sends a keep-alive, if one is due, to the replica that is probably the leader.
 func (p *process) heartbeat() {
 	now := p.clock()
 	if name, due := p.resolver.Due(now); due {
@@ -23,7 +23,7 @@
 		return
 	}
 	if p.paused {
-		p.pending = append(p.pending, func() { p.receiveReply(reply) })
+		p.pendingInputs = append(p.pendingInputs, func() { p.receiveReply(reply) })
 		return
 	}
 	now := p.clock()
--- a/internal/drill/virtual_process.go
+++ b/internal/drill/virtual_process.go
@@ -9,16 +9,16 @@
 
 // process is one simulated process with its clock and disk.
 type process struct {
-	sim         *simulation
-	index       int
-	name        string
-	duplicate   bool // whether this is a second process with the same name
-	running     bool
-	paused      bool
-	incarnation int      // number of starts; callbacks of an earlier incarnation do nothing
-	pending     []func() // inputs that wait for a sync, or for the process to resume
-	clockOffset float64  // ms
-	clockRate   float64  // relative to the virtual clock
+	sim           *simulation
+	index         int
+	name          string
+	isDuplicate   bool // whether this is a second process with the same name
+	running       bool
+	paused        bool
+	incarnation   int      // number of starts; callbacks of an earlier incarnation do nothing
+	pendingInputs []func() // inputs that wait for a sync, or for the process to resume
+	clockOffset   float64  // time of the clock when the virtual clock shows 0, in ms
+	clockRate     float64  // ms of the clock per ms of the virtual clock
 
 	client   *lease.Client
 	resolver *lease.LeaderResolver
@@ -29,11 +29,11 @@
 	diskHistory    []consensus.PersistentState // earlier states, to which the disk may be rolled back
 	diskFull       bool
 	syncing        bool
-	nextSyncMS     float64 // duration of the next sync; 0: random
-	faultAfterVote *Fault  // injected once the process has voted
+	nextSyncMS     float64 // duration of the next disk sync; 0: random
+	faultAfterVote *Fault  // fault that is injected once the process has voted for another replica
 
-	pauseBeforeWrite bool // the next write is delayed by a pause
-	writePauseMS     float64
+	pauseBeforeWrite bool    // the next write is delayed by a pause
+	writePauseMS     float64 // duration of that pause
 }
 
 // clock returns the process's own time, in ms.
@@ -42,14 +42,14 @@
 // alive reports whether the process still runs the incarnation that a callback belongs to.
 func (p *process) alive(incarnation int) bool { return p.running && p.incarnation == incarnation }
 
-// start begins a new incarnation with the state on the disk.
+// start begins a new incarnation of the process, whose replica has the state on the disk.
 func (p *process) start() error {
 	const writesPerLease = 20
 	s := p.sim
 	s.incarnations++
 	p.incarnation++
 	p.running, p.paused, p.syncing, p.pauseBeforeWrite = true, false, false, false
-	p.pending = nil
+	p.pendingInputs = nil
 	drift := s.timing.DriftBound
 	if s.disabled.DriftAllowance {
 		drift = 0
@@ -57,7 +57,7 @@
 	p.client = lease.NewClient(lease.Holder{Name: p.name, Incarnation: s.incarnations}, s.drill.Jobs, 1, drift)
 	p.resolver = lease.NewLeaderResolver(s.replicas, p.index, s.timing.LeaseTTL)
 	p.replica = nil
-	if slices.Contains(s.replicas, p.name) && !p.duplicate {
+	if slices.Contains(s.replicas, p.name) && !p.isDuplicate {
 		if err := p.openReplica(); err != nil {
 			return err
 		}
@@ -94,7 +94,7 @@
 // whenResumed calls f at once, or before all other pending inputs when the paused process resumes.
 func (p *process) whenResumed(f func()) {
 	if p.paused {
-		p.pending = append([]func(){f}, p.pending...)
+		p.pendingInputs = append([]func(){f}, p.pendingInputs...)
 		return
 	}
 	f()
@@ -115,7 +115,7 @@
 	})
 }
 
-// end kills a process, or shuts it down gracefully, and restarts it.
+// end kills the process, or shuts it down gracefully, as the fault says, and restarts it. A paused process is always killed.
 func (p *process) end(f Fault) {
 	if f.Kind == FaultKill || p.paused {
 		p.kill(f)
@@ -137,7 +137,7 @@
 }
 
 func (p *process) damageDisk(state DiskState) {
-	const maxRollback = 20 // states
+	const maxRollback = 20 // maximum number of stored disk states that a rollback skips
 	switch state {
 	case DiskLost:
 		p.loseDisk()
--- a/internal/drill/virtual_replica.go
+++ b/internal/drill/virtual_replica.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxPending     = 4096 // queued inputs of a replica; further ones are dropped, as by a full socket buffer
-	maxDiskHistory = 400  // stored disk states to which a disk may be rolled back
+	maxPending     = 4096 // maximum number of queued inputs of a replica; further inputs are dropped, as by a full socket buffer
+	maxDiskHistory = 400  // maximum number of stored states to which a disk may be rolled back
 )
 
 // openReplica opens the process's replica with the state on its disk.
@@ -37,8 +37,8 @@
 		return
 	}
 	if p.syncing || p.paused {
-		if len(p.pending) < maxPending {
-			p.pending = append(p.pending, input)
+		if len(p.pendingInputs) < maxPending {
+			p.pendingInputs = append(p.pendingInputs, input)
 		}
 		return
 	}
@@ -48,9 +48,9 @@
 
 // drain processes the queued inputs until the next sync or pause.
 func (p *process) drain() {
-	for len(p.pending) > 0 && !p.syncing && !p.paused && p.running {
-		input := p.pending[0]
-		p.pending = p.pending[1:]
+	for len(p.pendingInputs) > 0 && !p.syncing && !p.paused && p.running {
+		input := p.pendingInputs[0]
+		p.pendingInputs = p.pendingInputs[1:]
 		input()
 		if p.replica != nil {
 			p.handleReady(p.replica.Ready())
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleReady persists the state that must be on disk, and sends the messages only after that.
+// handleReady persists the state that the replica needs on the disk, and sends its messages only after that.
 func (p *process) handleReady(ready consensus.Ready) {
 	if ready.DiskRegressed || ready.Failure != nil {
 		p.replaceReplica(ready)
@@ -78,7 +78,7 @@
 // process joins the consensus group again with a new disk.
 func (p *process) replaceReplica(ready consensus.Ready) {
 	p.sim.logf("%s: replica stopped: disk regressed %t, failure %v", p.name, ready.DiskRegressed, ready.Failure)
-	p.replica, p.pending = nil, nil
+	p.replica, p.pendingInputs = nil, nil
 	if ready.DiskRegressed {
 		p.loseDisk()
 		_ = p.openReplica() // the error is in the log
@@ -93,7 +93,7 @@
 	return duration
 }
 
-// synced handles the end of a sync.
+// synced handles the end of a disk sync.
 func (p *process) synced(ready consensus.Ready, incarnation int) {
 	if !p.alive(incarnation) {
 		killedInSync := p.incarnation == incarnation
@@ -104,7 +104,7 @@
 	}
 	if p.diskFull { // a replica must not acknowledge unsynced state: it ends, and the process continues without it
 		p.sim.logf("%s: disk full: leaves the consensus group", p.name)
-		p.replica, p.pending, p.syncing = nil, nil, false
+		p.replica, p.pendingInputs, p.syncing = nil, nil, false
 		return
 	}
 	p.persist(ready)
@@ -129,7 +129,7 @@
 	p.disk = p.disk.Merge(save, ready.CompactIndex)
 }
 
-// dispatch logs the events and sends the messages that became ready.
+// dispatch logs the events of the replica, and sends its messages and responses.
 func (p *process) dispatch(ready consensus.Ready) {
 	for _, event := range ready.Events {
 		if event.Kind == consensus.EventLeaseGranted {
--- a/internal/drill/virtual_test.go
+++ b/internal/drill/virtual_test.go
@@ -41,23 +41,23 @@
 }
 
 func TestRandomFaultsViolateNoRule(t *testing.T) {
-	var owned, writes, rejected float64
-	unowned := unownedTimes{}
+	var ownedRatio, writes, rejected float64
+	unownedByCause := unownedTimes{}
 	for _, result := range runSeeds(t, testDrill(), *seedsFlag, DisabledGuards{}) {
 		for _, violation := range result.Violations {
 			t.Errorf("seed %d: %v %v", result.Seed, violation, violation.Evidence)
 		}
-		owned += result.OwnedRatio
+		ownedRatio += result.OwnedRatio
 		writes += float64(result.Writes)
 		rejected += float64(result.Rejected)
-		unowned.merge(result.unowned)
+		unownedByCause.merge(result.unownedByCause)
 	}
 	runs := float64(*seedsFlag)
-	t.Logf("owned %.3f of the time, %.0f writes, %.2f rejected a run", owned/runs, writes/runs, rejected/runs)
-	for _, row := range unowned.rows() {
+	t.Logf("owned %.3f of the time, %.0f writes, %.2f rejected a run", ownedRatio/runs, writes/runs, rejected/runs)
+	for _, row := range unownedByCause.rows() {
 		t.Logf("%-12s n %d p50 %.0f p95 %.0f max %.0f", row.Cause, row.Count, row.P50, row.P95, row.Max)
 	}
-	require.Greater(t, owned/runs, 0.7)
+	require.Greater(t, ownedRatio/runs, 0.7)
 }
 
 // forgottenVotes returns a drill that kills n1 repeatedly, each time immediately after it has voted. n0 and n2 are
--- a/internal/emulator/engine/admission.go
+++ b/internal/emulator/engine/admission.go
@@ -8,7 +8,7 @@
 
 // Start offers a query to the engine. An Overloaded result means that the engine failed
 // and that all its queries are lost, this one included; NotifiedLoadRatio then tells which
-// part of the load came from given coordinators.
+// part of the engine's load came from the given coordinators.
 func (e *Engine) Start(now float64, j *Job) StartResult {
 	e.passTime(now)
 	if e.overloadedBy(now, j) {
@@ -36,12 +36,12 @@
 
 // Factors for a memory grant that the engine chooses itself.
 const (
-	estimateGrantFactor = 1.25 // times the estimate
-	baselineGrantFactor = 1.5  // times the usual need of the class, if there is no estimate
+	estimateGrantFactor = 1.25 // multiplied by the estimated memory need
+	baselineGrantFactor = 1.5  // multiplied by the usual memory need of the class, if there is no estimate
 )
 
-// grant returns the memory that a job gets, in MB: what it asks for or else the engine's own
-// choice, at most MaxGrantRatio of the engine's memory.
+// grant returns the memory that a job gets, in MB: the grant that it asks for, or else
+// the engine's own choice, but at most MaxGrantRatio of the engine's memory.
 func (e *Engine) grant(j *Job) int64 {
 	g := j.GrantMB
 	if g <= 0 && j.EstimateMB > 0 {
@@ -65,20 +65,20 @@
 	e.updateThroughput()
 }
 
-// admit determines the work of a job that got its memory, and runs it or blocks it behind a
+// admit determines the work of a job that has got its memory, and runs it or blocks it behind a
 // load on its data set.
 func (e *Engine) admit(j *Job) {
-	read := j.IORatio
+	readRatio := j.IORatio
 	if e.readDataSet(j.Group) {
-		read *= 1 - e.config.WarmGain
+		readRatio *= 1 - e.config.WarmGain
 	}
-	work := j.Work * (1 - j.IORatio + read)
+	work := j.Work * (1 - j.IORatio + readRatio)
 	j.ioWork = 0
 	if work > 0 {
-		j.ioWork = j.Work * read / work
+		j.ioWork = j.Work * readRatio / work
 	}
-	if missing := j.NeedMB - j.grantedMB; missing > 0 {
-		work *= 1 + e.config.SpillPenalty*float64(missing)/float64(j.NeedMB)
+	if missingMB := j.NeedMB - j.grantedMB; missingMB > 0 {
+		work *= 1 + e.config.SpillPenalty*float64(missingMB)/float64(j.NeedMB)
 	}
 	j.total, j.workLeft = work, work
 	e.totals.In += work
@@ -101,7 +101,7 @@
 }
 
 // readDataSet makes a data set the most recently used one and reports whether it was warm.
-// The least recently used one is evicted when there are more than WarmSets.
+// If more than WarmSets data sets are warm, the least recently used one is evicted.
 func (e *Engine) readDataSet(g uint64) bool {
 	i := slices.Index(e.warmSets, g)
 	if i >= 0 {
@@ -136,7 +136,7 @@
 	return max(j.finish-j.share.clock, 0) * float64(j.Threads)
 }
 
-// stop removes a running job from its processor share and keeps its remaining work.
+// stop removes a running job from its processor share, and stores its remaining work in workLeft.
 func (e *Engine) stop(j *Job) {
 	j.workLeft = e.remaining(j)
 	s := j.share
@@ -184,7 +184,7 @@
 	}
 }
 
-// Cancel cancels a query. It returns false if the engine does not hold it, or no longer.
+// Cancel cancels a query. It returns false if the engine does not hold the query, or no longer holds it.
 func (e *Engine) Cancel(now float64, id uint64) bool {
 	e.passTime(now)
 	j := e.jobs[id]
--- a/internal/emulator/engine/draw.go
+++ b/internal/emulator/engine/draw.go
@@ -11,7 +11,7 @@
 const capacityUtilization = 0.85
 
 // Draw draws the configuration of one engine from a scenario's ranges; coreWorkRatio is the
-// part of the mix's work that is done on cores.
+// part of all queries' work that is done on cores, and not on disks.
 func Draw(s *scenario.Scenario, rng *rand.Rand, coreWorkRatio float64) Config {
 	e := s.Engines
 	config := Config{Cores: e.Cores, Disks: e.Disks, Speed: e.Speed.Draw(rng), MemoryMB: int64(e.MemoryMB),
@@ -26,7 +26,7 @@
 }
 
 // DrawPlanMultiple draws the factor by which a bad plan multiplies the work of one attempt; it
-// is 1 for a good plan. Each attempt of a query draws its own.
+// is 1 for a good plan. It is drawn anew for each attempt of a query.
 func DrawPlanMultiple(c scenario.Class, rng *rand.Rand) float64 {
 	if c.BadPlanRatio.Max <= 0 {
 		return 1
--- a/internal/emulator/engine/engine.go
+++ b/internal/emulator/engine/engine.go
@@ -21,11 +21,11 @@
 	WarmGain                       float64
 	WarmupInitialRatio, WarmupMS   float64
 	OverloadMultiple, OverloadMS   float64
-	OverloadRatio                  float64 // work per core and ms at capacity: 0.85 over the part of work that is done on cores
+	OverloadRatio                  float64 // work per core and ms at the engine's capacity: 0.85 divided by the part of work that is done on cores
 	ReportPeriodMS                 float64
 	ReportDelayMS                  float64
 	Overcommit                     bool    // queries are admitted without free memory; beyond its memory the engine slows down
-	PagingPenalty                  float64 // factor by which it is slower at twice its memory
+	PagingPenalty                  float64 // factor by which the engine is slower when the queries need twice its memory
 }
 
 // WorkTotals are sums of work in milliseconds. In = Done + Dropped + the work not done yet.
@@ -40,7 +40,7 @@
 	clock, pace float64
 	heap        []*Job
 	threads     int
-	cpu, disk   float64 // threads times the part of their work on cores and on disks
+	cpu, disk   float64 // number of threads multiplied by the part of their work on cores, and on disks
 	weight      float64
 	usesDisks   bool
 }
@@ -51,23 +51,23 @@
 	now              float64
 	seq              int
 	shares           [8]processorShare
-	queue            []*Job // by priority, then by arrival
+	queue            []*Job // jobs that wait for memory, by priority, then by arrival
 	jobs             map[uint64]*Job
 	dataSets         map[uint64]*dataSetState
 	grantedMB        int64
-	usedMB           int64    // granted memory that queries need
-	warmSets         []uint64 // least recently used first
+	usedMB           int64    // memory that queries use: the smaller of grant and need, added up
+	warmSets         []uint64 // data sets in memory, the least recently used first
 	startedAt        float64  // start of the warm-up; below 0: warm from the start
-	slowdown         float64  // divides the speed
-	neighbourRatio   float64  // part of cores and disks that another program uses
-	extraReportDelay float64  // added to ReportDelayMS
+	slowdown         float64  // factor by which all queries are slower
+	neighbourRatio   float64  // part of the cores and disks, from 0 to 1, that another program uses
+	extraReportDelay float64  // delay of load reports in ms, in addition to ReportDelayMS
 	stalled          bool
 	coresInUse       float64
 	disksInUse       float64
 	totals           WorkTotals
-	recentArrivals   []arrival // while the engine warms up
-	published        Report    // the latest published one
-	samples          []sample  // by time; at most the first has been published
+	recentArrivals   []arrival // arrivals while the engine warms up
+	published        Report    // latest published load report
+	samples          []sample  // samples in order of time; at most the first has been published
 	nextSampleAt     float64
 }
 
@@ -80,7 +80,7 @@
 	coordinator  int
 }
 
-// New returns an engine whose warm-up starts at startedAt. Below 0 the engine is warm.
+// New returns an engine whose warm-up starts at startedAt. If startedAt is negative, the engine is already warm.
 func New(config Config, now, startedAt float64) *Engine {
 	e := &Engine{config: config, now: now, startedAt: startedAt, slowdown: 1, jobs: map[uint64]*Job{}, dataSets: map[uint64]*dataSetState{}, nextSampleAt: now}
 	for i := range e.shares {
@@ -173,10 +173,10 @@
 	return ends
 }
 
-// roundingTolerance is the remaining work of a thread, in ms, that counts as none.
+// roundingTolerance is the remaining work of a thread, in ms, up to which a job counts as finished.
 const roundingTolerance = 1e-7
 
-// nextFinished returns the earliest arrival among the jobs that have done their work, or nil.
+// nextFinished returns the job that arrived first among those that have done all their work, or nil if there is none.
 func (e *Engine) nextFinished() *Job {
 	var best *Job
 	for i := range e.shares {
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -25,7 +25,7 @@
 	return []string{Module, "random", "round-robin", "least-outstanding", "two-choices", "home"}
 }
 
-// New returns the policy of a name.
+// New returns the policy with the given name.
 func New(name string, settings decide.Settings, seed uint64) (Policy, error) {
 	if name == Module {
 		g, err := decide.New(settings, seed)
@@ -50,9 +50,9 @@
 	choose    func(*basicPolicy, *request, []*endpoint) *endpoint
 	rng       *rand.Rand
 	endpoints map[decide.EndpointID]*endpoint
-	order     []*endpoint // by id
+	order     []*endpoint // the endpoints, sorted by ID
 	requests  map[decide.RequestID]*request
-	next      int
+	next      int // counter of the round-robin policy
 }
 
 type endpoint struct {
@@ -64,12 +64,13 @@
 	decide.RequestArrived
 	deadline   decide.Millis
 	attempts   int
-	mayRun     bool // an attempt ended without proof that it never ran
-	current    *endpoint
+	mayHaveRun bool      // whether an attempt ended without proof that the engine never ran it
+	current    *endpoint // endpoint of the attempt in flight; nil: none
 	finished   bool
-	lastFailed *endpoint // of the last failed attempt
+	lastFailed *endpoint // endpoint of the last failed attempt
 }
 
+// choosers holds the function of each policy that picks an engine among the candidates for a request.
 var choosers = map[string]func(*basicPolicy, *request, []*endpoint) *endpoint{
 	"random": func(p *basicPolicy, _ *request, candidates []*endpoint) *endpoint {
 		return candidates[p.rng.IntN(len(candidates))]
@@ -101,8 +102,8 @@
 	},
 }
 
-// leastOutstanding returns the endpoint with the fewest attempts in flight; of equal ones the first
-// from index start on, cyclically.
+// leastOutstanding returns the endpoint with the fewest attempts in flight; among endpoints
+// with equally few it returns the first one from index start on, cyclically.
 func leastOutstanding(candidates []*endpoint, start int) *endpoint {
 	best := candidates[start]
 	for i := range candidates {
@@ -113,7 +114,7 @@
 	return best
 }
 
-// weight is the rendezvous hash of a group at an endpoint: the highest is the group's home.
+// weight returns the rendezvous hash of a group and an endpoint. The endpoint with the highest hash is the group's home.
 func weight(group uint64, id decide.EndpointID) uint64 {
 	var b [16]byte
 	for i := range 8 {
@@ -141,9 +142,9 @@
 }
 
 func (p *basicPolicy) updateEndpoints(ev decide.EndpointUpdate) {
-	named := map[decide.EndpointID]bool{}
+	isListed := map[decide.EndpointID]bool{}
 	for _, e := range ev.Entries {
-		named[e.ID] = true
+		isListed[e.ID] = true
 		m := p.endpoints[e.ID]
 		if m == nil {
 			m = &endpoint{}
@@ -153,11 +154,11 @@
 		m.EndpointInfo = e
 	}
 	p.order = slices.DeleteFunc(p.order, func(m *endpoint) bool {
-		gone := m.State == decide.EndpointRemoved || ev.Kind != decide.UpdateIncremental && !named[m.ID]
-		if gone {
+		isRemoved := m.State == decide.EndpointRemoved || ev.Kind != decide.UpdateIncremental && !isListed[m.ID]
+		if isRemoved {
 			delete(p.endpoints, m.ID)
 		}
-		return gone
+		return isRemoved
 	})
 	slices.SortFunc(p.order, func(a, b *endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
 }
@@ -184,13 +185,13 @@
 
 // giveUp fails a request that may have run and must not be retried, and rejects any other.
 func (p *basicPolicy) giveUp(r *request) []decide.Action {
-	if r.mayRun && p.settings.Classes[r.Class].Idempotency != decide.IdempotentAlways {
+	if r.mayHaveRun && p.settings.Classes[r.Class].Idempotency != decide.IdempotentAlways {
 		return p.finish(r, decide.Fail{ID: r.ID})
 	}
 	return p.finish(r, decide.Reject{ID: r.ID, RetryAfter: p.settings.MaxRetryAfter})
 }
 
-// finish sends the answer, if any, and cancels the attempt in flight.
+// finish returns the actions that end a request: its answer, if any, and the cancellation of its attempt in flight.
 func (p *basicPolicy) finish(r *request, answer decide.Action) (acts []decide.Action) {
 	if answer != nil {
 		acts = append(acts, answer)
@@ -211,13 +212,13 @@
 	r.current.inFlight--
 	r.lastFailed, r.current = r.current, nil
 	if o := ev.Outcome; o != decide.OutcomeOverloaded && o != decide.OutcomeConnectFailed && o != decide.OutcomeNotSent {
-		r.mayRun = true
+		r.mayHaveRun = true
 	}
 	if ev.RequestClosed || r.finished {
 		return p.finish(r, nil)
 	}
 	c := p.settings.Classes[r.Class]
-	if now >= r.deadline-p.settings.TickInterval || r.mayRun && c.Idempotency != decide.IdempotentAlways {
+	if now >= r.deadline-p.settings.TickInterval || r.mayHaveRun && c.Idempotency != decide.IdempotentAlways {
 		return p.giveUp(r)
 	}
 	return p.startAttempt(now, r)
--- a/internal/emulator/scenario/arrivals.go
+++ b/internal/emulator/scenario/arrivals.go
@@ -10,12 +10,12 @@
 	"aniseloft/internal/emulator/des"
 )
 
-// Query is a generated query: its true and its estimated needs, and its client's habits.
+// Query is a generated query: its true and estimated work and memory, and its client's behavior.
 type Query struct {
 	Number           int
 	ArrivesAt        float64
-	Class            int
-	Zone             int
+	Class            int    // index of the class
+	Zone             int    // index of the client's zone
 	DataSet          uint64 // numbered from 1
 	Work             float64
 	IORatio          float64
@@ -23,7 +23,7 @@
 	EstimatedWork    float64
 	EstimatedMB      float64
 	Patience         float64 // part of the deadline that the client waits for one try
-	Habit            int
+	Habit            int     // index in Clients.Habits
 	HonorsRetryAfter bool
 	RetryWaits       []float64
 }
@@ -35,10 +35,10 @@
 	timeline      *Timeline
 	count         int
 	now           float64
-	untilNext     float64 // remaining part of the unit exponential interval to the next arrival
-	groups        []float64
-	classes       []float64
-	habits        []float64
+	untilNext     float64   // remaining part of the unit exponential interval to the next arrival
+	groups        []float64 // cumulative frequencies of the data sets
+	classes       []float64 // cumulative frequencies of the classes
+	habits        []float64 // cumulative frequencies of the clients' habits
 	work          []distuv.LogNormal
 	memory        []distuv.LogNormal
 	bias          []float64
@@ -132,14 +132,14 @@
 	c := a.scenario.Classes[q.Class]
 	q.IORatio = a.ioRatio[q.Class]
 	q.Work = max(a.work[q.Class].Rand(), 0.5)
-	if len(a.timeline.tails) > 0 { // it has a random stream of its own, so that it leaves the other values unchanged
+	if len(a.timeline.tails) > 0 { // heavy tails have a random stream of their own, so that they leave the other values unchanged
 		q.Work *= a.timeline.WorkMultiple(q.ArrivesAt, q.Class, a.heavyTailRand.Float64())
 	}
 	q.NeedMB = min(max(a.memory[q.Class].Rand(), 1), a.scenario.Engines.MemoryMB*a.scenario.Engines.MaxGrantRatio)
 	scatter := func() float64 { return logNormal(1, c.EstimateCV, a.estimateRand).Rand() }
 	q.EstimatedWork = q.Work * a.bias[q.Class] * scatter()
 	q.EstimatedMB = max(math.Round(q.NeedMB*a.bias[q.Class]*scatter()), 1)
-	// The first zone gets the surplus.
+	// The first zone gets the share of the load that zoneSkew takes from the other zones.
 	zones := float64(len(a.scenario.Zones))
 	if x := a.clientRand.Float64(); x < (1+a.zoneSkew*(zones-1))/zones {
 		q.Zone = 0
--- a/internal/emulator/scenario/fault.go
+++ b/internal/emulator/scenario/fault.go
@@ -2,12 +2,12 @@
 
 // Kinds of faults.
 const (
-	FaultTrafficBurst     = "burst"             // arrivals times Magnitude
+	FaultTrafficBurst     = "burst"             // the arrival rate is multiplied by Magnitude
 	FaultSlowFleet        = "slow"              // all engines are Magnitude times slower
 	FaultSlowEngine       = "sick"              // engines are Magnitude times slower than the others
 	FaultStalls           = "stalls"            // AffectedRatio of the engines stall for MagnitudeMS, about every IntervalMS
-	FaultDiscoveryDown    = "roster_down"       // no watch events
-	FaultDiscoveryDelayed = "roster_behind"     // watch events come MagnitudeMS later
+	FaultDiscoveryDown    = "roster_down"       // the journal service sends no watch events
+	FaultDiscoveryDelayed = "roster_behind"     // the journal service detects changes MagnitudeMS later
 	FaultJoin             = "join"              // Count new engines join
 	FaultDrain            = "drain"             // an engine drains, and is removed after DurationMS
 	FaultRestart          = "restart"           // an engine drains, is down for DurationMS and starts again
@@ -31,7 +31,7 @@
 	IntervalMS    Range  `json:"every_ms"`
 	AffectedRatio Range  `json:"part"`
 	Count         int    `json:"count"`
-	Engines       []int  `json:"engines"` // by index: the initial fleet, then those that join
+	Engines       []int  `json:"engines"` // engine indexes: the initial fleet has the lowest, then follow those that join
 	Coordinators  []int  `json:"coordinators"`
-	Class         int    `json:"class"` // by index; only for a heavy tail
+	Class         int    `json:"class"` // index of the class; only for a heavy tail
 }
--- a/internal/emulator/scenario/golden_test.go
+++ b/internal/emulator/scenario/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // testdata/scenario.json is tournament-sunday with a fault that sets every field. testdata/scenario.golden is the value that
-// commit d9ce9f6 parsed from it. To update it: go test ./internal/emulator/scenario -update
+// commit d9ce9f6 parsed from it. To update the golden file: go test ./internal/emulator/scenario -update
 func TestRecordedScenarioParsesToRecordedValue(t *testing.T) {
 	raw, err := os.ReadFile("testdata/scenario.json")
 	require.NoError(t, err)
--- a/internal/emulator/scenario/load.go
+++ b/internal/emulator/scenario/load.go
@@ -18,7 +18,7 @@
 // ValidationError is one problem of a file.
 type ValidationError struct {
 	File    string `json:"file"`
-	Pointer string `json:"pointer"` // RFC 6901
+	Pointer string `json:"pointer"` // JSON pointer (RFC 6901) to the invalid field
 	Problem string `json:"problem"`
 	Remedy  string `json:"mend"`
 }
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("correct line %d, column %d", line, len(before)-bytes.LastIndexByte(before, '\n')-1)
 }
 
-// schemaErrors returns the leaves of a tree of schema errors.
+// schemaErrors converts a tree of schema errors. It returns one ValidationError for each leaf of the tree.
 func schemaErrors(file string, e *jsonschema.ValidationError) ValidationErrors {
 	if len(e.Causes) == 0 {
 		problem := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
@@ -108,7 +108,7 @@
 	return all
 }
 
-// pointer returns a JSON pointer.
+// pointer returns the JSON pointer with the given path segments.
 func pointer(parts ...string) string {
 	var b strings.Builder
 	for _, p := range parts {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 )
 
-// Range is a fixed number, or a pair [min, max] of which a uniform random number is drawn for each run.
+// Range is a fixed number, or a pair [min, max] between which a uniform random number is drawn for each run.
 type Range struct{ Min, Max float64 }
 
 // UnmarshalJSON reads a number or a pair.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// MarshalJSON writes the shortest form.
+// MarshalJSON writes a number if both bounds are equal, or else a pair.
 func (r Range) MarshalJSON() ([]byte, error) {
 	if r.Min == r.Max {
 		return json.Marshal(r.Min)
@@ -79,12 +79,12 @@
 	SameZoneMS  Range   `json:"same_ms"`
 	CrossZoneMS Range   `json:"cross_ms"`
 	ClientMS    Range   `json:"client_ms"`
-	Jitter      float64 `json:"jitter"` // ratio by which a delay varies, up and down
+	Jitter      float64 `json:"jitter"` // ratio by which a delay varies at random, up and down
 }
 
 // FrontProxy distributes clients over the coordinators of their zone.
 type FrontProxy struct {
-	DetectionMS Range `json:"notice_ms"` // time after which it detects that a coordinator has crashed or started
+	DetectionMS Range `json:"notice_ms"` // time after which the proxy detects that a coordinator has crashed or started
 }
 
 // Engines describes the engines of the initial fleet and those that join later.
@@ -96,20 +96,20 @@
 	MemoryMB           float64  `json:"memory_mb"`
 	Speed              Range    `json:"speed"`
 	SaturationThreads  Range    `json:"knee"`   // threads per core above which throughput falls
-	ThrashRatio        Range    `json:"thrash"` // factor of the throughput at twice the saturation; its square at four times, and so on
-	SeekPenalty        Range    `json:"seek"`   // factor of the disks' throughput is 1/(1+seek) with twice as many threads as disks
+	ThrashRatio        Range    `json:"thrash"` // factor of the throughput at twice SaturationThreads; at four times, the square of this factor, and so on
+	SeekPenalty        Range    `json:"seek"`   // with twice as many threads as disks, the disks' throughput is multiplied by 1/(1+seek)
 	SpillPenalty       Range    `json:"spill"`  // additional work of a query without any memory, as a multiple of its work
 	MaxGrantRatio      float64  `json:"most_grant"`
-	Grants             bool     `json:"grants"`       // memory grants of coordinators apply
-	Priorities         bool     `json:"priorities"`   // priorities of coordinators apply
-	ReportsCost        bool     `json:"tells_cost"`   // answers report work and memory
+	Grants             bool     `json:"grants"`       // whether engines apply the memory grants of coordinators
+	Priorities         bool     `json:"priorities"`   // whether engines apply the priorities of coordinators
+	ReportsCost        bool     `json:"tells_cost"`   // whether answers report the work and memory of a query
 	MemoryShort        string   `json:"memory_short"` // QueueForMemory or OvercommitMemory
-	PagingPenalty      Range    `json:"page"`         // divisor of the throughput at twice the memory, with OvercommitMemory
+	PagingPenalty      Range    `json:"page"`         // divisor of the throughput when queries need twice the engine's memory, with OvercommitMemory
 	ProgressMS         float64  `json:"progress_ms"`  // interval of progress reports on an attempt; 0: none
 	Reports            string   `json:"reports"`      // ReportsByProbe, ReportsInAnswers (by probe too) or NoReports
 	ReportFields       []string `json:"report_fields"`
-	Sessions           int      `json:"sessions"`    // queries that run or wait; more are rejected
-	Connections        int      `json:"connections"` // limit for all coordinators together
+	Sessions           int      `json:"sessions"`    // maximum number of queries that run or wait; an engine rejects further queries
+	Connections        int      `json:"connections"` // maximum number of connections to one engine from all coordinators together
 	HandshakeRTTs      float64  `json:"handshake_rtts"`
 	IdleTimeoutMS      float64  `json:"idle_ms"`
 	ConnectTimeoutMS   float64  `json:"connect_timeout_ms"`
@@ -138,7 +138,7 @@
 // Class is a class of queries.
 type Class struct {
 	Name                string  `json:"name"`
-	Frequency           float64 `json:"share"` // relative to the other classes
+	Frequency           float64 `json:"share"` // frequency of the queries, relative to the other classes
 	WorkMS              Range   `json:"work_ms"`
 	WorkCV              float64 `json:"cv"` // coefficient of variation of the log-normal work
 	IORatio             Range   `json:"io"` // part of the work that is reads or writes
@@ -152,10 +152,10 @@
 	LateWeightRatio     float64 `json:"late_worth"`
 	Idempotency         string  `json:"repeat"` // repeatable, by_key, once
 	IdempotencyWindowMS float64 `json:"repeat_window_ms"`
-	LoadsDataSet        bool    `json:"load"`     // locks its data set on the engine while it runs
-	WaitsForLoads       bool    `json:"waits"`    // waits for loads of its data set
+	LoadsDataSet        bool    `json:"load"`     // queries lock their data set on the engine while they run
+	WaitsForLoads       bool    `json:"waits"`    // queries wait for running loads of their data set
 	OrderedByKey        bool    `json:"in_order"` // requests of one data set run one at a time
-	AllowedZones        []int   `json:"halls"`    // empty: all zones are allowed
+	AllowedZones        []int   `json:"halls"`    // zone indexes; empty: all zones are allowed
 	EstimateBias        Range   `json:"estimate_bias"`
 	EstimateCV          float64 `json:"estimate_cv"`
 	BadPlanRatio        Range   `json:"runaway"`       // part of the attempts that get a bad plan
@@ -194,9 +194,9 @@
 
 // Discovery describes the delays of the journal service, which lists the engines.
 type Discovery struct {
-	DetectionMS             Range `json:"notice_ms"` // from a change to its publication
-	UnresponsiveDetectionMS Range `json:"silent_ms"` // the same for an engine that becomes unresponsive
-	PropagationMS           Range `json:"spread_ms"` // from the publication to each coordinator
+	DetectionMS             Range `json:"notice_ms"` // time from a change of an engine to its publication
+	UnresponsiveDetectionMS Range `json:"silent_ms"` // time from an engine's becoming unresponsive to the publication of this change
+	PropagationMS           Range `json:"spread_ms"` // time from the publication to its delivery at a coordinator
 }
 
 // Rules are the limits that a run is checked against.
@@ -205,8 +205,8 @@
 	DrainGraceMS       float64  `json:"drain_grace_ms"`
 	OverloadMultiple   float64  `json:"fall_multiple"`
 	OverloadMS         float64  `json:"fall_ms"`
-	WarmupInitialRatio float64  `json:"cold_from"` // configured in coordinators: the minimum of the engines' values
-	WarmupMS           float64  `json:"cold_ms"`   // configured in coordinators: the maximum of the engines' values
+	WarmupInitialRatio float64  `json:"cold_from"` // value in the coordinators' settings: the minimum of the engines' values
+	WarmupMS           float64  `json:"cold_ms"`   // value in the coordinators' settings: the maximum of the engines' values
 	OrderSettleMS      float64  `json:"order_settle_ms"`
 	RetryRatio         *float64 `json:"repeat_ratio,omitempty"`
 	SpareAttempts      float64  `json:"spare_attempts"`
@@ -222,6 +222,6 @@
 	Waste       float64 `json:"waste"`
 	Probe       float64 `json:"probe"`
 	LateFail    float64 `json:"late_fail"`
-	Handshake   float64 `json:"handshake"` // per new connection to an engine and first try
-	Gossip      float64 `json:"peer"`      // per 256 bytes of received datagrams and first try
+	Handshake   float64 `json:"handshake"` // price of one new connection to an engine per first try
+	Gossip      float64 `json:"peer"`      // price of 256 bytes of received datagrams per first try
 }
--- a/internal/emulator/scenario/set.go
+++ b/internal/emulator/scenario/set.go
@@ -15,7 +15,7 @@
 	}
 	var doc any
 	if err := json.Unmarshal(raw, &doc); err != nil {
-		return Parse(file, raw) // its error gives the position
+		return Parse(file, raw) // the error of Parse gives the position of the syntax error
 	}
 	for _, c := range changes {
 		pointer, text, ok := strings.Cut(c, "=")
--- a/internal/emulator/scenario/settings.go
+++ b/internal/emulator/scenario/settings.go
@@ -9,7 +9,7 @@
 )
 
 // SettingsJSON returns the settings of the coordinator with index me, as its configuration has them. Simulated and real
-// coordinators get the same.
+// coordinators get the same settings.
 func (s *Scenario) SettingsJSON(me int) ([]byte, error) {
 	type object = map[string]any
 	var classes []object
--- a/internal/emulator/scenario/timeline.go
+++ b/internal/emulator/scenario/timeline.go
@@ -22,7 +22,7 @@
 type Event struct {
 	AtMS        float64
 	Kind        EventKind
-	Engine      int // by index
+	Engine      int // index of the engine
 	Coordinator int
 	Value       float64
 	Description string
@@ -37,7 +37,7 @@
 	EventSlowFleet                       // multiple of all engines' execution times
 	EventSlowEngine                      // multiple of one engine's execution times
 	EventDiscoveryDown                   // 1: down; 0: up
-	EventDiscoveryDelay                  // added to each detection, ms
+	EventDiscoveryDelay                  // additional time of each detection by the journal service, ms
 	EventJoin                            // a new engine starts
 	EventDrain                           // an engine drains
 	EventLeave                           // a drained engine ends for good
@@ -45,7 +45,7 @@
 	EventReturn                          // an engine starts again
 	EventUnresponsive                    // 1: an engine is cut off from the network; 0: connected again
 	EventNoisyNeighbour                  // part of an engine that another program uses
-	EventReportDelay                     // added to load reports, ms
+	EventReportDelay                     // additional delay of load reports, ms
 	EventCoordinatorCrash
 	EventCoordinatorStart
 )
@@ -54,12 +54,12 @@
 type Timeline struct {
 	Spans       []FaultSpan
 	Events      []Event // in order of time
-	EngineCount int     // engines of the whole run; the initial fleet has the lowest indexes
-	bursts      []burst
+	EngineCount int     // number of engines of the whole run; the initial fleet has the lowest indexes
+	bursts      []burst // bursts of faults
 	wavePhase   float64
 	swing       float64
 	scenario    *Scenario
-	loadBursts  []burst // of the load shape "bursts"; bursts holds those of faults
+	loadBursts  []burst // bursts of the load shape "bursts"
 	tails       []heavyTail
 }
 
@@ -80,11 +80,11 @@
 	return multiple
 }
 
-// burst is a span in which the arrival rate is a multiple of the usual.
+// burst is a span in which the usual arrival rate is multiplied by a factor.
 type burst struct{ from, until, multiple float64 }
 
-// Timeline generates the events of all faults. Each fault has a random stream of its own, so that changing one does not
-// change the others or the arrivals.
+// Timeline generates the events of all faults. Each fault has a random stream of its own, so that changing a fault
+// does not change the other faults or the arrivals.
 func (s *Scenario) Timeline(seed uint64) *Timeline {
 	t := &Timeline{scenario: s, EngineCount: s.Engines.Count}
 	shape := des.Stream(seed, "load shape")
@@ -107,7 +107,7 @@
 
 // faultValues are the random values of one fault.
 type faultValues struct {
-	start, duration, end   float64 // ms
+	start, duration, end   float64 // in ms; start and end count from the start of the run
 	magnitude, magnitudeMS float64
 	affectedRatio          float64
 	intervalMS             float64
@@ -170,7 +170,7 @@
 	return fmt.Sprintf("%s: engines %v", f.Kind, f.Engines)
 }
 
-// addPair adds an event at a fault's start, and one at its end.
+// addPair adds an event at a fault's start, and an event of the same kind at the fault's end.
 func (t *Timeline) addPair(v *faultValues, kind EventKind, startValue, endValue float64) {
 	t.addEvent(v.start, kind, 0, startValue)
 	t.addEvent(v.end, kind, 0, endValue)
@@ -182,7 +182,7 @@
 	t.EngineCount++
 }
 
-// drawAffected draws the engines of the initial fleet that a fault affects, at least one.
+// drawAffected draws the engines of the initial fleet that a fault affects, at least one engine.
 func (t *Timeline) drawAffected(ratio float64, rng *rand.Rand) []int {
 	engines := t.scenario.Engines.Count
 	affected := max(int(math.Round(ratio*float64(engines))), 1)
@@ -207,14 +207,14 @@
 		interval = v.duration
 	}
 	for _, engine := range affected {
-		busy := true
+		neighbourActive := true
 		for at := v.start; at < v.end; at += interval * (0.5 + rng.Float64()) {
 			ratio := 0.0
-			if busy {
+			if neighbourActive {
 				ratio = v.magnitude
 			}
 			t.addEvent(at, EventNoisyNeighbour, engine, ratio)
-			busy = !busy
+			neighbourActive = !neighbourActive
 		}
 		t.addEvent(v.end, EventNoisyNeighbour, engine, 0)
 	}
@@ -245,7 +245,7 @@
 	return fmt.Sprintf("coordinators %v crash", f.Coordinators)
 }
 
-// restartDrainMS is the time for which a restarting engine drains, and the minimum for an engine that drains for good.
+// restartDrainMS is the time for which a restarting engine drains, and the minimum time for an engine that drains for good.
 const restartDrainMS = 3000.0
 
 // addEngineFault adds the events of a fault of one engine.
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -19,8 +19,8 @@
 
 // Minimum durations. Shorter ones were most likely meant in seconds.
 const (
-	minRunMS  = 1000.0 // of a scenario
-	minSpanMS = 100.0  // of a deadline or a fault
+	minRunMS  = 1000.0 // minimum duration of a scenario
+	minSpanMS = 100.0  // minimum duration of a deadline or a fault
 )
 
 func (c *checker) checkDuration(path string, ms, minMS float64) {
@@ -104,9 +104,9 @@
 
 // fleetOverTime tracks the engines of the fleet as faults start and remove them.
 type fleetOverTime struct {
-	endsMS   []float64 // end of each engine, by index
+	endsMS   []float64 // time at which each engine is removed, by index
 	runEndMS float64   // value of endsMS for an engine that is never removed
-	replaced bool      // a rolling replacement has removed the initial fleet
+	replaced bool      // whether a rolling replacement has removed the initial fleet
 }
 
 func (f *fleetOverTime) join(engines int) {
--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Formats are the file formats of charts, also their file extensions.
+// Formats lists the file formats of charts. Each name is also the extension of the files.
 var Formats = []string{"svg", "png"}
 
 // ErrNoResults is returned by Charts if there are no results to draw.
@@ -40,11 +40,11 @@
 // chartWriter draws each chart once, in every format.
 type chartWriter struct {
 	directory string
-	drawn     map[string]bool // by chart name
+	drawn     map[string]bool // whether a chart is already drawn, by chart name
 	files     []string
 }
 
-// drawDay draws the charts that a result belongs to, unless they are already drawn.
+// drawDay draws the charts that contain the given result, unless they are already drawn.
 func (w *chartWriter) drawDay(results []Result, r Result) error {
 	name := strings.TrimSuffix(r.Scenario+"-"+r.Variant, "-"+unchangedVariant)
 	name = strings.TrimSuffix(filepath.Base(name), ".json")
@@ -83,7 +83,7 @@
 	return strings.TrimSuffix(strings.TrimSuffix(filepath.Base(scenario), ".json")+" "+variant, " "+unchangedVariant)
 }
 
-// addLine adds a line in the color of an index, with its entry in the legend.
+// addLine adds a line with an entry in the legend. The index selects the line's color.
 func addLine(p *plot.Plot, name string, index int, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
--- a/internal/experiment/chart_latency.go
+++ b/internal/experiment/chart_latency.go
@@ -18,7 +18,7 @@
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Min, p.Y.Max, p.Legend.Left, p.Legend.Top = 0, 1, true, true
 	var policies []string
-	quantiles := map[string][][]float64{} // by policy, one list of latencies for each seed
+	quantiles := map[string][][]float64{} // latencies at observer.Quantiles, by policy, one list for each seed
 	for _, r := range results {
 		if r.Scenario != scenario || r.Variant != variant || len(r.Report.Classes) == 0 {
 			continue
@@ -40,11 +40,11 @@
 }
 
 // latencyCurve averages the latency at each of observer.Quantiles over seeds.
-func latencyCurve(bySeed [][]float64) plotter.XYs {
+func latencyCurve(quantilesBySeed [][]float64) plotter.XYs {
 	var curve plotter.XYs
 	for i, percent := range observer.Quantiles {
 		var latencies []float64
-		for _, quantiles := range bySeed {
+		for _, quantiles := range quantilesBySeed {
 			latencies = append(latencies, max(quantiles[i], minLatencyMS))
 		}
 		curve = append(curve, plotter.XY{X: stat.Mean(latencies, nil), Y: percent / 100})
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Difference is the service of B minus that of A, over the cells that both have.
+// Difference is the mean service of the results B minus that of the results A, over the days that both contain.
 type Difference struct {
 	Scenario string   `json:"scenario"`
 	Service  Interval `json:"difference"`
@@ -26,11 +26,11 @@
 	}
 	changes := map[string][]float64{}
 	var names []string
-	var all []float64
+	var allChanges []float64
 	paired := map[pairKey]bool{}
 	for _, r := range b {
 		key := pairKey{r.Scenario, r.Variant, r.Seed}
-		before, ok := serviceOfA[key]
+		serviceInA, ok := serviceOfA[key]
 		if !ok || paired[key] {
 			continue
 		}
@@ -39,21 +39,21 @@
 		if changes[name] == nil {
 			names = append(names, name)
 		}
-		changes[name] = append(changes[name], r.Report.Service-before)
-		all = append(all, r.Report.Service-before)
+		changes[name] = append(changes[name], r.Report.Service-serviceInA)
+		allChanges = append(allChanges, r.Report.Service-serviceInA)
 	}
 	slices.Sort(names)
 	var differences []Difference
 	for _, name := range names {
 		differences = append(differences, difference(name, changes[name]))
 	}
-	if len(all) > 0 {
-		differences = append(differences, difference("all", all))
+	if len(allChanges) > 0 {
+		differences = append(differences, difference("all", allChanges))
 	}
 	return differences
 }
 
-// minPairs is the minimum number of pairs for a verdict.
+// minPairs is the minimum number of pairs of results for a verdict other than "too few pairs".
 const minPairs = 3
 
 // difference returns the mean change with its interval and verdict. It sorts the changes first, so that the interval does
--- a/internal/experiment/interval.go
+++ b/internal/experiment/interval.go
@@ -12,11 +12,11 @@
 	Mean  float64 `json:"mean"`
 	Lower float64 `json:"lo"`
 	Upper float64 `json:"hi"`
-	Count int     `json:"n"` // size of the sample
+	Count int     `json:"n"` // number of values in the sample
 }
 
-// resamples is the number of resampled means that the interval is computed from.
-const resamples = 4000
+// resampleCount is the number of resampled means from which the confidence interval is computed.
+const resampleCount = 4000
 
 // Bootstrap returns the mean of a sample with its bootstrap confidence interval. Its random stream depends only on the size
 // of the sample, so that the same results always give the same table.
@@ -25,7 +25,7 @@
 		return Interval{}
 	}
 	rng := rand.New(rand.NewPCG(1, uint64(len(sample))))
-	means, resample := make([]float64, resamples), make([]float64, len(sample))
+	means, resample := make([]float64, resampleCount), make([]float64, len(sample))
 	for i := range means {
 		for k := range resample {
 			resample[k] = sample[rng.IntN(len(sample))]
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -14,10 +14,10 @@
 	"aniseloft/schema"
 )
 
-// unchangedVariant names the only variant of a plan that lists none.
+// unchangedVariant names the only variant of a plan that lists no variants. It changes nothing in the scenarios.
 const unchangedVariant = "as-is"
 
-// Plan is the product of scenarios, variants, policies and seeds.
+// Plan lists scenarios, variants, policies and seeds. One day is emulated for each combination of them.
 type Plan struct {
 	Name      string    `json:"name"`
 	Scenarios []string  `json:"scenarios"`
@@ -30,7 +30,7 @@
 // Variant changes every scenario of a plan.
 type Variant struct {
 	Name string         `json:"name"`
-	Set  map[string]any `json:"set"` // new values by JSON pointer
+	Set  map[string]any `json:"set"` // new values of scenario fields, by JSON pointer
 }
 
 // Cell is one emulated day of a plan.
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -29,7 +29,7 @@
 // LineError reports a line of a results file that is not a result.
 type LineError struct {
 	File string
-	Line int // from 1
+	Line int // line number, from 1
 }
 
 func (e LineError) Error() string {
@@ -89,16 +89,16 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	complete := len(content)
-	for complete > 0 && content[complete-1] != '\n' {
-		complete--
+	completeLength := len(content) // length of the complete lines
+	for completeLength > 0 && content[completeLength-1] != '\n' {
+		completeLength--
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	if err = file.Truncate(int64(complete)); err == nil {
-		_, err = file.Seek(int64(complete), io.SeekStart)
+	if err = file.Truncate(int64(completeLength)); err == nil {
+		_, err = file.Seek(int64(completeLength), io.SeekStart)
 	}
 	if err != nil {
 		_ = file.Close()
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -75,7 +75,7 @@
 type runner struct {
 	plan     *Plan
 	hashes   map[scenarioKey]string
-	total    int // cells of the plan
+	total    int // number of cells of the plan
 	progress func(completed, total int)
 
 	mu        sync.Mutex // guards the fields below and calls of progress
@@ -85,9 +85,9 @@
 }
 
 func (r *runner) run(ctx context.Context, cells []Cell, stored []Result) error {
-	skip := map[resultKey]bool{}
+	isStored := map[resultKey]bool{}
 	for _, result := range stored {
-		skip[resultKey{result.Cell, result.ScenarioHash}] = true
+		isStored[resultKey{result.Cell, result.ScenarioHash}] = true
 	}
 	queue := make(chan Cell)
 	var workers sync.WaitGroup
@@ -100,7 +100,7 @@
 		})
 	}
 	for _, cell := range cells {
-		if skip[resultKey{cell, r.hash(cell)}] {
+		if isStored[resultKey{cell, r.hash(cell)}] {
 			r.complete(nil, nil)
 			continue
 		}
@@ -116,7 +116,8 @@
 
 func (r *runner) hash(cell Cell) string { return r.hashes[scenarioKey{cell.Scenario, cell.Variant}] }
 
-// complete counts a cell as completed and appends its line. The line is nil if the result is already stored.
+// complete counts a cell as completed and appends its line to the results file. The line is nil if the result is already
+// stored.
 func (r *runner) complete(line []byte, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -16,9 +16,9 @@
 	Policy      string   `json:"policy"`
 	Service     Interval `json:"service"`
 	WorstClass  float64  `json:"worst_class"`
-	WorstWindow float64  `json:"worst_window"` // worst window of 10 s
+	WorstWindow float64  `json:"worst_window"` // score of the worst window of 10 s
 	RulesBroken int      `json:"rules_broken"`
-	WastedRatio float64  `json:"wasted_part"` // ratio of wasted work to all work that endpoints received
+	WastedRatio float64  `json:"wasted_part"` // ratio of wasted work to all work that engines received
 }
 
 // Rows summarizes results, in the order in which Load returns them.
@@ -56,6 +56,7 @@
 	return row
 }
 
+// header holds the column names of tables.
 var header = []string{"scenario", "variant", "policy", "seeds", "service", "95% interval", "worst 10 s", "worst class", "wasted", "rules broken"}
 
 func (r Row) fields() []string {
