--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -14,8 +14,8 @@
 
 const (
 	journalAddr = "127.0.0.1:7070"
-	pages       = 3                      // of each result
-	queryTime   = 120 * time.Millisecond // of each query
+	pages       = 3                      // number of pages of each result
+	queryTime   = 120 * time.Millisecond // duration of each query
 )
 
 var engineAddrs = []string{"127.0.0.1:9001", "127.0.0.1:9002"}
@@ -24,7 +24,7 @@
 type engine struct {
 	addr    string
 	mu      sync.Mutex
-	queries map[string]time.Time // when each query ends, by request ID
+	queries map[string]time.Time // time at which each query ends, by request ID
 }
 
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -57,13 +57,14 @@
 	}
 }
 
+// drop forgets a query, so that further polls of it fail.
 func (e *engine) drop(id string) {
 	e.mu.Lock()
 	delete(e.queries, id)
 	e.mu.Unlock()
 }
 
-// poll answers with the first page, or with 202 if the query has not ended within 250 ms.
+// poll answers with the first page of a query's result, or with 202 if the query has not ended within 250 ms.
 func (e *engine) poll(w http.ResponseWriter, id string) {
 	e.mu.Lock()
 	end, ok := e.queries[id]
@@ -90,7 +91,7 @@
 	}
 }
 
-// serveJournal answers polls of the endpoint list, which never changes.
+// serveJournal answers polls for changes of the endpoint list. The list never changes after the first answer.
 func serveJournal(w http.ResponseWriter, r *http.Request) {
 	tail, _ := strconv.Atoi(r.URL.Query().Get("tail"))
 	if tail >= 1 {
--- a/internal/emulator/clients/clients.go
+++ b/internal/emulator/clients/clients.go
@@ -10,12 +10,12 @@
 )
 
 // FrontProxy distributes clients round-robin over the coordinators of their zone that it believes
-// to be alive. It learns of crashes and starts with a delay, by SetAlive.
+// to be alive. Callers of SetAlive notify it of crashes and starts after DetectionDelay.
 type FrontProxy struct {
 	scenario *scenario.Scenario
 	rng      *rand.Rand
-	alive    []bool
-	next     int
+	alive    []bool // whether the proxy believes a coordinator to be alive, by index
+	next     int    // counter of the round-robin distribution
 }
 
 // NewFrontProxy returns a front proxy that believes all coordinators to be alive.
@@ -34,30 +34,31 @@
 func (f *FrontProxy) SetAlive(coordinator int, alive bool) { f.alive[coordinator] = alive }
 
 // Pick returns the coordinator for a client of a zone: one of the zone if any is believed alive,
-// else any other. It returns -1 if there is none.
+// else any other. It returns -1 if no coordinator is believed alive.
 func (f *FrontProxy) Pick(zone int) int {
-	var near, reachable []int
+	var inZone, reachable []int
 	for c, alive := range f.alive {
 		if alive {
 			reachable = append(reachable, c)
 			if f.scenario.ZoneOf(c) == zone {
-				near = append(near, c)
+				inZone = append(inZone, c)
 			}
 		}
 	}
-	if len(near) == 0 {
-		near = reachable
+	if len(inZone) == 0 {
+		inZone = reachable
 	}
-	if len(near) == 0 {
+	if len(inZone) == 0 {
 		return -1
 	}
 	f.next++
-	return near[f.next%len(near)]
+	return inZone[f.next%len(inZone)]
 }
 
-// RetryDelay returns whether a client retries by its habit after its latest try ended, and after
-// how many ms. Tries is the number of tries so far; retryAfterMS is the answer's Retry-After.
-func RetryDelay(q scenario.Query, state *observer.ClientQuery, tries int, kind observer.TryResult, retryAfterMS, now float64) (wait float64, again bool) {
+// RetryDelay returns whether a client retries after its latest try has ended, and the time that it
+// waits before the retry, in ms. Tries is the number of tries so far, of which the latest ended with
+// the result kind; retryAfterMS is the Retry-After of its answer.
+func RetryDelay(q scenario.Query, state *observer.ClientQuery, tries int, kind observer.TryResult, retryAfterMS, now float64) (wait float64, willRetry bool) {
 	if kind == observer.Served || tries > len(q.RetryWaits) {
 		return 0, false
 	}
--- a/internal/emulator/des/des.go
+++ b/internal/emulator/des/des.go
@@ -14,15 +14,17 @@
 	now      float64
 	sequence uint64
 	heap     []event
-	events   int
+	events   int // number of events that have run
 }
 
+// event is a scheduled call of run.
 type event struct {
 	time     float64
 	sequence uint64
 	run      func()
 }
 
+// before reports whether event a runs before event b.
 func (a *event) before(b *event) bool {
 	return a.time < b.time || a.time == b.time && a.sequence < b.sequence
 }
@@ -39,12 +41,12 @@
 	l.heap = append(l.heap, event{max(at, l.now), l.sequence, f})
 	h := l.heap
 	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h[i].before(&h[up]) {
+		parent := (i - 1) / 2
+		if !h[i].before(&h[parent]) {
 			break
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 }
 
@@ -69,23 +71,23 @@
 	h = h[:last]
 	l.heap = h
 	for i := 0; ; {
-		c := 2*i + 1
-		if c >= len(h) {
+		child := 2*i + 1
+		if child >= len(h) {
 			break
 		}
-		if c+1 < len(h) && h[c+1].before(&h[c]) {
-			c++
+		if child+1 < len(h) && h[child+1].before(&h[child]) {
+			child++
 		}
-		if !h[c].before(&h[i]) {
+		if !h[child].before(&h[i]) {
 			break
 		}
-		h[i], h[c] = h[c], h[i]
-		i = c
+		h[i], h[child] = h[child], h[i]
+		i = child
 	}
 	return top
 }
 
-// Stream returns the random source of one concern. The streams of one seed are independent: the
+// Stream returns a random source for one use in a simulation, such as "arrivals"; this use is its concern. The streams of one seed are independent: the
 // numbers that one concern draws do not affect those of another.
 func Stream(seed uint64, concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -20,51 +20,51 @@
 func meanSojourn(t *testing.T, config Config, perMS float64, n int, grant int64, work func() float64, rng *rand.Rand) (sojourn float64) {
 	e := New(config, 0, -1)
 	arrivedAt := map[uint64]float64{}
-	var now, next, area, sum, all float64
+	var now, nextArrival, heldIntegral, countedSojourns, allSojourns float64
 	var id uint64
 	ended := 0
-	next = rng.ExpFloat64() / perMS
+	nextArrival = rng.ExpFloat64() / perMS
 	for ended < n {
-		at := min(next, e.Next())
-		area += float64(e.InFlight()) * (at - now)
+		at := min(nextArrival, e.Next())
+		heldIntegral += float64(e.InFlight()) * (at - now)
 		now = at
 		for _, end := range e.Advance(now) {
 			ended++
-			all += now - arrivedAt[end.Job.ID]
+			allSojourns += now - arrivedAt[end.Job.ID]
 			if end.Job.ID > uint64(n/10) {
-				sum += now - arrivedAt[end.Job.ID]
+				countedSojourns += now - arrivedAt[end.Job.ID]
 			}
 			delete(arrivedAt, end.Job.ID)
 		}
-		if now == next {
+		if now == nextArrival {
 			id++
 			arrivedAt[id] = now
 			require.Equal(t, Accepted, e.Start(now, &Job{ID: id, Work: work(), Threads: 1, GrantMB: grant, NeedMB: grant, Expires: math.Inf(1)}))
-			next = now + rng.ExpFloat64()/perMS
+			nextArrival = now + rng.ExpFloat64()/perMS
 		}
 	}
 	// Little's law on this sample path: the number of queries held, integrated over time, is the sum
 	// of the times that each spent at the engine.
 	for _, at := range arrivedAt {
-		all += now - at
+		allSojourns += now - at
 	}
-	require.InEpsilon(t, area, all, 1e-6)
-	b, left := e.WorkTotals()
-	require.InEpsilon(t, b.In, b.Done+b.Dropped+left, 1e-6, "work is conserved")
-	return sum / (float64(n) * 0.9)
+	require.InEpsilon(t, heldIntegral, allSojourns, 1e-6)
+	totals, left := e.WorkTotals()
+	require.InEpsilon(t, totals.In, totals.Done+totals.Dropped+left, 1e-6, "work is conserved")
+	return countedSojourns / (float64(n) * 0.9)
 }
 
 // requireWithin99 checks that a formula's value lies in the 99% confidence interval of the mean of
 // 20 replications (Student's t, 19 degrees of freedom).
 func requireWithin99(t *testing.T, want float64, replicate func(rng *rand.Rand) float64) {
-	var x []float64
+	var values []float64
 	for i := range 20 {
-		x = append(x, replicate(rand.New(rand.NewPCG(uint64(i), 5))))
+		values = append(values, replicate(rand.New(rand.NewPCG(uint64(i), 5))))
 	}
-	mean, sd := stat.MeanStdDev(x, nil)
-	half := distuv.StudentsT{Sigma: 1, Nu: 19}.Quantile(0.995) * sd / math.Sqrt(20)
-	require.Less(t, half, 0.1*want, "the interval is narrow enough for a meaningful test")
-	require.InDelta(t, want, mean, half)
+	mean, sd := stat.MeanStdDev(values, nil)
+	halfWidth := distuv.StudentsT{Sigma: 1, Nu: 19}.Quantile(0.995) * sd / math.Sqrt(20)
+	require.Less(t, halfWidth, 0.1*want, "the interval is narrow enough for a meaningful test")
+	require.InDelta(t, want, mean, halfWidth)
 }
 
 // In an M/G/1 queue with processor sharing the mean sojourn time is E[S]/(1-rho), whatever the
@@ -98,18 +98,18 @@
 }
 
 func TestPriorityWeightsAre1To4To8To16(t *testing.T) {
-	for _, io := range []float64{0, 1} { // cores are scarce, then disks
+	for _, ioRatio := range []float64{0, 1} { // first cores are scarce, then disks
 		config := plainConfig(1, 1<<40)
 		config.Disks = 1
 		e := New(config, 0, -1)
 		jobs := make([]*Job, 4)
 		for p := range jobs {
-			jobs[p] = &Job{ID: uint64(p + 1), Work: 1000, IORatio: io, Threads: 1, Priority: p, Expires: math.Inf(1)}
+			jobs[p] = &Job{ID: uint64(p + 1), Work: 1000, IORatio: ioRatio, Threads: 1, Priority: p, Expires: math.Inf(1)}
 			e.Start(0, jobs[p])
 		}
 		e.Advance(29)
 		for p, share := range []float64{1, 4, 8, 16} {
-			require.InDelta(t, share, 1000-e.remaining(jobs[p]), 1e-9, "io %v, priority %d", io, p)
+			require.InDelta(t, share, 1000-e.remaining(jobs[p]), 1e-9, "io %v, priority %d", ioRatio, p)
 		}
 	}
 }
@@ -187,8 +187,8 @@
 			require.Len(t, e.Advance(at), 1)
 			require.False(t, e.Cancel(at, 1))
 		}
-		b, left := e.WorkTotals()
-		require.InDelta(t, b.In, b.Done+b.Dropped+left, 1e-9)
+		totals, left := e.WorkTotals()
+		require.InDelta(t, totals.In, totals.Done+totals.Dropped+left, 1e-9)
 		require.Zero(t, e.GrantedMB())
 	}
 }
@@ -200,25 +200,25 @@
 		e.Start(0, j)
 		return j
 	}
-	first, second, reader, free := start(1, true, false), start(2, true, false), start(3, false, true), start(4, false, false)
-	require.Equal(t, []state{running, blocked, blocked, running}, []state{first.state, second.state, reader.state, free.state})
+	firstLoad, secondLoad, reader, unblocked := start(1, true, false), start(2, true, false), start(3, false, true), start(4, false, false)
+	require.Equal(t, []state{running, blocked, blocked, running}, []state{firstLoad.state, secondLoad.state, reader.state, unblocked.state})
 	require.EqualValues(t, 40, e.GrantedMB(), "blocked queries keep their memory")
 	e.Advance(e.Next())
-	require.Equal(t, []state{ended, running, blocked}, []state{first.state, second.state, reader.state})
+	require.Equal(t, []state{ended, running, blocked}, []state{firstLoad.state, secondLoad.state, reader.state})
 	e.Cancel(e.now, 2)
 	require.Equal(t, running, reader.state)
 }
 
 func TestOnlyColdEngineIsOverloaded(t *testing.T) {
-	for _, started := range []float64{0, -1} {
+	for _, startedAt := range []float64{0, -1} {
 		config := plainConfig(10, 1<<40)
 		config.WarmupInitialRatio, config.WarmupMS, config.OverloadMultiple, config.OverloadMS, config.OverloadRatio = 0.4, 10000, 3, 1000, 1
-		e := New(config, 0, started)
+		e := New(config, 0, startedAt)
 		overloaded := false
 		for i := range 3000 {
 			overloaded = overloaded || e.Start(float64(i)/4, &Job{ID: uint64(i + 1), Work: 10, OverloadWeight: 10, Threads: 1, Coordinator: i % 2, Expires: math.Inf(1)}) == Overloaded
 		}
-		require.Equal(t, started == 0, overloaded)
+		require.Equal(t, startedAt == 0, overloaded)
 		if overloaded {
 			require.InDelta(t, 0.5, e.NotifiedLoadRatio(func(from int) bool { return from == 0 }), 0.01)
 		}
@@ -232,14 +232,14 @@
 	}
 	e.Advance(30) // the third is blocked by the second: two queries share the core
 	require.True(t, e.Cancel(30, 1))
-	b, left := e.WorkTotals()
-	require.InDelta(t, 85, b.Dropped, 1e-9)
+	totals, left := e.WorkTotals()
+	require.InDelta(t, 85, totals.Dropped, 1e-9)
 	require.InDelta(t, 185, left, 1e-9)
 	require.Len(t, e.Terminate(40), 2)
-	b, left = e.WorkTotals()
-	require.InDelta(t, 300, b.In, 1e-9)
-	require.InDelta(t, 40, b.Done, 1e-9)
-	require.InDelta(t, 260, b.Dropped, 1e-9)
+	totals, left = e.WorkTotals()
+	require.InDelta(t, 300, totals.In, 1e-9)
+	require.InDelta(t, 40, totals.Done, 1e-9)
+	require.InDelta(t, 260, totals.Dropped, 1e-9)
 	require.Zero(t, left)
 }
 
--- a/internal/emulator/engine/job.go
+++ b/internal/emulator/engine/job.go
@@ -9,26 +9,26 @@
 	Work, IORatio  float64
 	Threads        int
 	NeedMB         int64
-	GrantMB        int64 // 0: the engine chooses, from EstimateMB or else BaselineMB
+	GrantMB        int64 // memory that the coordinator grants; 0: the engine chooses, from EstimateMB or else BaselineMB
 	EstimateMB     int64
 	BaselineMB     int64
 	OverloadWeight float64 // work that counts towards an overload of a cold engine
-	Coordinator    int     // the coordinator that sent it
+	Coordinator    int     // index of the coordinator that sent the query
 	Priority       int
-	LoadsDataSet   bool    // blocks its data set while it runs
-	WaitsForLoads  bool    // is blocked by a load on its data set
-	Expires        float64 // time at which it leaves the queue unserved
-	Owner          any     // for the caller's use
+	LoadsDataSet   bool    // the query blocks its data set while it runs
+	WaitsForLoads  bool    // a load on its data set blocks the query
+	Expires        float64 // time at which the query leaves the queue unserved
+	Owner          any     // any value that the caller attaches; the engine ignores it
 
 	state     state
 	seq       int // order of arrival
 	grantedMB int64
-	total     float64 // see Total
-	ioWork    float64 // part of total that is done on disks
-	finish    float64 // value of its share's clock at which it is done
-	workLeft  float64 // of total, while it has no share
-	share     *processorShare
-	index     int // position in its share's heap
+	total     float64         // see Total
+	ioWork    float64         // part of total that is done on disks
+	finish    float64         // value of the share's clock at which the job is done
+	workLeft  float64         // part of total that is not done yet; valid while the job has no share
+	share     *processorShare // nil: the job does not run
+	index     int             // position in the heap of the job's share
 }
 
 // Total returns the work of the job at this engine in ms: less than Work on a warm data set,
@@ -38,10 +38,10 @@
 type state int
 
 const (
-	fresh state = iota
-	waiting
+	notOffered state = iota // Start has not been called
+	waiting                 // waits in the queue for memory
 	running
-	blocked // by a load on its data set; the job keeps its memory
+	blocked // waits for a load on its data set; the job keeps its memory
 	ended
 )
 
@@ -50,7 +50,7 @@
 
 // The results of Start.
 const (
-	Accepted   StartResult = iota // it runs, or waits in the queue
+	Accepted   StartResult = iota // the query runs, or waits in the queue
 	Rejected                      // the engine holds as many queries as it has sessions; the query never ran
 	Overloaded                    // the engine failed of overload; all its queries are lost
 )
@@ -58,5 +58,5 @@
 // End is a job that ended, and how.
 type End struct {
 	Job     *Job
-	Expired bool // its time ran out in the queue; it never ran
+	Expired bool // whether the job expired in the queue and never ran
 }
--- a/internal/emulator/engine/report.go
+++ b/internal/emulator/engine/report.go
@@ -9,7 +9,7 @@
 	Report
 }
 
-// currentReport returns a report on the present state.
+// currentReport returns a report on the engine's present state.
 func (e *Engine) currentReport() Report {
 	return Report{InFlight: float64(len(e.jobs)), Queue: float64(len(e.queue)), Util: e.coresInUse / e.config.Cores,
 		Memory: float64(e.grantedMB) / float64(e.config.MemoryMB), Disk: e.disksInUse / e.config.Disks}
@@ -37,7 +37,7 @@
 	return e.published
 }
 
-// SetReportDelay sets the delay that is added to ReportDelayMS. Published reports stay published.
+// SetReportDelay sets the delay that is added to ReportDelayMS. Reports that are already published stay published.
 func (e *Engine) SetReportDelay(now, ms float64) {
 	e.passTime(now)
 	e.publishReport(now)
@@ -46,9 +46,9 @@
 
 // Progress is the progress of a query that the engine holds.
 type Progress struct {
-	Ratio      float64 // part of its work that is done
-	MissingMB  int64   // need beyond its grant; the query spills
-	WaitReason int     // 0: it runs, 1: it waits for memory, 2: it waits for a load
+	Ratio      float64 // part of the query's work that is done
+	MissingMB  int64   // memory need beyond the grant; the query spills if it is above 0
+	WaitReason int     // 0: the query runs, 1: it waits for memory, 2: it waits for a load on its data set
 }
 
 // Progress returns the progress of a query, and false if the engine does not hold it.
--- a/internal/emulator/engine/share.go
+++ b/internal/emulator/engine/share.go
@@ -20,7 +20,7 @@
 	cores := e.config.Cores * (1 - e.neighbourRatio) * e.Warmth(e.now) * thrashFactor(float64(threads)/e.config.Cores, e.config.SaturationThreads, e.config.ThrashRatio)
 	disks := e.config.Disks * (1 - e.neighbourRatio) * e.Warmth(e.now) * seekFactor(disk/e.config.Disks, e.config.SeekPenalty)
 	level := min(e.fillLevel(cores, false, 0), e.fillLevel(disks, true, 0))
-	coreLevel := level // of threads that use no disk
+	coreLevel := level // level of the threads that use no disk
 	if e.fillLevel(disks, true, 0) < e.fillLevel(cores, false, 0) {
 		coreLevel = e.fillLevel(cores, false, level)
 	}
@@ -41,7 +41,7 @@
 }
 
 // pagingSlowdown returns the factor by which memory overcommitment slows all queries: the
-// PagingPenalty at twice the engine's memory, its square at four times.
+// PagingPenalty if queries use twice the engine's memory, the square of it at four times.
 func (e *Engine) pagingSlowdown() float64 {
 	if !e.config.Overcommit || e.usedMB <= e.config.MemoryMB {
 		return 1
@@ -53,7 +53,7 @@
 // if they never are. With fixed above 0, shares that use disks stay at that level and only the
 // others rise.
 func (e *Engine) fillLevel(capacity float64, disks bool, fixed float64) float64 {
-	var rising [4]float64
+	var risingUse [4]float64 // use of the shares that rise, by priority
 	for i := range e.shares {
 		s := &e.shares[i]
 		use := s.cpu
@@ -63,23 +63,23 @@
 		if fixed > 0 && s.usesDisks {
 			capacity -= use * min(1, fixed*s.weight)
 		} else {
-			rising[i%4] += use
+			risingUse[i%4] += use
 		}
 	}
 	// With a rising level, the threads of the highest weight are the first to run at full speed.
 	var slope float64
-	for p := range rising {
-		slope += rising[p] * weights[p]
+	for p := range risingUse {
+		slope += risingUse[p] * weights[p]
 	}
 	for p := 3; p >= 0; p-- {
-		if rising[p] == 0 {
+		if risingUse[p] == 0 {
 			continue
 		}
 		if fullAt := capacity / slope; fullAt <= 1/weights[p] {
 			return max(fullAt, 0)
 		}
-		capacity -= rising[p]
-		if slope -= rising[p] * weights[p]; slope <= 1e-12 {
+		capacity -= risingUse[p]
+		if slope -= risingUse[p] * weights[p]; slope <= 1e-12 {
 			break
 		}
 	}
@@ -124,8 +124,8 @@
 	for _, a := range e.recentArrivals {
 		sum += a.weight
 	}
-	mid := e.Warmth(max(now-e.config.OverloadMS/2, e.startedAt))
-	capacity := e.config.Cores * e.config.OverloadRatio * mid * e.config.OverloadMS
+	meanWarmth := e.Warmth(max(now-e.config.OverloadMS/2, e.startedAt))
+	capacity := e.config.Cores * e.config.OverloadRatio * meanWarmth * e.config.OverloadMS
 	return sum > e.config.OverloadMultiple*overloadSlack*capacity
 }
 
--- a/internal/emulator/live/addresses_test.go
+++ b/internal/emulator/live/addresses_test.go
@@ -59,7 +59,7 @@
 				}
 				mu.Unlock()
 				once.Do(listening.Done)
-				listening.Wait() // until all rehearsals listen
+				listening.Wait() // keeps the addresses in use until all rehearsals listen
 			}
 			_, err := Run(context.Background(), s, Options{Seed: uint64(rehearsal), Coordinator: program, Control: control})
 			if err != nil {
--- a/internal/emulator/live/client.go
+++ b/internal/emulator/live/client.go
@@ -11,12 +11,12 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// client sends one query, and sends it again as long as it retries.
+// client sends one query: the first try and the retries.
 type client struct {
 	rehearsal *Rehearsal
 	query     scenario.Query
 	state     observer.ClientQuery
-	tries     int
+	tries     int // number of tries so far
 }
 
 // try sends the query once. Engines can look the request up by its ID until requestRetentionMS after its end.
@@ -41,7 +41,7 @@
 	class := d.scenario.Classes[cl.query.Class]
 	cancel, err := d.clientPools[coordinator].send(class.Name, cl.params(t.id, until), t.answered)
 	if err != nil {
-		d.sharedObserver.with(func(o *observer.Observer) { o.ClientDisconnected(now, coordinator, t.request.observed) }) // not sent
+		d.sharedObserver.with(func(o *observer.Observer) { o.ClientDisconnected(now, coordinator, t.request.observed) }) // the request was not sent
 		t.finish(observer.Lost, 0)
 		return
 	}
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("%016x", uint64(cl.query.Number)<<8|uint64(cl.tries))
 }
 
-// params returns the parameters of a JSON-RPC request; its ttl is the time until the deadline, in ms.
+// params returns the parameters of a JSON-RPC request; the parameter ttl is the time until the deadline, in ms.
 func (cl *client) params(id string, until float64) map[string]any {
 	d := cl.rehearsal
 	class := d.scenario.Classes[cl.query.Class]
@@ -95,7 +95,8 @@
 	}
 }
 
-// try is one request of a client. Its first end counts: an answer, the loss of its connection or its timeout.
+// try is one request of a client. Only the first of its possible ends counts: an answer, the loss of
+// its connection or its timeout.
 type try struct {
 	client  *client
 	id      string
@@ -106,7 +107,7 @@
 // rejectedCode is the JSON-RPC error code of a request that was rejected and may be retried.
 const rejectedCode = -32000
 
-// answered handles the answer. Nil means that the connection ended without one.
+// answered handles the answer to the try, or nil if the connection ended without an answer.
 func (t *try) answered(a *answer, arrivedAt time.Time) {
 	d := t.client.rehearsal
 	if a == nil {
@@ -130,7 +131,8 @@
 	return observer.Failed, 0
 }
 
-// finish ends the try. The request stays registered for requestRetentionMS, as late messages may still reach an engine.
+// finish ends the try with its result. The request stays registered for requestRetentionMS, because late messages may still
+// reach an engine.
 func (t *try) finish(result observer.TryResult, retryAfterMS float64) {
 	d := t.client.rehearsal
 	t.once.Do(func() {
@@ -156,8 +158,8 @@
 }
 
 const (
-	socketSlackMS      = 50.0   // added to every time limit of the protocol on real sockets
-	requestRetentionMS = 5000.0 // how long engines can look up a request after its end
+	socketSlackMS      = 50.0   // allowance for real sockets, added to every time limit of the protocol
+	requestRetentionMS = 5000.0 // time for which engines can look up a request after its end
 )
 
 func (d *Rehearsal) requestAnswered(at float64, r *clientRequest, result observer.TryResult) {
@@ -174,29 +176,29 @@
 // the coordinator's close: the protocol allows 50 ms, to which socketSlackMS is added. The client sends such a request again.
 const closeCrossingWindowMS = 50.0 + socketSlackMS
 
-// connectionLost handles a connection that ended without an answer. That is a violation, unless the coordinator was killed, or
-// the request crossed the close, where Options.Unanswered decides.
+// connectionLost handles a connection that ended without an answer. That is a violation, unless the coordinator was killed.
+// If the request may have crossed the close, Options.Unanswered decides.
 func (d *Rehearsal) connectionLost(at float64, t *try) {
 	r := t.request
-	killed := at <= d.lossExcusedUntil(r.coordinator)
-	crossed := d.options.Unanswered != nil && at-r.sentAt <= closeCrossingWindowMS
-	if crossed && !killed {
+	wasKilled := at <= d.lossExcusedUntil(r.coordinator)
+	mayHaveCrossed := d.options.Unanswered != nil && at-r.sentAt <= closeCrossingWindowMS
+	if mayHaveCrossed && !wasKilled {
 		d.options.Unanswered(r.coordinator, t.id)
 	}
 	d.sharedObserver.with(func(o *observer.Observer) {
 		o.ClientDisconnected(at, r.coordinator, r.observed)
-		if !killed && !crossed {
+		if !wasKilled && !mayHaveCrossed {
 			o.Violate(observer.RuleOneAnswer, at, "%s: its connection ended without an answer, %.1f ms after it was sent", r.observed.Name, at-r.sentAt)
 		}
 	})
 }
 
-// end ends a try: the client is served, retries as its habit says, or gives up.
+// end handles the result of a try: the client is served, retries as its habit says, or gives up.
 func (cl *client) end(result observer.TryResult, retryAfterMS float64) {
 	d, now := cl.rehearsal, cl.rehearsal.clock.Now()
-	wait, again := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
-	d.sharedObserver.with(func(o *observer.Observer) { o.TryEnded(now, &cl.state, result, !again) })
-	if !again {
+	wait, willRetry := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
+	d.sharedObserver.with(func(o *observer.Observer) { o.TryEnded(now, &cl.state, result, !willRetry) })
+	if !willRetry {
 		d.activeClients.Done()
 		return
 	}
--- a/internal/emulator/live/client_pool.go
+++ b/internal/emulator/live/client_pool.go
@@ -19,24 +19,26 @@
 // closes.
 type clientPool struct {
 	addr        string
-	fixed       bool       // opens no further connection
+	isFixed     bool       // whether the pool opens no further connections
 	mu          sync.Mutex // guards connections and their fields
 	connections []*clientConnection
 	readers     sync.WaitGroup
 }
 
+// clientConnection is one open connection of a pool, with the handlers of its requests.
 type clientConnection struct {
 	*receivetime.Conn
-	pool      *clientPool
-	lastID    int
-	pending   map[int]answerHandler // by request ID
-	cancelled map[int]answerHandler // by request ID; the answer may have been sent before the cancellation arrived
-	closed    bool
+	pool              *clientPool
+	lastID            int
+	pendingHandlers   map[int]answerHandler // handlers of unanswered requests, by request ID
+	cancelledHandlers map[int]answerHandler // handlers of cancelled requests, which may be answered before the cancellation arrives, by request ID
+	closed            bool
 }
 
 // answerHandler is called with an answer and its arrival time, or with nil when the connection ends without an answer.
 type answerHandler func(a *answer, arrivedAt time.Time)
 
+// answer is a JSON-RPC response of a coordinator: a result or an error.
 type answer struct {
 	ID     int `json:"id"`
 	Result *struct {
@@ -50,7 +52,7 @@
 	} `json:"error"`
 }
 
-// errNoConnection is returned when all connections of a fixed pool are closed or at their limit of open requests.
+// errNoConnection is returned when all connections of a pool with isFixed set are closed or at their limit of open requests.
 var errNoConnection = errors.New("no open connection to the coordinator")
 
 // close closes the connections.
@@ -65,11 +67,11 @@
 // connection returns a connection below its limit of open requests, and opens one if there is none. The caller holds mu.
 func (p *clientPool) connection() (*clientConnection, error) {
 	for _, c := range p.connections {
-		if len(c.pending) < maxRequestsPerConnection {
+		if len(c.pendingHandlers) < maxRequestsPerConnection {
 			return c, nil
 		}
 	}
-	if p.fixed {
+	if p.isFixed {
 		return nil, errNoConnection
 	}
 	raw, err := net.DialTimeout("tcp", p.addr, 2*time.Second)
@@ -80,7 +82,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("connection to the coordinator: %w", err)
 	}
-	c := &clientConnection{Conn: timed, pool: p, pending: map[int]answerHandler{}, cancelled: map[int]answerHandler{}}
+	c := &clientConnection{Conn: timed, pool: p, pendingHandlers: map[int]answerHandler{}, cancelledHandlers: map[int]answerHandler{}}
 	p.connections = append(p.connections, c)
 	p.readers.Go(c.read)
 	return c, nil
@@ -92,7 +94,7 @@
 	return p.sendInPieces(method, params, 0, done)
 }
 
-// sendInPieces does what send does, with a pause of gap in the middle of the message; 0: no pause.
+// sendInPieces sends a request like send, but pauses for the duration gap in the middle of the message; 0: no pause.
 func (p *clientPool) sendInPieces(method string, params map[string]any, gap time.Duration, done answerHandler) (cancel func(), err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.pending[id] = done
+	c.pendingHandlers[id] = done
 	line = append(line, '\n')
 	if gap > 0 {
 		half := len(line) / 2
@@ -115,16 +117,16 @@
 		time.Sleep(gap)
 	}
 	if _, err := c.Write(line); err != nil {
-		delete(c.pending, id)
+		delete(c.pendingHandlers, id)
 		_ = c.Close()
 		return nil, fmt.Errorf("send to the coordinator: %w", err)
 	}
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if c.pending[id] != nil && !c.closed {
-			delete(c.pending, id)
-			c.cancelled[id] = done
+		if c.pendingHandlers[id] != nil && !c.closed {
+			delete(c.pendingHandlers, id)
+			c.cancelledHandlers[id] = done
 			_, _ = fmt.Fprintf(c, "{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{\"id\":%d}}\n", id)
 		}
 	}, nil
@@ -148,8 +150,8 @@
 	_ = c.Close()
 	c.pool.mu.Lock()
 	c.closed = true
-	unanswered := c.pending
-	c.pending = map[int]answerHandler{}
+	unansweredHandlers := c.pendingHandlers
+	c.pendingHandlers = map[int]answerHandler{}
 	for i, other := range c.pool.connections {
 		if other == c {
 			c.pool.connections = append(c.pool.connections[:i:i], c.pool.connections[i+1:]...)
@@ -157,7 +159,7 @@
 		}
 	}
 	c.pool.mu.Unlock()
-	for _, done := range unanswered {
+	for _, done := range unansweredHandlers {
 		done(nil, time.Time{})
 	}
 }
@@ -166,11 +168,11 @@
 func (c *clientConnection) takeHandler(id int) answerHandler {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	done := c.pending[id]
+	done := c.pendingHandlers[id]
 	if done == nil {
-		done = c.cancelled[id]
+		done = c.cancelledHandlers[id]
 	}
-	delete(c.pending, id)
-	delete(c.cancelled, id)
+	delete(c.pendingHandlers, id)
+	delete(c.cancelledHandlers, id)
 	return done
 }
--- a/internal/emulator/live/controller.go
+++ b/internal/emulator/live/controller.go
@@ -26,13 +26,14 @@
 	})
 }
 
-// Running reports whether a coordinator has been started and not been ended since.
+// Running reports whether a coordinator has been started, and its end has not been requested since.
 func (r *Controller) Running(n int) bool { return !r.rehearsal.isDown(r.rehearsal.coordinators[n]) }
 
 // Kill ends a coordinator with SIGKILL.
 func (r *Controller) Kill(n int) { r.rehearsal.killCoordinator(n) }
 
-// frontProxyDrainDelay is how long after a coordinator's SIGTERM the protocol lets the front proxy open connections to it.
+// frontProxyDrainDelay is the time for which, after a coordinator's SIGTERM, the protocol lets the front proxy open connections to
+// the coordinator.
 const frontProxyDrainDelay = 300 * time.Millisecond
 
 // Terminate shuts a coordinator down gracefully, and waits until it has ended.
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// Reload sends SIGHUP, on which a coordinator reads its files again.
+// Reload sends SIGHUP to a coordinator, which then reads its configuration files again.
 func (r *Controller) Reload(n int) { r.signal(n, syscall.SIGHUP) }
 
 // Pause stops a coordinator's process with SIGSTOP until Resume.
@@ -80,12 +81,12 @@
 	}
 }
 
-// Resume continues a paused coordinator.
+// Resume continues a paused coordinator with SIGCONT.
 func (r *Controller) Resume(n int) {
 	if r.signal(n, syscall.SIGCONT) {
 		r.rehearsal.note("coordinator %d is resumed with SIGCONT", n)
 		r.setPaused(n, false)
-		// It may have been shut down or killed before the proxy detects that it is alive again.
+		// The coordinator may have been shut down or killed before the proxy detects that it is alive again.
 		r.rehearsal.afterDetection(func() { r.rehearsal.frontProxy.SetAlive(n, !r.rehearsal.isDown(r.rehearsal.coordinators[n])) })
 	}
 }
@@ -97,10 +98,10 @@
 	r.rehearsal.sharedObserver.with(func(o *observer.Observer) { o.CoordinatorPaused(n) })
 }
 
-// signal reports whether a running coordinator got the signal.
+// signal sends a signal to a coordinator and reports whether the coordinator was running and got the signal.
 func (r *Controller) signal(n int, sig syscall.Signal) bool {
 	r.rehearsal.mu.Lock()
 	defer r.rehearsal.mu.Unlock()
 	p := r.rehearsal.coordinators[n]
-	return !p.down && p.cmd != nil && p.cmd.Process.Signal(sig) == nil
+	return !p.endRequested && p.cmd != nil && p.cmd.Process.Signal(sig) == nil
 }
--- a/internal/emulator/live/coordinators.go
+++ b/internal/emulator/live/coordinators.go
@@ -17,15 +17,15 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// coordinator is one coordinator process. The rehearsal's mu guards cmd, ended and down.
+// coordinator is one coordinator process. The rehearsal's mu guards cmd, ended and endRequested.
 type coordinator struct {
-	index    int
-	listen   string
-	cmd      *exec.Cmd
-	ended    chan struct{} // closed when the process has exited
-	down     bool          // its end was requested
-	starts   int           // so far
-	seedRand *rand.Rand    // draws the seed of each start
+	index        int
+	listen       string // address on which the coordinator listens for clients
+	cmd          *exec.Cmd
+	ended        chan struct{} // closed when the process has exited
+	endRequested bool          // whether the rehearsal has requested the end of the process
+	starts       int           // number of starts so far
+	seedRand     *rand.Rand    // draws the seed of each start
 }
 
 // Limits of a coordinator. The platform sets those on memory and sockets.
@@ -96,7 +96,7 @@
 		return fmt.Errorf("path of the coordinator's program: %w", err)
 	}
 	cmd := exec.Command(program)
-	cmd.Dir = d.directory // holds no operators' files
+	cmd.Dir = d.directory // the rehearsal's directory holds no operators' files
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_LISTEN="+p.listen, fmt.Sprintf("LB_NAME=n%d", p.index))
 	cmd.Stdout, cmd.Stderr = d.options.Log, d.options.Log
 	if d.options.Environment != nil {
@@ -107,14 +107,14 @@
 		return fmt.Errorf("start a coordinator: %w; set the path of its program with --coordinator", err)
 	}
 	d.mu.Lock()
-	p.cmd, p.ended, p.down = cmd, make(chan struct{}), false
+	p.cmd, p.ended, p.endRequested = cmd, make(chan struct{}), false
 	d.mu.Unlock()
 	go func(p *coordinator, ended chan struct{}) {
 		_ = cmd.Wait()
 		close(ended)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if !p.down && p.cmd == cmd {
+		if !p.endRequested && p.cmd == cmd {
 			d.sharedObserver.with(func(o *observer.Observer) {
 				o.Violate(observer.RuleOneAnswer, d.clock.Now(), "coordinator %d exited unexpectedly", p.index)
 			})
@@ -133,7 +133,7 @@
 	entries, _, _ := d.discovery.entriesAfter(0)
 	for _, e := range entries {
 		for _, s := range e.Hosts.Servers {
-			d.discovery.notified(n, s)
+			d.discovery.onNotified(n, s)
 		}
 	}
 	journal := d.discovery.addrs[n]
@@ -192,11 +192,12 @@
 	return fmt.Errorf("coordinator %d did not pass its health check within %v; see its log", p.index, startTimeout)
 }
 
-// stopCoordinator sends a signal, and SIGKILL if the process still runs 10 s later.
+// stopCoordinator sends a coordinator a signal, and SIGKILL if the process still runs 10 s later. It waits for the end of the
+// process.
 func (d *Rehearsal) stopCoordinator(p *coordinator, sig syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := p.cmd, p.ended
-	p.down = true
+	p.endRequested = true
 	d.mu.Unlock()
 	if cmd == nil {
 		return
@@ -221,7 +222,7 @@
 	return -1
 }
 
-// killGraceMS is how long after the kill of a coordinator the end of its connections may be noticed.
+// killGraceMS is the time after the kill of a coordinator within which a lost connection counts as an effect of the kill.
 const killGraceMS = 1000.0
 
 func (d *Rehearsal) killCoordinator(n int) {
@@ -240,10 +241,11 @@
 func (d *Rehearsal) isDown(p *coordinator) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return p.down
+	return p.endRequested
 }
 
-// afterDetection calls f, which changes the front proxy's view, after the proxy's detection delay.
+// afterDetection calls f, which changes which coordinators the front proxy believes to be alive, after the proxy's detection
+// delay.
 func (d *Rehearsal) afterDetection(f func()) {
 	d.frontProxyMu.Lock()
 	delay := d.frontProxy.DetectionDelay()
--- a/internal/emulator/live/discovery.go
+++ b/internal/emulator/live/discovery.go
@@ -4,7 +4,8 @@
 	"aniseloft/decide"
 )
 
-// endpointChanged publishes a state of an engine after its detection and propagation delays, or later if discovery is down.
+// endpointChanged publishes the new state of an engine after the detection and propagation delays of the scenario, or later if
+// the journal service is unavailable then.
 func (d *Rehearsal) endpointChanged(e *Engine, state decide.EndpointState, unresponsive bool) {
 	d.mu.Lock()
 	detectionMS := d.scenario.Discovery.DetectionMS
@@ -15,10 +16,10 @@
 	d.mu.Unlock()
 	publish := func() {
 		e.mu.Lock()
-		stale := unresponsive && !e.unresponsive // the engine answered again before its removal was detected
+		isStale := unresponsive && !e.unresponsive // the engine answered again before its removal was detected
 		entry := d.listEntry(e, state)
 		e.mu.Unlock()
-		if !stale {
+		if !isStale {
 			d.discovery.publish(false, entry)
 		}
 	}
@@ -33,9 +34,9 @@
 	})
 }
 
-// publishPending publishes the changes that were delayed while discovery was down, if it is up again.
-func (d *Rehearsal) publishPending(up bool) {
-	if !up {
+// publishPending publishes the changes that were delayed while the journal service was unavailable, if it is available again.
+func (d *Rehearsal) publishPending(available bool) {
+	if !available {
 		return
 	}
 	d.mu.Lock()
--- a/internal/emulator/live/discovery_service.go
+++ b/internal/emulator/live/discovery_service.go
@@ -20,7 +20,7 @@
 
 func endpointID(id uint32) decide.EndpointID { return decide.EndpointID(id) }
 
-// entry is one watch event of the journal service, as it encodes it.
+// entry is one watch event of the journal service, in the form of its answers.
 type entry struct {
 	Pos   int `json:"pos"`
 	Hosts struct {
@@ -30,7 +30,7 @@
 	} `json:"hosts"`
 }
 
-// server is an engine in the endpoint list.
+// server is an engine's entry in the endpoint list.
 type server struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -49,19 +49,19 @@
 // discoveryService is the journal service that lists the engines. It listens on one address per coordinator, so that it can tell
 // which coordinator it notifies.
 type discoveryService struct {
-	mu             sync.Mutex // guards entries, changed and down
+	mu             sync.Mutex // guards entries, changed and isDown
 	entries        []entry
-	changed        chan struct{} // closed at each change, then replaced
-	down           bool
-	notified       func(coord int, s server)                             // called for each entry that a coordinator receives
+	changed        chan struct{}                                         // closed at each change, then replaced
+	isDown         bool                                                  // whether the service is unavailable: it closes connections without an answer
+	onNotified     func(coord int, s server)                             // called for each entry that a coordinator receives
 	serviceAddress func(coord int, service, addr string) (string, error) // see Options.ServiceAddress
 	notifyAll      bool                                                  // all coordinators count as notified of an entry once it is published
 	servers        []*http.Server
-	addrs          []string
+	addrs          []string // address for each coordinator, by index
 }
 
 func newDiscoveryService(coordinators int, notify func(coord int, s server)) (*discoveryService, error) {
-	j := &discoveryService{changed: make(chan struct{}), notified: notify}
+	j := &discoveryService{changed: make(chan struct{}), onNotified: notify}
 	for coord := range coordinators {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -92,7 +92,7 @@
 	if j.notifyAll {
 		for coord := range j.addrs {
 			for _, s := range servers {
-				j.notified(coord, s)
+				j.onNotified(coord, s)
 			}
 		}
 	}
@@ -103,19 +103,20 @@
 func (j *discoveryService) setDown(down bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.down = down
+	j.isDown = down
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// entriesAfter returns the events after a position, a channel that is closed at the next change, and whether the service is down.
+// entriesAfter returns the events after a position, a channel that is closed at the next change, and whether the service is
+// unavailable.
 func (j *discoveryService) entriesAfter(tail int) (events []entry, wake chan struct{}, down bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.entries[min(max(tail, 0), len(j.entries)):], j.changed, j.down
+	return j.entries[min(max(tail, 0), len(j.entries)):], j.changed, j.isDown
 }
 
-// serve answers a poll for events after a position, at the latest after max_wait, which counts as 5 s at most.
+// serve answers a poll for events after a position. If there are none, it waits for max_wait ms, but for 5 s at most.
 func (j *discoveryService) serve(coord int, w http.ResponseWriter, r *http.Request) {
 	tail, err1 := strconv.Atoi(r.URL.Query().Get("tail"))
 	wait, err2 := strconv.Atoi(r.URL.Query().Get("max_wait"))
@@ -162,7 +163,7 @@
 	return out
 }
 
-// write answers a poll, and counts its coordinator as notified.
+// write answers a poll with events, and counts the coordinator that sent the poll as notified of them.
 func (j *discoveryService) write(coord int, w http.ResponseWriter, events []entry) {
 	j.mu.Lock()
 	pos := len(j.entries)
@@ -178,7 +179,7 @@
 	_, _ = w.Write(b)
 	for _, e := range events {
 		for _, s := range e.Hosts.Servers {
-			j.notified(coord, s)
+			j.onNotified(coord, s)
 		}
 	}
 }
--- a/internal/emulator/live/engine.go
+++ b/internal/emulator/live/engine.go
@@ -25,11 +25,11 @@
 	clock            Clock
 	sharedObserver   *sharedObserver
 	index            int
-	host             string // where it listens
+	host             string // host on which the engine listens
 	zone             int
 	endpoint         uint32
 	addr             string
-	build            engine.Config
+	config           engine.Config
 	meanWork         func(class int) float64
 	server           *http.Server
 	mu               sync.Mutex
@@ -40,16 +40,16 @@
 	lastJobID        uint64
 	running          bool
 	draining         bool
-	removed          bool
+	removed          bool // the engine does not start again
 	stalled          bool
 	unresponsive     bool
-	startedAt        float64 // 0: it was warm when the rehearsal began
+	startedAt        float64 // start of the warm-up of the current process; 0: the engine was warm when the rehearsal began
 	timer            *time.Timer
-	endedWork        engine.WorkTotals // of earlier processes
-	drawError        func() bool
+	endedWork        engine.WorkTotals                              // work totals of earlier processes
+	drawError        func() bool                                    // draws whether a completed query fails
 	drawPlanMultiple func(class int) float64                        // draws the factor by which an attempt multiplies its work
 	neighbourRatio   float64                                        // part of the cores and disks that another program uses
-	reportDelayMS    float64                                        // added to the delay of load reports
+	reportDelayMS    float64                                        // additional delay of load reports
 	receivedAt       func(local, remote net.Addr) (time.Time, bool) // see Options.ReceivedAt
 }
 
@@ -58,20 +58,20 @@
 	job        *engine.Job
 	request    *clientRequest
 	ended      chan struct{} // closed once status is set
-	status     int           // HTTP status of its end; 0: the process ended
-	polledAt   float64
-	reported   bool    // the observer knows its end
-	progressAt float64 // when the latest progress report was due
-	// Progress reports sent so far: of its completed ratio, and of its missing memory.
+	status     int           // HTTP status with which the query ended; 0: the process ended
+	polledAt   float64       // time of the latest poll of the coordinator
+	reported   bool          // the observer has been notified of the query's end
+	progressAt float64       // time at which the latest progress report was due
+	// Numbers of progress reports sent so far: of the query's completed ratio, and of its missing memory.
 	ratioReports, spillReports int
 }
 
 const (
-	longPollTimeout = 250 * time.Millisecond // for the end of a query
+	longPollTimeout = 250 * time.Millisecond // maximum wait for the end of a query before an answer with status 202
 	resultRows      = "a\tb\tc\n"
 )
 
-// listen listens on the engine's address, which it keeps for later processes.
+// listen listens on the engine's address, which is chosen at the first call and kept for later processes of the engine.
 func (e *Engine) listen() error {
 	address := e.addr
 	if address == "" {
@@ -130,23 +130,23 @@
 	return e.clock.FromWallTime(c.MessageBegan())
 }
 
-// startProcess starts a new process. It warms up from the time started on; a negative one makes it warm.
-func (e *Engine) startProcess(started, fleetSlowdown float64) error {
+// startProcess starts a new process, which warms up from warmUpStart on. If warmUpStart is negative, the process is warm.
+func (e *Engine) startProcess(warmUpStart, fleetSlowdown float64) error {
 	if err := e.listen(); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.model = engine.New(e.build, e.clock.Now(), started)
+	e.model = engine.New(e.config, e.clock.Now(), warmUpStart)
 	e.model.SetSlowdown(e.clock.Now(), fleetSlowdown*max(e.slowdown, 1))
 	e.model.SetNeighbourRatio(e.clock.Now(), e.neighbourRatio)
 	e.model.SetReportDelay(e.clock.Now(), e.reportDelayMS)
 	e.queries = map[string]*engineQuery{}
-	e.running, e.draining, e.stalled, e.unresponsive, e.startedAt = true, false, false, false, max(started, 0)
+	e.running, e.draining, e.stalled, e.unresponsive, e.startedAt = true, false, false, false, max(warmUpStart, 0)
 	return nil
 }
 
-// terminate ends the process: its connections are reset and its queries are lost.
+// terminate ends the engine's process: its connections are reset and its queries are lost.
 func (e *Engine) terminate() {
 	e.mu.Lock()
 	if !e.running {
@@ -215,7 +215,7 @@
 	}
 }
 
-// changeModel applies a fault to the model, if the engine runs.
+// changeModel calls f, which applies a fault to the model, if the engine runs.
 func (e *Engine) changeModel(f func(now float64)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/live/engine_http.go
+++ b/internal/emulator/live/engine_http.go
@@ -15,7 +15,7 @@
 	"aniseloft/internal/routing"
 )
 
-// finish ends a query with a status, unless it has ended.
+// finish ends a query with an HTTP status, unless the query has already ended.
 func (q *engineQuery) finish(status int) {
 	select {
 	case <-q.ended:
@@ -122,7 +122,7 @@
 	e.advance()
 }
 
-// headerInt returns the integer in a header, or fallback.
+// headerInt returns the integer in a header, or fallback if the header is missing or is not an integer.
 func headerInt(r *http.Request, name string, fallback int64) int64 {
 	if n, err := strconv.ParseInt(r.Header.Get(name), 10, 64); err == nil {
 		return n
@@ -153,7 +153,7 @@
 		return
 	case engine.Overloaded:
 		e.sharedObserver.with(func(o *observer.Observer) {
-			o.EngineOverloaded(now, endpointID(e.endpoint), e.model.NotifiedLoadRatio(func(from int) bool { return o.KnowsEndpoint(from, endpointID(e.endpoint)) }))
+			o.EngineOverloaded(now, endpointID(e.endpoint), e.model.NotifiedLoadRatio(func(coordinator int) bool { return o.KnowsEndpoint(coordinator, endpointID(e.endpoint)) }))
 		})
 		e.removed = true
 		go e.terminate()
@@ -203,8 +203,8 @@
 	w.Header().Set("X-Num", strconv.FormatFloat(value, 'f', 3, 64))
 }
 
-// unknownQuery returns a request that no client of the rehearsal sent, as when only engines are served. Its query needs the
-// average of its class. It is nil if there is no such class.
+// unknownQuery returns a request for a query that no client of the rehearsal sent, as when only engines are served. The query
+// has the mean work and memory of its class. The request is nil if there is no such class.
 func (e *Engine) unknownQuery(class, statement string) *clientRequest {
 	for i, candidate := range e.scenario.Classes {
 		if candidate.Name == class {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// observe calls f with the observer if a client of the rehearsal sent the request.
+// observe calls f with the observer, but only if a client of the rehearsal sent the request.
 func (e *Engine) observe(request *clientRequest, f func(o *observer.Observer)) {
 	if request.observed != nil {
 		e.sharedObserver.with(f)
@@ -232,7 +232,7 @@
 	})
 }
 
-// rejectOverloaded answers with a status that a query never ran.
+// rejectOverloaded answers with an HTTP status and the header that says that the query never ran.
 func (e *Engine) rejectOverloaded(w http.ResponseWriter, request *clientRequest, status int) {
 	e.observe(request, func(o *observer.Observer) {
 		o.AttemptEnded(e.clock.Now(), request.coordinator, request.observed, decide.OutcomeOverloaded)
--- a/internal/emulator/live/events.go
+++ b/internal/emulator/live/events.go
@@ -13,7 +13,7 @@
 	d.sharedObserver.with(func(o *observer.Observer) { o.Note(d.clock.Now(), format, args...) })
 }
 
-// handleEvent applies an event of the timeline: the start, a change or the end of a fault.
+// handleEvent applies an event of the scenario's timeline: the start, a change or the end of a fault.
 func (d *Rehearsal) handleEvent(ctx context.Context, event scenario.Event) {
 	switch event.Kind {
 	case scenario.EventSlowFleet:
@@ -22,13 +22,13 @@
 		d.setReportDelay(event.Value)
 	case scenario.EventDiscoveryDown:
 		d.discovery.setDown(event.Value > 0)
-		d.note("journal service unreachable: %t", event.Value > 0)
+		d.note("journal service unavailable: %t", event.Value > 0)
 		d.publishPending(event.Value == 0)
 	case scenario.EventDiscoveryDelay:
 		d.mu.Lock()
 		d.discoveryDelayMS = event.Value
 		d.mu.Unlock()
-		d.note("watch events delayed by a further %.0f ms", event.Value)
+		d.note("additional detection delay of the journal service: %.0f ms", event.Value)
 	case scenario.EventCoordinatorCrash:
 		d.killCoordinator(event.Coordinator)
 	case scenario.EventCoordinatorStart:
@@ -96,7 +96,7 @@
 		e.mu.Unlock()
 		e.changeModel(func(now float64) { e.model.SetReportDelay(now, delayMS) })
 	}
-	d.note("load reports delayed by a further %.0f ms", delayMS)
+	d.note("additional delay of load reports: %.0f ms", delayMS)
 }
 
 func (d *Rehearsal) startEngine(e *Engine) {
@@ -121,18 +121,18 @@
 	d.endpointChanged(e, decide.EndpointDraining, false)
 }
 
-// endEngine ends an engine's process. Unless it ends for good, it may be started again.
+// endEngine ends an engine's process. If forGood is set, the engine does not start again.
 func (d *Rehearsal) endEngine(e *Engine, forGood bool) {
 	if !e.isRunning() {
 		return
 	}
 	e.removed = e.removed || forGood
 	e.terminate()
-	d.note("engine %d: its process ended", e.index)
+	d.note("engine %d: process ended", e.index)
 	d.endpointChanged(e, decide.EndpointRemoved, false)
 }
 
-// setUnresponsive stops an engine from answering, or lets it answer again. Its process keeps running.
+// setUnresponsive stops an engine from answering, or lets it answer again. The engine's process keeps running.
 func (d *Rehearsal) setUnresponsive(e *Engine, unresponsive bool) {
 	e.changeModel(func(float64) { e.unresponsive = unresponsive })
 	d.note("engine %d unresponsive: %t", e.index, unresponsive)
@@ -143,7 +143,7 @@
 	}
 }
 
-// restartCoordinator starts a coordinator, unless it runs because the end of another fault has started it.
+// restartCoordinator starts a coordinator that a fault has ended, unless the end of another fault has already started it.
 func (d *Rehearsal) restartCoordinator(ctx context.Context, index int) {
 	if len(d.coordinators) == 0 {
 		return
--- a/internal/emulator/live/judge.go
+++ b/internal/emulator/live/judge.go
@@ -12,7 +12,7 @@
 type sharedObserver struct {
 	mu       sync.Mutex // guards the fields below
 	inner    *observer.Observer
-	requests map[string]*clientRequest // by request ID
+	requests map[string]*clientRequest // requests that engines can look up, by request ID
 }
 
 // clientRequest is one try of a client's query: a request to one coordinator, which engines look up by its ID.
@@ -20,9 +20,9 @@
 	observed    *observer.Request
 	query       scenario.Query
 	coordinator int
-	sentAt      float64 // when its client sent it
+	sentAt      float64 // time at which the client sent the request
 	doneWork    float64 // work of the execution that succeeded
-	served      bool
+	served      bool    // whether the client got a successful answer
 }
 
 // with calls f with the observer while it holds the lock.
@@ -32,7 +32,7 @@
 	f(s.inner)
 }
 
-// findRequest returns the findRequest with an ID, or nil.
+// findRequest returns the request with the given ID that clients have sent, or nil.
 func (s *sharedObserver) findRequest(id string) *clientRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/live/persistent_client.go
+++ b/internal/emulator/live/persistent_client.go
@@ -16,16 +16,16 @@
 	rehearsal   *Rehearsal
 	coordinator int
 	rand        *rand.Rand
-	pools       []*clientPool // one connection each
+	pools       []*clientPool // pools of one connection each
 	requests    sync.WaitGroup
 	unanswered  func(requestID string) // called for a request whose connection ended before its answer
 }
 
 const (
 	persistentConnections = 4
-	persistentInterval    = 10 * time.Millisecond // between two calls of act
-	pipelinedRequests     = 3
-	pieceGap              = 20 * time.Millisecond // between the two pieces of a message
+	persistentInterval    = 10 * time.Millisecond // interval between two calls of act
+	pipelinedRequests     = 3                     // number of requests that are sent without waiting for answers
+	pieceGap              = 20 * time.Millisecond // pause between the two pieces of a message
 )
 
 // queryShape is the class and work of a persistent client's query.
@@ -34,15 +34,16 @@
 	workMS float64
 }
 
-// A look-up, and a report that takes longer than any shutdown.
+// The queries of persistent clients: a look-up, and a report that takes longer than any shutdown.
 var (
 	shortQuery = queryShape{class: 0, workMS: 5}
 	longQuery  = queryShape{class: 1, workMS: 60000}
 )
 
-// firstPersistentNumber is above the numbers of all queries of a scenario.
+// firstPersistentNumber is the lowest number of a persistent client's query. It is above the numbers of all queries of a scenario.
 const firstPersistentNumber = 1 << 40
 
+// lastPersistentNumber counts the queries of all persistent clients.
 var lastPersistentNumber atomic.Int64
 
 // newPersistentClient returns a client with up to persistentConnections open connections, without those that failed to open.
@@ -54,7 +55,7 @@
 		_, err := pool.connection()
 		pool.mu.Unlock()
 		if err == nil {
-			pool.fixed = true
+			pool.isFixed = true
 			c.pools = append(c.pools, pool)
 		}
 	}
@@ -84,7 +85,7 @@
 	}
 }
 
-// act sends one or more requests in a randomly chosen pattern. On a closed connection it does nothing.
+// act sends one or more requests in a randomly chosen pattern. If the connection is closed, nothing is sent.
 func (c *persistentClient) act(pool *clientPool) {
 	switch c.rand.IntN(8) {
 	case 0:
@@ -102,7 +103,8 @@
 	}
 }
 
-// request sends a query, in two pieces if gap is not 0, and returns the function that cancels it; nil: it was not sent.
+// request sends a query, in two pieces if gap is not 0, and returns the function that cancels the
+// request; nil: the request was not sent.
 func (c *persistentClient) request(pool *clientPool, shape queryShape, gap time.Duration) (cancelRequest func()) {
 	d := c.rehearsal
 	now := d.clock.Now()
--- a/internal/emulator/live/rehearsal.go
+++ b/internal/emulator/live/rehearsal.go
@@ -24,7 +24,7 @@
 // Options configures a rehearsal. Its functions get a coordinator's index as n or coordinator.
 type Options struct {
 	Seed        uint64
-	Coordinator string                     // path of the program; empty: serve engines only, without clients
+	Coordinator string                     // path of the coordinator's program; empty: serve engines only, without clients
 	Log         io.Writer                  // receives the output of coordinators
 	Progress    func(nowMS, endMS float64) // called every 200 ms; nil: not called
 	// Program returns the path of the program that a coordinator runs at a start, counted from 0. Nil: Coordinator.
@@ -36,10 +36,10 @@
 	// at addr. Nil: addr itself.
 	ServiceAddress func(n int, service, addr string) (string, error)
 	// ReceivedAt returns when the message that an engine now reads left its coordinator. The engine names its connection by
-	// these two addresses. False means that the connection passes no proxy. Nil: no connection does.
+	// these two addresses. False means that the connection passes no proxy. Nil: no connection passes a proxy.
 	ReceivedAt func(local, remote net.Addr) (time.Time, bool)
 	// Unanswered is called with the ID of a request that may have crossed the coordinator's close of its connection, and decides
-	// whether that is a violation. Nil: it always is.
+	// whether that is a violation. Nil: it always is a violation.
 	Unanswered func(coordinator int, requestID string)
 	// GossipAddresses returns the addresses to which a coordinator sends datagrams for its peers. Nil: peers itself.
 	GossipAddresses func(n int, peers []string) ([]string, error)
@@ -63,7 +63,7 @@
 	engineHosts      = 20
 )
 
-// warmStartTime is the start time of an engine that is warm: before the rehearsal.
+// warmStartTime is the start time of an engine that is already warm when the rehearsal begins.
 const warmStartTime = -1
 
 // Rehearsal runs a scenario on real sockets, in real time. Timers and connections call it from goroutines of their own.
@@ -80,17 +80,17 @@
 	frontProxy       *clients.FrontProxy
 	clientPools      []*clientPool
 	coordinators     []*coordinator
-	gossipAddresses  []string // where coordinators receive datagrams, by index
+	gossipAddresses  []string // addresses at which coordinators receive datagrams, by index
 	activeClients    sync.WaitGroup
 	discoveryRand    *rand.Rand
-	fleetSlowdown    float64
-	discoveryDelayMS float64
-	directory        string
+	fleetSlowdown    float64           // factor of all engines' execution times
+	discoveryDelayMS float64           // additional delay of each detection by the journal service
+	directory        string            // temporary directory with the coordinators' configuration files
 	network          *loopback.Network // holds the engines' and coordinators' addresses
 	mu               sync.Mutex        // guards fleetSlowdown, discoveryDelayMS, discoveryRand, the coordinators' processes and the fields below
-	killedAt         map[int]float64
-	paused           map[int]bool
-	pendingUpdates   []func() // watch events delayed while discovery is down
+	killedAt         map[int]float64   // time of the latest kill of each coordinator, by index
+	paused           map[int]bool      // whether a coordinator is paused, by index
+	pendingUpdates   []func()          // publications of watch events that wait until the journal service is available
 }
 
 // Run rehearses a scenario with real coordinators, or serves only its engines, until the scenario or ctx ends.
@@ -107,7 +107,7 @@
 	if d.network, err = loopback.Claim(); err != nil {
 		return nil, fmt.Errorf("addresses of the rehearsal: %w", err)
 	}
-	defer d.network.Release() // after close, which ends all listeners on its addresses
+	defer d.network.Release() // runs after close, which ends all listeners on the network's addresses
 	defer d.close()
 	if err := d.startEngines(); err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 
 // createEngines creates all engines of the timeline, without their processes.
 func (d *Rehearsal) createEngines() {
-	buildRand, idRand := des.Stream(d.options.Seed, "engines"), des.Stream(d.options.Seed, "engine ids")
+	configRand, idRand := des.Stream(d.options.Seed, "engines"), des.Stream(d.options.Seed, "engine ids")
 	errorRand, planRand := des.Stream(d.options.Seed, "errors"), des.Stream(d.options.Seed, "bad plans")
 	var randMu sync.Mutex // guards errorRand and planRand, which all engines share
 	drawPlanMultiple := func(class int) float64 {
@@ -167,7 +167,7 @@
 	for index := range d.timeline.EngineCount {
 		e := &Engine{
 			scenario: d.scenario, clock: d.clock, sharedObserver: d.sharedObserver, index: index, host: d.network.Host(engineHosts, index),
-			zone: d.scenario.ZoneOf(index), endpoint: idRand.Uint32(), build: engine.Draw(d.scenario, buildRand, coreWorkRatio), meanWork: d.arrivals.MeanWork,
+			zone: d.scenario.ZoneOf(index), endpoint: idRand.Uint32(), config: engine.Draw(d.scenario, configRand, coreWorkRatio), meanWork: d.arrivals.MeanWork,
 			drawPlanMultiple: drawPlanMultiple, drawError: drawError, receivedAt: d.options.ReceivedAt,
 		}
 		e.resumed = sync.NewCond(&e.mu)
@@ -185,7 +185,7 @@
 		Cell: e.index / 4, State: stateNames[state], Weight: 1, Started: started, engine: endpointID(e.endpoint)}
 }
 
-// errStopped is returned by a rehearsal whose context ended before it did.
+// errStopped is returned by Run when the context ends while clients still wait for results.
 var errStopped = errors.New("the rehearsal was stopped before its end")
 
 // play runs the scenario from its start to its end.
@@ -227,7 +227,7 @@
 	for _, e := range d.engines {
 		e.mu.Lock()
 		if e.running {
-			e.model = engine.New(e.build, 0, warmStartTime)
+			e.model = engine.New(e.config, 0, warmStartTime)
 		}
 		e.mu.Unlock()
 	}
@@ -280,7 +280,7 @@
 	}
 }
 
-// waitForClients waits until each client has its result, until slack after end at the latest.
+// waitForClients waits until each client has its result, but no longer than slack after the time end.
 func (d *Rehearsal) waitForClients(ctx context.Context, end float64) error {
 	const slack = 5 * time.Second
 	done := make(chan struct{})
@@ -306,7 +306,7 @@
 	}
 	stopping.Wait()
 	for _, pool := range d.clientPools {
-		pool.readers.Wait() // an answer that is not read yet may have arrived in time
+		pool.readers.Wait() // waits for answers that have arrived in time but are not read yet
 	}
 	var in, done, dropped, left float64
 	for _, e := range d.engines {
--- a/internal/emulator/live/shutdown.go
+++ b/internal/emulator/live/shutdown.go
@@ -48,14 +48,14 @@
 // Shutdown shuts a coordinator down as the platform does: it sends a series of signals with SIGTERM while clients go on using
 // their open connections, and SIGKILL at the earliest time at which the platform may. A coordinator that has to be killed
 // violates the rule of one answer. Shutdown calls unanswered with the ID of each request whose connection the coordinator
-// closed without an answer; it violates a rule if the coordinator had read it.
+// closed without an answer; such a request violates a rule if the coordinator had read it.
 func (r *Controller) Shutdown(n int, series SignalSeries, rng *rand.Rand, unanswered func(requestID string)) {
 	d := r.rehearsal
 	p := d.coordinators[n]
 	if d.isDown(p) {
 		return
 	}
-	const trafficBeforeSignals = 200 * time.Millisecond // requests are in flight when the signals arrive
+	const trafficBeforeSignals = 200 * time.Millisecond // lead time after which requests are in flight when the signals arrive
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	traffic := d.newPersistentClient(n, rng, unanswered)
 	go func() {
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// noSignal means that no signal may end the process.
+// noSignal is the argument of terminateAndKill that means that no signal may end the process.
 const noSignal = syscall.Signal(-1)
 
 // terminateAndKill sends SIGTERM, calls afterTerm, and sends SIGKILL after earliestKill if the process still runs. The process
-// must exit with code 0 or be ended by the allowed signal; anything else violates the rule of one answer.
-func (d *Rehearsal) terminateAndKill(p *coordinator, afterTerm func(), allowed syscall.Signal) {
+// must exit with code 0 or be ended by allowedSignal; anything else violates the rule of one answer.
+func (d *Rehearsal) terminateAndKill(p *coordinator, afterTerm func(), allowedSignal syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := p.cmd, p.ended
-	p.down = true
+	p.endRequested = true
 	d.mu.Unlock()
 	termSentAt := time.Now()
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -113,14 +113,14 @@
 		_ = cmd.Process.Signal(syscall.SIGKILL)
 		<-ended
 	}
-	if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && (status.Signaled() && status.Signal() != allowed || status.ExitStatus() > 0) {
+	if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && (status.Signaled() && status.Signal() != allowedSignal || status.ExitStatus() > 0) {
 		d.sharedObserver.with(func(o *observer.Observer) {
 			o.Violate(observer.RuleOneAnswer, d.clock.Now(), "coordinator %d: %v, %v after SIGTERM", p.index, cmd.ProcessState, time.Since(termSentAt).Round(time.Millisecond))
 		})
 	}
 }
 
-// signalGap is the time between SIGTERM and the signal before or after it.
+// signalGap is the time between SIGTERM and the signal that is sent before or after SIGTERM.
 const signalGap = 20 * time.Millisecond
 
 func (r *Controller) signalsBeforeTerm(n int, series SignalSeries) {
@@ -174,7 +174,7 @@
 }
 
 // OpenUnusedConnections opens connections to a coordinator that carry no complete request: they idle, stop in the middle of a
-// message, or are closed and opened again. It spreads their opening over half of the duration; they end with it.
+// message, or are closed and opened again. It spreads their opening over half of the duration; the connections are closed at its end.
 func (r *Controller) OpenUnusedConnections(n, connections int, duration time.Duration) {
 	d := r.rehearsal
 	d.note("%d connections without requests are opened to coordinator %d", connections, n)
@@ -187,7 +187,7 @@
 
 // holdUnusedConnection opens a connection again and again until end. Its number decides how it behaves.
 func (d *Rehearsal) holdUnusedConnection(addr string, number int, end time.Time) {
-	const pause = 100 * time.Millisecond // between two connections, and the lifetime of a short one
+	const pause = 100 * time.Millisecond // time between two connections, and lifetime of a connection that is closed early
 	for time.Now().Before(end) {
 		c, err := net.DialTimeout("tcp", addr, time.Second)
 		if err != nil {
@@ -202,7 +202,7 @@
 			closeAt = time.Now().Add(pause)
 		}
 		_ = c.SetReadDeadline(closeAt)
-		_, _ = c.Read(make([]byte, 1)) // until the coordinator closes it, or closeAt
+		_, _ = c.Read(make([]byte, 1)) // blocks until the coordinator closes the connection, or until closeAt
 		_ = c.Close()
 		time.Sleep(pause)
 	}
--- a/internal/emulator/loopback/network.go
+++ b/internal/emulator/loopback/network.go
@@ -15,22 +15,22 @@
 const (
 	firstNetwork = 100
 	lastNetwork  = 249
-	// claimPort is outside the range of ephemeral ports.
+	// claimPort is the port on which a run listens to claim a network. It is outside the range of ephemeral ports.
 	claimPort = 20000
 	// hostsPerSubnet is the number of hosts used in each /24.
 	hostsPerSubnet = 200
 )
 
-// ErrNoneFree is returned when other runs have claimed all networks.
+// ErrNoneFree is returned by Claim when other runs have claimed all networks.
 var ErrNoneFree = errors.New("all loopback networks are claimed")
 
 // Network is a /16 of loopback addresses that only its owner uses, until Release or the end of the owner's process.
 type Network struct {
-	octet int          // the second one of its addresses
-	claim net.Listener // without SO_REUSEPORT, so that only one run can listen on it
+	octet int          // second octet of the network's addresses
+	claim net.Listener // has no SO_REUSEPORT, so that only one run can listen on the network's claim address
 }
 
-// Claim claims a free network. It returns ErrNoneFree, or the error of a socket.
+// Claim claims a free network. It returns ErrNoneFree if there is none, or the error of the claiming socket.
 func Claim() (*Network, error) {
 	for octet := firstNetwork; octet <= lastNetwork; octet++ {
 		claim, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.254:%d", octet, claimPort))
@@ -64,7 +64,7 @@
 	return listener.Addr().String(), nil
 }
 
-// FreeUDPAddress does what FreeTCPAddress does, for UDP.
+// FreeUDPAddress returns an address with a free UDP port on a process's host, which stays free as in FreeTCPAddress.
 func (n *Network) FreeUDPAddress(block, index int) (string, error) {
 	socket, err := net.ListenPacket("udp4", n.Host(block, index)+":0")
 	if err != nil {
--- a/internal/emulator/observer/observer.go
+++ b/internal/emulator/observer/observer.go
@@ -21,18 +21,18 @@
 	Class           int
 	Key             uint64
 	Until           float64 // the client's deadline
-	receivedAt      float64
+	receivedAt      float64 // time at which the coordinator received the request
 	closed          bool
-	closedAt        float64     // once closed
-	closedBy        closeReason // once closed
-	sentAt          []float64   // times at which its attempts were sent
-	excused         bool        // its coordinator was paused or crashed: its deadline does not count
-	mayRun          bool        // an attempt is in flight, or ended without proof that it never ran
-	firstSentAt     float64
-	inFlight        int
-	sends           int
-	provenNotRun    int // attempts that are known never to have run
-	startsAtEngines int // starts of its attempts at engines
+	closedAt        float64     // time of the close; valid if closed
+	closedBy        closeReason // reason of the close; valid if closed
+	sentAt          []float64   // times at which the request's attempts were sent
+	excused         bool        // the coordinator was paused or crashed, so the request's deadline does not count
+	mayHaveRun      bool        // an attempt is in flight, or ended without proof that it never ran
+	firstSentAt     float64     // time at which the first attempt was sent; +Inf: no attempt may have run
+	inFlight        int         // number of attempts in flight
+	sends           int         // number of attempts sent
+	provenNotRun    int         // number of attempts that are known never to have run
+	startsAtEngines int         // number of attempts that an engine has started
 }
 
 // closeReason is the reason why a request needs no further answer.
@@ -49,10 +49,10 @@
 type ClientQuery struct {
 	Class         int
 	ArrivedAt     float64
-	ObjectiveTime float64 // an answer until then earns its full weight
-	AbandonAt     float64 // the client gives up
+	ObjectiveTime float64 // latest time at which an answer earns its full weight
+	AbandonAt     float64 // time at which the client gives up
 	earnedWeight  float64
-	ended         bool // it was served, or its client gave up
+	ended         bool // the query was served, or its client gave up
 }
 
 // Observer observes one run. It is not safe for concurrent use.
@@ -60,23 +60,23 @@
 	scenario    *scenario.Scenario
 	timeSlackMS float64
 	violations  map[string]*RuleViolations
-	notified    []map[decide.EndpointID]notification // by coordinator
-	keys        []map[uint64][]*Request
-	settledAt   []map[uint64]float64
-	received    [][]float64
-	retries     [][]float64
+	notified    []map[decide.EndpointID]notification // latest notification about each engine, by coordinator
+	keys        []map[uint64][]*Request              // requests of each key that are open or in flight, in order of arrival, by coordinator
+	settledAt   []map[uint64]float64                 // time from which requests of a key may be sent after an unknown outcome, by coordinator
+	received    [][]float64                          // times of received requests from the retry window on, by coordinator
+	retries     [][]float64                          // times of retries from the retry window on, by coordinator
 	classes     []classTotals
 	windows     []windowTotals
 	totals      Totals
 	notes       []Note
 	open        map[*Request]int     // coordinator of each request that is not closed
-	unanswered  map[*Request]float64 // times at which their clients left after the deadline
+	unanswered  map[*Request]float64 // requests without an answer, with the time after the deadline at which the client left
 }
 
 // notification is the state of an engine that a coordinator was notified of, and the time.
 type notification struct {
-	state decide.EndpointState
-	since float64
+	state      decide.EndpointState
+	notifiedAt float64
 }
 
 // Note is a line of the timeline.
@@ -118,7 +118,7 @@
 	o.received[coord], o.retries[coord] = nil, nil
 }
 
-// CoordinatorCrashed records a crash. The requests that it loses violate no rule.
+// CoordinatorCrashed records a crash. The requests that the crash loses violate no rule.
 func (o *Observer) CoordinatorCrashed(coord int) {
 	for r, c := range o.open {
 		if c == coord {
@@ -140,7 +140,7 @@
 
 // EndpointNotified records a watch event that reached a coordinator.
 func (o *Observer) EndpointNotified(at float64, coord int, id decide.EndpointID, state decide.EndpointState) {
-	if was, ok := o.notified[coord][id]; !ok || was.state != state {
+	if previous, ok := o.notified[coord][id]; !ok || previous.state != state {
 		o.notified[coord][id] = notification{state, at}
 	}
 }
@@ -161,10 +161,10 @@
 	}
 }
 
-// RequestAnswered records a final answer as its coordinator gives it.
+// RequestAnswered records a final answer when the coordinator gives it.
 func (o *Observer) RequestAnswered(at float64, coord int, r *Request, kind TryResult) {
 	if r.closed {
-		if !r.excused { // otherwise its coordinator crashed meanwhile, or was paused past the deadline
+		if !r.excused { // an excused request's coordinator crashed meanwhile, or was paused past the deadline
 			o.Violate(RuleOneAnswer, at, "%s: answered twice", r.Name)
 		}
 		return
@@ -173,7 +173,7 @@
 	o.close(at, coord, r, closedByAnswer)
 }
 
-// AnswerReceived records a final answer as its client reads it; at is the time of its arrival. If the client reads late,
+// AnswerReceived records a final answer when the client reads it; at is the time of its arrival. If the client reads late,
 // ClientDisconnected may be called first. Then an answer that arrived before the client left still counts as the request's
 // answer, and a later one is ignored.
 func (o *Observer) AnswerReceived(at float64, coord int, r *Request, kind TryResult) {
@@ -186,7 +186,7 @@
 	}
 	delete(o.unanswered, r)
 	o.checkAnswer(at, r, kind)
-	r.sentAt = slices.DeleteFunc(r.sentAt, func(sentAt float64) bool { return sentAt >= r.closedAt+o.departureSlack(r) }) // already recorded as violations
+	r.sentAt = slices.DeleteFunc(r.sentAt, func(sentAt float64) bool { return sentAt >= r.closedAt+o.departureSlack(r) }) // attempts that are already recorded as violations
 	r.closedAt, r.closedBy = at, closedByAnswer
 	o.checkSentBeforeClose(r)
 }
@@ -199,7 +199,7 @@
 	c := o.scenario.Classes[r.Class]
 	if kind == Rejected {
 		o.totals.Rejections++
-		if r.mayRun && c.Idempotency == "once" {
+		if r.mayHaveRun && c.Idempotency == "once" {
 			o.Violate(RuleNoDuplicateEffects, at, "%s: rejected a %s that may have run", r.Name, c.Name)
 		}
 	}
@@ -266,8 +266,8 @@
 	}
 }
 
-// AttemptSent records an attempt; at is the time at which it left its coordinator. The call may come after those for
-// later events.
+// AttemptSent records an attempt; at is the time at which the attempt left its coordinator. Later events may have been
+// recorded before.
 func (o *Observer) AttemptSent(at float64, coord int, r *Request, id decide.EndpointID, zone int) {
 	c := o.scenario.Classes[r.Class]
 	o.totals.Attempts++
@@ -282,7 +282,7 @@
 	if r.sends > o.scenario.Coordinators.MaxAttempts {
 		o.Violate(RuleMaxAttempts, at, "%s: attempt %d", r.Name, r.sends)
 	}
-	if r.mayRun && (c.Idempotency == "once" || c.Idempotency == "by_key" && at > r.firstSentAt+c.IdempotencyWindowMS) {
+	if r.mayHaveRun && (c.Idempotency == "once" || c.Idempotency == "by_key" && at > r.firstSentAt+c.IdempotencyWindowMS) {
 		o.Violate(RuleNoDuplicateEffects, at, "%s: retried a %s that may have run", r.Name, c.Name)
 	}
 	if r.inFlight > 0 && !o.scenario.Coordinators.HedgingAllowed {
@@ -294,7 +294,7 @@
 		o.totals.CrossZone++
 	}
 	r.inFlight++
-	r.mayRun = true
+	r.mayHaveRun = true
 	r.firstSentAt = min(r.firstSentAt, at)
 }
 
@@ -304,7 +304,7 @@
 	switch out {
 	case decide.OutcomeOverloaded, decide.OutcomeConnectFailed, decide.OutcomeNotSent:
 		if r.provenNotRun++; r.provenNotRun == r.sends {
-			r.mayRun, r.firstSentAt = false, math.Inf(1)
+			r.mayHaveRun, r.firstSentAt = false, math.Inf(1)
 		}
 	case decide.OutcomeTimeout, decide.OutcomeReset, decide.OutcomeCancelled:
 		if o.scenario.Classes[r.Class].OrderedByKey {
@@ -321,7 +321,7 @@
 	}
 }
 
-// EngineOverloaded records an engine that failed of overload while it warmed up. NotifiedRatio is the part of its load that
+// EngineOverloaded records an engine that failed of overload while it warmed up. NotifiedRatio is the part of the engine's load that
 // came from coordinators that had been notified of its start.
 func (o *Observer) EngineOverloaded(at float64, id decide.EndpointID, notifiedRatio float64) {
 	o.totals.Overloaded++
--- a/internal/emulator/observer/report.go
+++ b/internal/emulator/observer/report.go
@@ -11,7 +11,7 @@
 	Scenario    string               `json:"scenario"`
 	Seed        uint64               `json:"seed"`
 	Policy      string               `json:"policy"`
-	Mode        string               `json:"way"` // virtual, or rehearsed with real coordinators
+	Mode        string               `json:"way"` // "virtual", or "rehearsed" with real coordinators
 	Service     float64              `json:"service"`
 	Parts       map[string]float64   `json:"parts"`
 	RulesBroken int                  `json:"rules_broken"`
@@ -24,14 +24,14 @@
 	Events      int                  `json:"events"`
 }
 
-// ClassReport is the result of one class. Latencies are those of served queries, from the first try on, in ms.
+// ClassReport is the result of one class. Latencies are those of served queries, from the first try to the answer, in ms.
 type ClassReport struct {
 	Name        string  `json:"name"`
 	Service     float64 `json:"service"`
 	First       int     `json:"first_tries"`
 	Tries       int     `json:"tries"`
 	Served      int     `json:"served"`
-	Late        int     `json:"late"` // served after the latency objective
+	Late        int     `json:"late"` // number of queries served after the latency objective
 	Rejected    int     `json:"tries_refused"`
 	Failed      int     `json:"tries_failed"`
 	Lost        int     `json:"tries_lost"`
@@ -57,10 +57,10 @@
 	Failed   int     `json:"failed"`
 }
 
-// worstWindowMS is the length of the worst window, which counts towards the service figure.
+// worstWindowMS is the length of the windows of time of which the worst one counts towards the service figure.
 const worstWindowMS = 10000.0
 
-// gossipUnitBytes is the number of datagram bytes that Objective.Gossip is the price of.
+// gossipUnitBytes is the number of datagram bytes that cost Objective.Gossip.
 const gossipUnitBytes = 256
 
 // Names of the parts of the service figure, as reports have them.
@@ -99,7 +99,8 @@
 	return r
 }
 
-// addService sets the service figure and its parts: weighted ratios of the earned weight, minus the prices.
+// addService sets the service figure and its parts. The figure is a weighted sum of ratios of earned to offered weight,
+// minus the prices.
 func (o *Observer) addService(r *Report) {
 	var offered, earned, lateFailed float64
 	for i := range o.classes {
@@ -165,7 +166,7 @@
 		latency = append(latency, quantile(percent))
 	}
 	return ClassReport{
-		Name: name, Service: round(safeRatio(c.earnedWeight, c.offeredWeight)), First: c.first, Tries: c.tries,
+		Name: name, Service: round(safeRatio(c.earnedWeight, c.offeredWeight)), First: c.firstTries, Tries: c.tries,
 		Served: c.served, Late: c.late, Rejected: c.rejected, Failed: c.failed, Lost: c.lost, NeverServed: c.neverServed,
 		P50: quantile(50), P95: quantile(95), P99: quantile(99), Latency: latency,
 	}
@@ -174,7 +175,7 @@
 func (w *windowTotals) report(atMS float64) WindowReport {
 	return WindowReport{
 		AtMS: atMS, Service: round(safeRatio(w.earnedWeight, w.offeredWeight)),
-		First: w.first, Tries: w.tries, Served: w.served, Rejected: w.rejected, Failed: w.failed,
+		First: w.firstTries, Tries: w.tries, Served: w.served, Rejected: w.rejected, Failed: w.failed,
 	}
 }
 
--- a/internal/emulator/observer/rules.go
+++ b/internal/emulator/observer/rules.go
@@ -12,14 +12,14 @@
 const (
 	RuleOneAnswer          = "one_answer"  // each request gets one final answer, in time
 	RuleNoDuplicateEffects = "effects"     // a request that is not idempotent is not retried or rejected once it may have run
-	RuleDrain              = "drains"      // no attempt at an engine that drains or was removed
+	RuleDrain              = "drains"      // no attempt is sent to an engine that drains or was removed
 	RuleSlowStart          = "fail_back"   // no engine fails of overload while it warms up
 	RuleKeyOrder           = "order"       // requests of one key run one at a time, in order of arrival
 	RulePlacement          = "placement"   // attempts go to allowed zones only
 	RuleRetryBudget        = "ration"      // a coordinator's retries stay within their budget
-	RuleMaxAttempts        = "attempts"    // no more attempts of a request than allowed
-	RuleRanOnce            = "ran_twice"   // a request that is not idempotent started twice, as seen at the engines
-	RuleKnownEndpoint      = "unknown_way" // an attempt at an engine that was never listed
+	RuleMaxAttempts        = "attempts"    // no request has more attempts than allowed
+	RuleRanOnce            = "ran_twice"   // no request that is not idempotent starts twice at engines
+	RuleKnownEndpoint      = "unknown_way" // no attempt is sent to an engine that was never listed
 )
 
 // RuleNames lists all rules in the order of reports.
@@ -55,11 +55,11 @@
 func (o *Observer) checkPlacement(at float64, coord int, r *Request, id decide.EndpointID, zone int) {
 	n, ok := o.notified[coord][id]
 	switch limit := o.scenario.Rules.DrainGraceMS + o.timeSlackMS; {
-	case r.excused: // its coordinator crashed or was paused meanwhile
+	case r.excused: // the coordinator crashed or was paused meanwhile
 	case !ok:
 		o.Violate(RuleKnownEndpoint, at, "%s: engine %d was never listed to coordinator %d", r.Name, id, coord)
-	case n.state != decide.EndpointReady && at > n.since+limit:
-		o.Violate(RuleDrain, at, "%s: sent to engine %d, %.0f ms after coordinator %d was notified that it drains or was removed", r.Name, id, at-n.since, coord)
+	case n.state != decide.EndpointReady && at > n.notifiedAt+limit:
+		o.Violate(RuleDrain, at, "%s: sent to engine %d, %.0f ms after coordinator %d was notified that it drains or was removed", r.Name, id, at-n.notifiedAt, coord)
 	}
 	if zones := o.scenario.Classes[r.Class].AllowedZones; len(zones) > 0 && !slices.Contains(zones, zone) {
 		o.Violate(RulePlacement, at, "%s: sent to zone %d, which its class does not allow", r.Name, zone)
@@ -85,14 +85,14 @@
 	if rules.RetryRatio == nil {
 		return
 	}
-	recent := func(l []float64) []float64 {
-		for len(l) > 0 && l[0] < at-rules.RetryWindowMS {
-			l = l[1:]
+	inWindow := func(times []float64) []float64 {
+		for len(times) > 0 && times[0] < at-rules.RetryWindowMS {
+			times = times[1:]
 		}
-		return l
+		return times
 	}
-	o.retries[coord] = append(recent(o.retries[coord]), at)
-	o.received[coord] = recent(o.received[coord])
+	o.retries[coord] = append(inWindow(o.retries[coord]), at)
+	o.received[coord] = inWindow(o.received[coord])
 	if n := float64(len(o.retries[coord])); n > rules.SpareAttempts+*rules.RetryRatio*float64(len(o.received[coord])) {
 		o.Violate(RuleRetryBudget, at, "%s: retry %.0f with %d requests received, within the retry window", r.Name, n, len(o.received[coord]))
 	}
--- a/internal/emulator/observer/totals.go
+++ b/internal/emulator/observer/totals.go
@@ -4,19 +4,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// classTotals are the counts of one class.
+// classTotals are the counts of the queries and tries of one class, and the sums of their weights.
 type classTotals struct {
 	offeredWeight, earnedWeight, lateFailedWeight float64
-	first, served, late                           int
+	firstTries, served, late                      int
 	rejected, failed, lost, neverServed           int
 	tries                                         int
 	latency                                       *hdrhistogram.Histogram
 }
 
-// windowTotals are the counts of one window of time.
+// windowTotals are the counts of the queries and tries of one window of time, and the sums of their weights.
 type windowTotals struct {
-	offeredWeight, earnedWeight            float64
-	first, tries, served, rejected, failed int
+	offeredWeight, earnedWeight                 float64
+	firstTries, tries, served, rejected, failed int
 }
 
 // Totals are the counts of a run.
@@ -29,12 +29,12 @@
 	Probes        int     `json:"probes"`
 	Cancels       int     `json:"cancels"`
 	Handshakes    int     `json:"handshakes"`
-	GossipBytes   int     `json:"peer_bytes"` // of datagrams that arrived
+	GossipBytes   int     `json:"peer_bytes"` // bytes of datagrams that arrived
 	Rejections    int     `json:"refusals"`
-	Overloaded    int     `json:"fell_over"`
-	WorkIn        float64 `json:"work_in_ms"`
+	Overloaded    int     `json:"fell_over"`  // number of engines that failed of overload
+	WorkIn        float64 `json:"work_in_ms"` // work that engines admitted
 	Served        float64 `json:"work_served_ms"`
-	Wasted        float64 `json:"work_wasted_ms"`
-	Dropped       float64 `json:"work_dropped_ms"`
-	Left          float64 `json:"work_left_ms"`
+	Wasted        float64 `json:"work_wasted_ms"`  // work done that served no request
+	Dropped       float64 `json:"work_dropped_ms"` // admitted work that was cancelled or lost
+	Left          float64 `json:"work_left_ms"`    // work not done by the end of the run
 }
--- a/internal/emulator/observer/tries.go
+++ b/internal/emulator/observer/tries.go
@@ -8,33 +8,33 @@
 	Served TryResult = iota
 	Rejected
 	Failed
-	Lost // the coordinator crashed, or none was running
+	Lost // the coordinator crashed, or no coordinator was running
 )
 
-// window returns the totals of the window of a time.
+// window returns the totals of the window that contains the given time.
 func (o *Observer) window(at float64) *windowTotals {
 	return &o.windows[min(max(int(at/o.scenario.WindowMS), 0), len(o.windows)-1)]
 }
 
-// FirstTry records a client's first try.
+// FirstTry records the first try of a client's query.
 func (o *Observer) FirstTry(q *ClientQuery) {
 	c, w := &o.classes[q.Class], o.window(q.ArrivedAt)
 	weight := o.scenario.Classes[q.Class].Weight
-	c.first++
+	c.firstTries++
 	c.offeredWeight += weight
-	w.first++
+	w.firstTries++
 	w.offeredWeight += weight
 	o.totals.FirstTries++
 	o.countTry(q.ArrivedAt, q)
 }
 
-// countTry counts any try.
+// countTry counts a try, be it the first one or a retry.
 func (o *Observer) countTry(at float64, q *ClientQuery) {
 	o.classes[q.Class].tries++
 	o.window(at).tries++
 }
 
-// Retry records a client's retry.
+// Retry records a retry of a client's query.
 func (o *Observer) Retry(at float64, q *ClientQuery) {
 	o.totals.Retries++
 	o.countTry(at, q)
--- a/internal/emulator/receivetime/conn.go
+++ b/internal/emulator/receivetime/conn.go
@@ -19,15 +19,15 @@
 // goroutine may ask for the times.
 type Conn struct {
 	*net.TCPConn
-	raw syscall.RawConn
+	rawConn syscall.RawConn
 
 	mu             sync.Mutex // guards the fields below
-	latest         time.Time
-	messageBegan   time.Time
-	atMessageStart bool // the next bytes that are read begin a message
+	latestRead     time.Time  // see LatestRead
+	messageBegan   time.Time  // see MessageBegan
+	atMessageStart bool       // the next bytes that are read begin a message
 }
 
-// New enables the kernel's receive time stamps on a connection, which then belongs to the returned Conn. The kernel starts
+// New enables the kernel's receive time stamps on a connection, which the returned Conn owns from then on. The kernel starts
 // to take time stamps some milliseconds after they are first enabled; bytes that arrived before get the time of their Read.
 func New(c *net.TCPConn) (*Conn, error) {
 	raw, err := c.SyscallConn()
@@ -41,14 +41,14 @@
 	if err = errors.Join(err, optionErr); err != nil {
 		return nil, fmt.Errorf("enable receive time stamps: %w", err)
 	}
-	return &Conn{TCPConn: c, raw: raw, atMessageStart: true}, nil
+	return &Conn{TCPConn: c, rawConn: raw, atMessageStart: true}, nil
 }
 
 // Read reads like net.TCPConn, and records when the bytes arrived.
 func (c *Conn) Read(b []byte) (n int, err error) {
 	var control [64]byte
 	var controlSize int
-	waitErr := c.raw.Read(func(fd uintptr) bool {
+	waitErr := c.rawConn.Read(func(fd uintptr) bool {
 		for {
 			n, controlSize, _, _, err = unix.Recvmsg(int(fd), b, control[:], unix.MSG_DONTWAIT)
 			if !errors.Is(err, unix.EINTR) {
@@ -86,7 +86,7 @@
 func (c *Conn) recordReceive(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.latest = at
+	c.latestRead = at
 	if c.atMessageStart {
 		c.messageBegan, c.atMessageStart = at, false
 	}
@@ -95,7 +95,7 @@
 // Write writes like net.TCPConn. The next bytes that are read begin a message.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	c.atMessageStart = true // before the other side can answer
+	c.atMessageStart = true // set before the Write, so that an early answer counts as a new message
 	c.mu.Unlock()
 	return c.TCPConn.Write(b)
 }
@@ -105,7 +105,7 @@
 func (c *Conn) LatestRead() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.latest
+	return c.latestRead
 }
 
 // MessageBegan returns the arrival time of the first bytes that were read since the last Write. If the two sides of the
--- a/internal/emulator/receivetime/conn_test.go
+++ b/internal/emulator/receivetime/conn_test.go
@@ -47,7 +47,7 @@
 	n, err := receiver.Read(b)
 	require.NoError(t, err)
 	require.Equal(t, "first", string(b[:n]))
-	const clockResolution = 5 * time.Millisecond // between the kernel's coarse wall clock and the process's
+	const clockResolution = 5 * time.Millisecond // maximum difference between the kernel's coarse wall clock and the process's clock
 	require.WithinRange(t, receiver.LatestRead(), before.Add(-clockResolution), after.Add(clockResolution))
 }
 
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -97,7 +97,7 @@
 	Speed              Range    `json:"speed"`
 	SaturationThreads  Range    `json:"knee"`   // threads per core above which throughput falls
 	ThrashRatio        Range    `json:"thrash"` // factor of the throughput at twice SaturationThreads; at four times, the square of this factor, and so on
-	SeekPenalty        Range    `json:"seek"`   // with twice as many threads as disks, the disks' throughput is multiplied by 1/(1+seek)
+	SeekPenalty        Range    `json:"seek"`   // factor of the disks' throughput with twice as many threads as disks is 1/(1+SeekPenalty)
 	SpillPenalty       Range    `json:"spill"`  // additional work of a query without any memory, as a multiple of its work
 	MaxGrantRatio      float64  `json:"most_grant"`
 	Grants             bool     `json:"grants"`       // whether engines apply the memory grants of coordinators
--- a/internal/emulator/simulation/actions.go
+++ b/internal/emulator/simulation/actions.go
@@ -7,7 +7,7 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// perform executes one action of the policy.
+// perform executes one action that the policy has returned.
 func (c *coordinator) perform(now float64, action decide.Action) {
 	switch action := action.(type) {
 	case decide.StartAttempt:
@@ -29,7 +29,7 @@
 	}
 }
 
-// performCancel cancels an attempt that has not ended. Its outcome is handled in the next step.
+// performCancel cancels an attempt that has not ended. The coordinator handles the outcome of the attempt in its next step.
 func (c *coordinator) performCancel(action decide.CancelAttempt) {
 	r := c.requests[action.ID]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
@@ -62,7 +62,7 @@
 	})
 }
 
-// probe sends a health check. It ends with its answer or its timeout, whichever comes first.
+// probe sends a health check. The probe ends with the engine's answer or with its timeout, whichever comes first.
 func (c *coordinator) probe(now float64, id decide.EndpointID) {
 	c.effect(func(sim *Simulation) {
 		proc, incarnation, done := sim.enginesByID[id], c.incarnation, false
@@ -82,7 +82,7 @@
 	})
 }
 
-// requestID returns the ID of the request with a sequence number.
+// requestID returns the ID of the request with the given sequence number.
 func requestID(sequence uint64) decide.RequestID {
 	return decide.RequestID(strconv.FormatUint(sequence, 36))
 }
--- a/internal/emulator/simulation/attempts.go
+++ b/internal/emulator/simulation/attempts.go
@@ -14,7 +14,7 @@
 	query            scenario.Query
 	try              *try
 	answered         bool
-	markedRetry      bool // its client marks it as a retry
+	markedRetry      bool // the client marks the request as a retry
 	grantMB          float64
 	priority         int
 	attempts         []*attempt
@@ -25,20 +25,21 @@
 type attempt struct {
 	coordinator         *coordinator
 	request             *openRequest
-	index               int // position in the request's attempts
-	engine              *engineProcess
+	index               int            // position in the request's attempts
+	engine              *engineProcess // nil: the attempt was not sent
 	startedAt, deadline float64
 	grantMB             float64
 	priority            int
-	incarnation         int  // of the coordinator
-	engineIncarnation   int  // of the engine
-	connectionReleased  bool // its connection is idle or closed
-	ended               bool // the coordinator knows its outcome
+	incarnation         int  // incarnation of the coordinator that sent the attempt
+	engineIncarnation   int  // incarnation of the engine that received the attempt
+	connectionReleased  bool // the attempt's connection is idle or closed
+	ended               bool // the coordinator knows the attempt's outcome
 	cancelled           bool // the engine was notified of the cancellation
 	job                 *engine.Job
 }
 
-// attemptEnded handles an attempt's outcome. Job is set if the attempt succeeded; load may be nil.
+// attemptEnded handles an attempt's outcome. Job is the engine's job if the attempt succeeded; load is the load report of the
+// answer, or nil.
 func (c *coordinator) attemptEnded(now float64, a *attempt, outcome decide.Outcome, job *engine.Job, load *decide.LoadReport) {
 	if a.ended {
 		return
@@ -101,7 +102,7 @@
 	}
 }
 
-// cancelAttempt notifies the engine that an attempt is cancelled.
+// cancelAttempt notifies the engine that an attempt is cancelled, on which the engine drops the query.
 func (c *coordinator) cancelAttempt(a *attempt) {
 	if a.engine == nil {
 		return
--- a/internal/emulator/simulation/clients.go
+++ b/internal/emulator/simulation/clients.go
@@ -11,12 +11,12 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// client sends one query, over all its tries.
+// client sends one query: the first try and the retries.
 type client struct {
 	sim   *Simulation
 	query scenario.Query
 	state observer.ClientQuery
-	tries int
+	tries int // number of tries so far
 }
 
 // try is one request of a client: the first one or a retry.
@@ -28,7 +28,7 @@
 	ended       bool
 }
 
-// scheduleNextQuery schedules the next arrival, which schedules the one after it.
+// scheduleNextQuery schedules the arrival of the next query, which in turn schedules the arrival after it.
 func (sim *Simulation) scheduleNextQuery() {
 	q, more := sim.arrivals.Next()
 	if !more {
@@ -104,9 +104,9 @@
 	t.ended = true
 	cl, sim := t.client, t.client.sim
 	now := sim.loop.Now()
-	wait, again := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
-	sim.observer.TryEnded(now, &cl.state, result, !again)
-	if again {
+	wait, willRetry := clients.RetryDelay(cl.query, &cl.state, cl.tries, result, retryAfterMS, now)
+	sim.observer.TryEnded(now, &cl.state, result, !willRetry)
+	if willRetry {
 		sim.loop.After(wait, func() {
 			sim.observer.Retry(sim.loop.Now(), &cl.state)
 			cl.try()
--- a/internal/emulator/simulation/coordinator.go
+++ b/internal/emulator/simulation/coordinator.go
@@ -20,8 +20,8 @@
 	policy      policy.Policy
 	incarnation int // number of starts
 	running     bool
-	inbox       []any
-	spareInbox  []any // reused by the next step
+	inbox       []any // inputs that wait for the next step
+	spareInbox  []any // emptied slice that becomes the inbox in the next step
 	effects     []effect
 	requests    map[decide.RequestID]*openRequest
 	pools       map[*engineProcess]*connectionPool
@@ -71,7 +71,7 @@
 	sim.loop.After(sim.frontProxy.DetectionDelay(), func() { sim.frontProxy.SetAlive(c.index, c.running) })
 }
 
-// deliver adds an input to the inbox for the next step. A coordinator that is not running loses it.
+// deliver adds an input to the inbox for the next step. A coordinator that is not running loses the input.
 func (c *coordinator) deliver(sim *Simulation, in any) {
 	if !c.running {
 		return
@@ -90,8 +90,8 @@
 	sim.loop.At((math.Floor(sim.loop.Now()/quantum)+1)*quantum, sim.step)
 }
 
-// minParallelInputs is the number of inputs from which a step runs coordinators in parallel. With fewer the goroutines cost
-// more than they gain.
+// minParallelInputs is the number of inputs from which a step runs coordinators in parallel. With fewer inputs the
+// goroutines cost more time than they save.
 const minParallelInputs = 16
 
 // step makes each coordinator handle its inbox, and then applies all effects.
--- a/internal/emulator/simulation/determinism_test.go
+++ b/internal/emulator/simulation/determinism_test.go
@@ -53,15 +53,15 @@
 	require.NoError(t, err)
 	burst.Load = calm.Load
 	a, b := calm.Arrivals(3, calm.Timeline(3)), burst.Arrivals(3, burst.Timeline(3))
-	earlier := false
+	anyEarlier := false
 	for range 5000 {
 		x, ok := a.Next()
 		require.True(t, ok)
 		y, ok := b.Next()
 		require.True(t, ok)
-		earlier = earlier || y.ArrivesAt < x.ArrivesAt
+		anyEarlier = anyEarlier || y.ArrivesAt < x.ArrivesAt
 		y.ArrivesAt = x.ArrivesAt
 		require.Equal(t, x, y)
 	}
-	require.True(t, earlier, "the burst makes them arrive earlier")
+	require.True(t, anyEarlier, "the burst makes them arrive earlier")
 }
--- a/internal/emulator/simulation/discovery.go
+++ b/internal/emulator/simulation/discovery.go
@@ -6,17 +6,17 @@
 	"aniseloft/decide"
 )
 
-// discovery simulates the journal service, which lists the engines. Each coordinator receives watch events in order. While the
-// service is unavailable, changes are published with a delay, once it is available again.
+// discovery simulates the journal service, which lists the engines. Each coordinator receives watch events in order. Changes
+// that are due while the service is unavailable are published once it is available again.
 type discovery struct {
-	rng            *rand.Rand
-	unavailable    bool
-	delayMS        float64 // added to each detection
-	state          map[*engineProcess]decide.EndpointState
-	entries        []decide.EndpointInfo // the published endpoint list, with the same indexes as engines
-	engines        []*engineProcess
-	pending        []func()  // publications that wait for the service to be available
-	lastDeliveryAt []float64 // delivery of the latest watch event, by coordinator
+	rng                 *rand.Rand
+	unavailable         bool
+	delayMS             float64                                 // additional delay of each detection, ms
+	states              map[*engineProcess]decide.EndpointState // published state of each engine
+	entries             []decide.EndpointInfo                   // the published endpoint list, with the same indexes as engines
+	engines             []*engineProcess
+	pendingPublications []func()  // publications that wait until the service is available
+	lastDeliveryAt      []float64 // time of delivery of the latest watch event, by coordinator
 }
 
 // detectionDelay draws the time that the service takes to detect a change, in ms.
@@ -30,15 +30,15 @@
 // setState sets an engine's state in the published list, and returns its entry.
 func (d *discovery) setState(proc *engineProcess, state decide.EndpointState) decide.EndpointInfo {
 	const enginesPerCell = 4
-	if d.state == nil {
-		d.state = map[*engineProcess]decide.EndpointState{}
+	if d.states == nil {
+		d.states = map[*engineProcess]decide.EndpointState{}
 	}
 	entry := decide.EndpointInfo{
 		ID: proc.endpoint, Zone: proc.zone, Cell: proc.place / enginesPerCell, State: state, StartedAt: proc.startedAt,
 	}
-	d.state[proc] = state
-	for i, known := range d.engines {
-		if known == proc {
+	d.states[proc] = state
+	for i, listed := range d.engines {
+		if listed == proc {
 			d.entries[i] = entry
 			return entry
 		}
@@ -59,17 +59,18 @@
 	return update
 }
 
-// detect publishes a change of a responsive engine after the detection delay.
+// detect publishes the new state of a responsive engine after the detection delay.
 func (d *discovery) detect(sim *Simulation, proc *engineProcess, state decide.EndpointState) {
 	d.changeDetected(sim, proc, state, d.detectionDelay(sim, false))
 }
 
-// changeDetected publishes a change afterMS later, or when the service is available again.
+// changeDetected publishes the new state of an engine afterMS later or, if the service is unavailable then, once it is
+// available again.
 func (d *discovery) changeDetected(sim *Simulation, proc *engineProcess, state decide.EndpointState, afterMS float64) {
 	publish := func() { d.publish(sim, proc, state) }
 	sim.loop.After(afterMS+d.delayMS, func() {
 		if d.unavailable {
-			d.pending = append(d.pending, publish)
+			d.pendingPublications = append(d.pendingPublications, publish)
 			return
 		}
 		publish()
@@ -94,17 +95,17 @@
 	}
 }
 
-// setAvailable makes the service unavailable, or available again. Then it publishes the pending changes.
+// setAvailable makes the service unavailable, or makes it available again and publishes the pending changes.
 func (d *discovery) setAvailable(sim *Simulation, available bool) {
 	d.unavailable = !available
 	if !available {
-		sim.observer.Note(sim.loop.Now(), "journal service unavailable")
+		sim.observer.Note(sim.loop.Now(), "journal service unavailable: true")
 		return
 	}
-	sim.observer.Note(sim.loop.Now(), "journal service available")
-	pending := d.pending
-	d.pending = nil
-	for _, publish := range pending {
+	sim.observer.Note(sim.loop.Now(), "journal service unavailable: false")
+	publications := d.pendingPublications
+	d.pendingPublications = nil
+	for _, publish := range publications {
 		publish()
 	}
 }
--- a/internal/emulator/simulation/engine_process.go
+++ b/internal/emulator/simulation/engine_process.go
@@ -12,25 +12,25 @@
 
 // engineProcess is an engine's place in the fleet: the process that runs there, if any, and its network connections.
 type engineProcess struct {
-	sim            *Simulation
-	place          int // index in the fleet
-	endpoint       decide.EndpointID
-	zone           int
-	config         engine.Config
-	model          *engine.Engine
-	incarnation    int // number of starts
-	running        bool
-	draining       bool
-	removed        bool // does not start again
-	overloaded     bool // a process has ended of overload
-	unresponsive   bool // cut off from the network
-	stalled        bool
-	slowdown       float64 // factor of the execution times, relative to the other engines
-	neighbourRatio float64 // part of the cores and disks that another program uses
-	startedAt      float64
-	connections    int      // open connections of all coordinators
-	nextWakeAt     float64  // scheduled call of advance; +Inf: none
-	afterStall     []func() // calls that wait while the process is stalled
+	sim             *Simulation
+	place           int // index in the fleet
+	endpoint        decide.EndpointID
+	zone            int
+	config          engine.Config
+	model           *engine.Engine
+	incarnation     int // number of starts
+	running         bool
+	draining        bool
+	removed         bool // the engine does not start again
+	overloaded      bool // a process of this engine has ended of overload
+	unresponsive    bool // the engine is cut off from the network
+	stalled         bool
+	slowdown        float64  // factor of the execution times, relative to the other engines
+	neighbourRatio  float64  // part of the cores and disks that another program uses
+	startedAt       float64  // start of the warm-up of the current process, ms
+	connections     int      // number of open connections from all coordinators
+	nextWakeAt      float64  // time of the scheduled call of advance; +Inf: none
+	callsAfterStall []func() // calls that wait while the process is stalled
 }
 
 // newEngine returns an engine that does not run yet, with a configuration and an ID drawn from the random streams.
@@ -41,7 +41,7 @@
 	return proc
 }
 
-// start starts a new incarnation; startedAt is the start of its warm-up.
+// start starts a new incarnation of the process; startedAt is the start of its warm-up.
 func (proc *engineProcess) start(now, startedAt float64) {
 	proc.collectWork()
 	proc.model = engine.New(proc.config, now, startedAt)
@@ -77,7 +77,7 @@
 	proc.running = false
 	proc.overloaded = proc.overloaded || overloaded
 	proc.removed = proc.removed || overloaded
-	proc.afterStall = nil
+	proc.callsAfterStall = nil
 	proc.collectWork()
 	for _, c := range proc.sim.coordinators {
 		c.pool(proc).idle = nil
@@ -127,8 +127,8 @@
 	proc.stalled = stalled
 	proc.advance(func() { proc.model.Stall(proc.sim.loop.Now(), stalled) })
 	if !stalled {
-		waiting := proc.afterStall
-		proc.afterStall = nil
+		waiting := proc.callsAfterStall
+		proc.callsAfterStall = nil
 		for _, f := range waiting {
 			f()
 		}
--- a/internal/emulator/simulation/engine_queries.go
+++ b/internal/emulator/simulation/engine_queries.go
@@ -47,7 +47,7 @@
 		proc.reply(a, decide.OutcomeReset, nil)
 		return
 	case proc.stalled:
-		proc.afterStall = append(proc.afterStall, func() { proc.accept(a, incarnation) })
+		proc.callsAfterStall = append(proc.callsAfterStall, func() { proc.accept(a, incarnation) })
 		return
 	case a.cancelled:
 		proc.reply(a, decide.OutcomeCancelled, nil)
@@ -98,7 +98,7 @@
 	}
 }
 
-// cancel handles the notification that an attempt is cancelled.
+// cancel handles a coordinator's notification that an attempt is cancelled: it drops the attempt's query.
 func (proc *engineProcess) cancel(a *attempt) {
 	proc.releaseConnection(a, false)
 	a.cancelled = true
@@ -106,7 +106,7 @@
 		return
 	}
 	if proc.stalled {
-		proc.afterStall = append(proc.afterStall, func() { proc.cancel(a) })
+		proc.callsAfterStall = append(proc.callsAfterStall, func() { proc.cancel(a) })
 		return
 	}
 	proc.advance(func() { proc.model.Cancel(proc.sim.loop.Now(), a.job.ID) })
--- a/internal/emulator/simulation/engine_reports.go
+++ b/internal/emulator/simulation/engine_reports.go
@@ -8,7 +8,7 @@
 // loadReport returns the engine's load report, with noise. Fields that the scenario does not report are -1.
 func (proc *engineProcess) loadReport() *decide.LoadReport {
 	sim := proc.sim
-	rep := proc.model.Report(sim.loop.Now())
+	report := proc.model.Report(sim.loop.Now())
 	load := &decide.LoadReport{InFlight: -1, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
 	for _, field := range sim.scenario.Engines.ReportFields {
 		noisy := func(x float64) float64 {
@@ -16,15 +16,15 @@
 		}
 		switch field {
 		case "inflight":
-			load.InFlight = noisy(rep.InFlight)
+			load.InFlight = noisy(report.InFlight)
 		case "queue":
-			load.Queue = noisy(rep.Queue)
+			load.Queue = noisy(report.Queue)
 		case "util":
-			load.Utilization = noisy(rep.Util)
+			load.Utilization = noisy(report.Util)
 		case "x0":
-			load.Memory = noisy(rep.Memory)
+			load.Memory = noisy(report.Memory)
 		case "x1":
-			load.Disk = noisy(rep.Disk)
+			load.Disk = noisy(report.Disk)
 		}
 	}
 	return load
@@ -41,7 +41,7 @@
 		sim.loop.After(sim.networkDelay(proc.zone, c.zone), func() { end(decide.OutcomeReset, nil) })
 		return
 	case proc.stalled:
-		proc.afterStall = append(proc.afterStall, func() { proc.answerProbe(c, incarnation, end) })
+		proc.callsAfterStall = append(proc.callsAfterStall, func() { proc.answerProbe(c, incarnation, end) })
 		return
 	}
 	load := proc.loadReport()
@@ -66,7 +66,7 @@
 			return
 		}
 		if proc.stalled {
-			proc.afterStall = append(proc.afterStall, func() { proc.reportProgress(a) })
+			proc.callsAfterStall = append(proc.callsAfterStall, func() { proc.reportProgress(a) })
 			return
 		}
 		var progress engine.Progress
--- a/internal/emulator/simulation/events.go
+++ b/internal/emulator/simulation/events.go
@@ -5,7 +5,7 @@
 	"aniseloft/internal/emulator/scenario"
 )
 
-// handleEvent applies an event of the timeline.
+// handleEvent applies an event of the scenario's timeline: the start, a change or the end of a fault.
 func (sim *Simulation) handleEvent(event scenario.Event) {
 	switch event.Kind {
 	case scenario.EventSlowFleet:
@@ -16,9 +16,9 @@
 		sim.discovery.setAvailable(sim, event.Value == 0)
 	case scenario.EventDiscoveryDelay:
 		sim.discovery.delayMS = event.Value
-		sim.observer.Note(sim.loop.Now(), "journal service detects changes %.0f ms later", event.Value)
+		sim.observer.Note(sim.loop.Now(), "additional detection delay of the journal service: %.0f ms", event.Value)
 	case scenario.EventCoordinatorCrash:
-		sim.observer.Note(sim.loop.Now(), "coordinator %d crashes", event.Coordinator)
+		sim.observer.Note(sim.loop.Now(), "coordinator %d is killed", event.Coordinator)
 		sim.crashCoordinator(sim.coordinators[event.Coordinator])
 	case scenario.EventCoordinatorStart:
 		sim.restartCoordinator(event.Coordinator)
@@ -52,17 +52,17 @@
 	for _, proc := range sim.engines {
 		proc.applySlowdown(now)
 	}
-	sim.observer.Note(now, "all engines %.2f times slower", slowdown)
+	sim.observer.Note(now, "all engines slowed down by a factor of %.2f", slowdown)
 }
 
 func (proc *engineProcess) setSlowdown(slowdown float64) {
 	now := proc.sim.loop.Now()
 	proc.slowdown = slowdown
 	proc.applySlowdown(now)
-	proc.sim.observer.Note(now, "engine %d %.2f times slower than the others", proc.place, slowdown)
+	proc.sim.observer.Note(now, "engine %d slowed down by a factor of %.2f compared with the others", proc.place, slowdown)
 }
 
-// applySlowdown sets the model's slowdown to the product of the fleet's and the engine's.
+// applySlowdown sets the model's slowdown to the product of the fleet's slowdown and the engine's slowdown.
 func (proc *engineProcess) applySlowdown(now float64) {
 	if proc.running {
 		proc.advance(func() { proc.model.SetSlowdown(now, proc.sim.fleetSlowdown*proc.slowdown) })
@@ -75,7 +75,7 @@
 	if proc.running {
 		proc.advance(func() { proc.model.SetNeighbourRatio(now, ratio) })
 	}
-	proc.sim.observer.Note(now, "another program uses %.2f of engine %d", ratio, proc.place)
+	proc.sim.observer.Note(now, "another program uses %.2f of the cores and disks of engine %d", ratio, proc.place)
 }
 
 func (sim *Simulation) setReportDelay(delayMS float64) {
@@ -86,7 +86,7 @@
 			proc.advance(func() { proc.model.SetReportDelay(now, delayMS) })
 		}
 	}
-	sim.observer.Note(now, "load reports %.0f ms later", delayMS)
+	sim.observer.Note(now, "additional delay of load reports: %.0f ms", delayMS)
 }
 
 func (sim *Simulation) startEngine(proc *engineProcess) {
@@ -113,20 +113,20 @@
 	if !proc.running {
 		return
 	}
-	sim.observer.Note(sim.loop.Now(), "engine %d ends", proc.place)
+	sim.observer.Note(sim.loop.Now(), "engine %d: process ended", proc.place)
 	proc.removed = proc.removed || forGood
 	proc.terminate(false)
 	sim.discovery.detect(sim, proc, decide.EndpointRemoved)
 }
 
-// setUnresponsive cuts an engine off from the network, or connects it again. Its process keeps running.
+// setUnresponsive cuts an engine off from the network, or connects it again. The engine's process keeps running.
 func (sim *Simulation) setUnresponsive(proc *engineProcess, unresponsive bool) {
 	if !proc.running || proc.unresponsive == unresponsive {
 		return
 	}
 	proc.unresponsive = unresponsive
 	if unresponsive {
-		sim.observer.Note(sim.loop.Now(), "engine %d becomes unresponsive", proc.place)
+		sim.observer.Note(sim.loop.Now(), "engine %d unresponsive: true", proc.place)
 		sim.loop.After(sim.discovery.detectionDelay(sim, true), func() {
 			if proc.unresponsive && proc.running {
 				sim.discovery.changeDetected(sim, proc, decide.EndpointRemoved, 0)
@@ -134,13 +134,13 @@
 		})
 		return
 	}
-	sim.observer.Note(sim.loop.Now(), "engine %d is responsive again", proc.place)
-	if sim.discovery.state[proc] == decide.EndpointRemoved {
+	sim.observer.Note(sim.loop.Now(), "engine %d unresponsive: false", proc.place)
+	if sim.discovery.states[proc] == decide.EndpointRemoved {
 		sim.discovery.detect(sim, proc, decide.EndpointReady)
 	}
 }
 
-// restartCoordinator starts a coordinator, unless it is running because another fault has ended.
+// restartCoordinator starts a coordinator that a fault has ended, unless the end of another fault has already started it.
 func (sim *Simulation) restartCoordinator(index int) {
 	c := sim.coordinators[index]
 	if c.running {
--- a/internal/emulator/simulation/inputs.go
+++ b/internal/emulator/simulation/inputs.go
@@ -11,8 +11,8 @@
 	attemptEndedInput struct {
 		attempt *attempt
 		outcome decide.Outcome
-		job     *engine.Job        // of a successful attempt
-		load    *decide.LoadReport // nil: the answer has none
+		job     *engine.Job        // job of a successful attempt
+		load    *decide.LoadReport // load report in the answer; nil: none
 	}
 	timeoutInput    struct{ attempt *attempt }
 	disconnectInput struct{ request *openRequest }
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -17,7 +17,7 @@
 }
 
 // sendGossip delivers a datagram to one coordinator or to all others. Each copy may be lost; the bytes of
-// those that arrive count.
+// those that arrive count towards Totals.GossipBytes.
 func (sim *Simulation) sendGossip(from *coordinator, action decide.SendGossip) {
 	network := sim.scenario.Coordinators
 	for _, to := range sim.coordinators {
@@ -37,7 +37,7 @@
 	}
 }
 
-// releaseConnection ends an attempt's use of its connection, once: it becomes idle or is closed.
+// releaseConnection ends an attempt's use of its connection, once. A reusable connection becomes idle, any other is closed.
 func (proc *engineProcess) releaseConnection(a *attempt, reusable bool) {
 	if a.connectionReleased || proc.incarnation != a.engineIncarnation || !proc.running {
 		return
@@ -57,7 +57,8 @@
 
 func (p *connectionPool) put(now float64) { p.idle = append(p.idle, now) }
 
-// take takes the most recently used connection and reports whether there was one. It closes those that were idle for idleMS.
+// take takes the most recently used connection and reports whether there was one. It closes the
+// connections that have been idle for idleMS.
 func (p *connectionPool) take(proc *engineProcess, now, idleMS float64) bool {
 	for len(p.idle) > 0 && p.idle[0]+idleMS <= now {
 		p.idle = p.idle[1:]
@@ -107,7 +108,7 @@
 	return sim.jitter((sim.scenario.Network.ClientMS.Min + sim.scenario.Network.ClientMS.Max) / 2)
 }
 
-// jitter draws a delay around a mean of ms.
+// jitter draws a delay, in ms, around the given mean.
 func (sim *Simulation) jitter(ms float64) float64 {
 	return ms * (1 + sim.scenario.Network.Jitter*(2*sim.networkRand.Float64()-1))
 }
--- a/internal/emulator/simulation/rules_test.go
+++ b/internal/emulator/simulation/rules_test.go
@@ -17,11 +17,11 @@
 
 // scriptedPolicy handles arrived requests and ended attempts by the functions of a test case, to violate a rule.
 type scriptedPolicy struct {
-	settings decide.Settings
-	engines  []decide.EndpointID // all engines ever listed, in order of their first notification
-	arrived  func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
-	ended    func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
-	next     int
+	settings  decide.Settings
+	engines   []decide.EndpointID // all engines ever listed, in order of their first notification
+	onArrival func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
+	onEnd     func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
+	next      int // index of the engine that nextEngine returned last, before the modulo
 }
 
 func (c *scriptedPolicy) Handle(_ decide.Millis, ev decide.Event) []decide.Action {
@@ -37,28 +37,28 @@
 			}
 		}
 	case decide.RequestArrived:
-		return c.arrived(c, ev)
+		return c.onArrival(c, ev)
 	case decide.AttemptEnded:
 		if ev.RequestClosed {
 			return nil
 		}
-		if c.ended != nil {
-			return c.ended(c, ev)
+		if c.onEnd != nil {
+			return c.onEnd(c, ev)
 		}
 		return []decide.Action{decide.Fail{ID: ev.ID}}
 	}
 	return nil
 }
 
-// any returns one of the engines, in turn.
-func (c *scriptedPolicy) any() decide.EndpointID {
+// nextEngine returns the engines in turn.
+func (c *scriptedPolicy) nextEngine() decide.EndpointID {
 	c.next++
 	return c.engines[c.next%len(c.engines)]
 }
 
 func (c *scriptedPolicy) startAttempts(ev decide.RequestArrived, n int) (l []decide.Action) {
 	for range n {
-		l = append(l, decide.StartAttempt{ID: ev.ID, Endpoint: c.any(), Timeout: ev.TimeLeft})
+		l = append(l, decide.StartAttempt{ID: ev.ID, Endpoint: c.nextEngine(), Timeout: ev.TimeLeft})
 	}
 	return l
 }
@@ -71,32 +71,32 @@
 	type act = []decide.Action
 	zero := 0.0
 	for rule, breach := range map[string]struct {
-		change  func(s *scenario.Scenario)
-		arrived func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
-		ended   func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
+		change    func(s *scenario.Scenario)
+		onArrival func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
+		onEnd     func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
 	}{
-		observer.RuleOneAnswer: {arrived: func(*scriptedPolicy, decide.RequestArrived) act { return nil }},
-		observer.RuleNoDuplicateEffects: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act {
+		observer.RuleOneAnswer: {onArrival: func(*scriptedPolicy, decide.RequestArrived) act { return nil }},
+		observer.RuleNoDuplicateEffects: {onArrival: func(c *scriptedPolicy, ev decide.RequestArrived) act {
 			return append(c.startAttempts(ev, 1), decide.Reject{ID: ev.ID})
 		}},
-		observer.RuleRanOnce: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act { return c.startAttempts(ev, 2) }},
-		observer.RuleDrain: {arrived: sendOnce, change: func(s *scenario.Scenario) {
+		observer.RuleRanOnce: {onArrival: func(c *scriptedPolicy, ev decide.RequestArrived) act { return c.startAttempts(ev, 2) }},
+		observer.RuleDrain: {onArrival: sendOnce, change: func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: scenario.FaultDrain, AtMS: scenario.Range{Min: 1000, Max: 1000}, Engines: []int{2}}}
 			s.Discovery.DetectionMS = scenario.Range{}
 		}},
-		observer.RuleSlowStart: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act {
+		observer.RuleSlowStart: {onArrival: func(c *scriptedPolicy, ev decide.RequestArrived) act {
 			return act{decide.StartAttempt{ID: ev.ID, Endpoint: c.engines[len(c.engines)-1], Timeout: ev.TimeLeft}}
 		}, change: func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{Kind: scenario.FaultJoin, AtMS: scenario.Range{Min: 500, Max: 500}, Count: 1}}
 			s.Discovery.DetectionMS = scenario.Range{}
 		}},
-		observer.RuleKeyOrder:  {arrived: sendOnce, change: func(s *scenario.Scenario) { s.Classes[0].OrderedByKey = true }},
-		observer.RulePlacement: {arrived: sendOnce, change: func(s *scenario.Scenario) { s.Classes[0].AllowedZones = []int{1} }},
-		observer.RuleRetryBudget: {arrived: sendOnce, ended: func(c *scriptedPolicy, ev decide.AttemptEnded) act {
-			return act{decide.StartAttempt{ID: ev.ID, Endpoint: c.any(), Timeout: 1000}}
+		observer.RuleKeyOrder:  {onArrival: sendOnce, change: func(s *scenario.Scenario) { s.Classes[0].OrderedByKey = true }},
+		observer.RulePlacement: {onArrival: sendOnce, change: func(s *scenario.Scenario) { s.Classes[0].AllowedZones = []int{1} }},
+		observer.RuleRetryBudget: {onArrival: sendOnce, onEnd: func(c *scriptedPolicy, ev decide.AttemptEnded) act {
+			return act{decide.StartAttempt{ID: ev.ID, Endpoint: c.nextEngine(), Timeout: 1000}}
 		}, change: func(s *scenario.Scenario) { s.Rules.RetryRatio, s.Engines.ErrorRate = &zero, 0.2 }},
-		observer.RuleMaxAttempts: {arrived: func(c *scriptedPolicy, ev decide.RequestArrived) act { return c.startAttempts(ev, 4) }},
-		observer.RuleKnownEndpoint: {arrived: func(_ *scriptedPolicy, ev decide.RequestArrived) act {
+		observer.RuleMaxAttempts: {onArrival: func(c *scriptedPolicy, ev decide.RequestArrived) act { return c.startAttempts(ev, 4) }},
+		observer.RuleKnownEndpoint: {onArrival: func(_ *scriptedPolicy, ev decide.RequestArrived) act {
 			return act{decide.StartAttempt{ID: ev.ID, Endpoint: 1, Timeout: ev.TimeLeft}}
 		}},
 	} {
@@ -114,7 +114,7 @@
 			}
 			var names []string
 			for _, violations := range run(func(settings decide.Settings, _ uint64) (policy.Policy, error) {
-				return &scriptedPolicy{settings: settings, arrived: breach.arrived, ended: breach.ended}, nil
+				return &scriptedPolicy{settings: settings, onArrival: breach.onArrival, onEnd: breach.onEnd}, nil
 			}).Rules {
 				names = append(names, violations.Rule)
 			}
--- a/internal/emulator/simulation/settings_test.go
+++ b/internal/emulator/simulation/settings_test.go
@@ -87,8 +87,8 @@
 		case 4:
 			addFault(scenario.Fault{Kind: scenario.FaultHeavyTail, AffectedRatio: fixed(0.02), Magnitude: fixed(between(6, 30))})
 		case 5:
-			every := between(23000, 39000) / (0.93 * float64(e.Count)) // as in a release that replaces 93% of the engines in 23 to 39 s
-			addFault(scenario.Fault{Kind: scenario.FaultRollingReplace, IntervalMS: fixed(every)})
+			intervalMS := between(23000, 39000) / (0.93 * float64(e.Count)) // as in a release that replaces 93% of the engines in 23 to 39 s
+			addFault(scenario.Fault{Kind: scenario.FaultRollingReplace, IntervalMS: fixed(intervalMS)})
 		case 6:
 			addFault(scenario.Fault{Kind: scenario.FaultCrash, Engines: []int{rng.IntN(e.Count)}})
 		case 7:
@@ -117,8 +117,8 @@
 // comparison holds the results of the module and the random policy on one generated site.
 type comparison struct {
 	module, random *observer.Report
-	behind         float64 // mean service of the random policy minus that of the module
-	runs           float64
+	shortfall      float64 // mean service of the random policy minus that of the module
+	runs           float64 // number of runs over which shortfall is the mean
 }
 
 func runSite(t *testing.T, seed, run uint64, policyName string) *observer.Report {
@@ -137,17 +137,17 @@
 func compareOnSite(t *testing.T, seed uint64) comparison {
 	t.Helper()
 	c := comparison{module: runSite(t, seed, 0, policy.Module), random: runSite(t, seed, 0, "random"), runs: 1}
-	c.behind = c.random.Service - c.module.Service
-	if c.random.RulesBroken > 0 || c.behind <= repeatMargin {
+	c.shortfall = c.random.Service - c.module.Service
+	if c.random.RulesBroken > 0 || c.shortfall <= repeatMargin {
 		return c
 	}
 	for run := uint64(1); run <= repeatRuns; run++ {
 		module, random := runSite(t, seed, run, policy.Module), runSite(t, seed, run, "random")
-		c.behind += random.Service - module.Service
+		c.shortfall += random.Service - module.Service
 		c.runs++
 		c.module.RulesBroken += module.RulesBroken
 	}
-	c.behind /= c.runs
+	c.shortfall /= c.runs
 	return c
 }
 
@@ -157,8 +157,8 @@
 	if c.module.RulesBroken > 0 {
 		t.Errorf("site %d: rules violated: %+v", seed, c.module.Rules)
 	}
-	if c.random.RulesBroken == 0 && c.behind > failMargin {
-		t.Errorf("site %d: %.3f behind the random policy, over %.0f runs (%.3f, random %.3f in the first)", seed, c.behind, c.runs,
+	if c.random.RulesBroken == 0 && c.shortfall > failMargin {
+		t.Errorf("site %d: %.3f behind the random policy, over %.0f runs (%.3f, random %.3f in the first)", seed, c.shortfall, c.runs,
 			c.module.Service, c.random.Service)
 	}
 }
@@ -169,7 +169,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var module, random float64
+	var moduleService, randomService float64
 	for n := range uint64(*siteCount) {
 		seed := n
 		if n == 0 {
@@ -181,12 +181,12 @@
 			c := compareOnSite(t, seed)
 			mu.Lock()
 			defer mu.Unlock()
-			module += c.module.Service
-			random += c.random.Service
+			moduleService += c.module.Service
+			randomService += c.random.Service
 			c.check(t, seed)
 		})
 	}
 	wg.Wait()
-	t.Logf("%d generated sites: mean service %.3f, of the random policy %.3f", *siteCount, module/float64(*siteCount), random/float64(*siteCount))
-	require.Positive(t, random)
+	t.Logf("%d generated sites: mean service %.3f, of the random policy %.3f", *siteCount, moduleService/float64(*siteCount), randomService/float64(*siteCount))
+	require.Positive(t, randomService)
 }
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -21,7 +21,7 @@
 	Seed   uint64
 	Policy string
 	// New creates the policy of one coordinator. If it is nil, Policy names the policy.
-	New func(set decide.Settings, seed uint64) (policy.Policy, error)
+	New func(settings decide.Settings, seed uint64) (policy.Policy, error)
 	// Progress is called with the virtual time at regular intervals. It may be nil.
 	Progress func(nowMS, endMS float64)
 }
@@ -38,7 +38,7 @@
 	engines         []*engineProcess
 	enginesByID     map[decide.EndpointID]*engineProcess
 	coordinators    []*coordinator
-	stepScheduled   bool
+	stepScheduled   bool // whether the next step of the coordinators is scheduled
 	discovery       discovery
 	frontProxy      *clients.FrontProxy
 	networkRand     *rand.Rand
@@ -46,14 +46,14 @@
 	errorRand       *rand.Rand
 	badPlanRand     *rand.Rand
 	gossipRand      *rand.Rand
-	reportDelayMS   float64
+	reportDelayMS   float64 // additional delay of load reports
 	engineRand      *rand.Rand
 	endpointIDRand  *rand.Rand
-	fleetSlowdown   float64           // 1: normal speed
-	jobs            uint64            // started so far
-	coreWorkRatio   float64           // part of the work that is done on cores
-	endedWork       engine.WorkTotals // of processes that have ended
-	tries           uint64            // made so far
+	fleetSlowdown   float64           // factor of all engines' execution times; 1: normal speed
+	jobs            uint64            // number of jobs started so far
+	coreWorkRatio   float64           // part of all queries' work that is done on cores
+	endedWork       engine.WorkTotals // work totals of engine processes that have ended
+	tries           uint64            // number of clients' tries so far
 }
 
 // Run simulates a scenario to its end.
@@ -95,8 +95,8 @@
 	sim.engineRand, sim.endpointIDRand = stream("engines"), stream("engine ids")
 	sim.discovery.rng, sim.frontProxy = stream("roster"), clients.NewFrontProxy(s, stream("front"))
 	if sim.options.New == nil {
-		sim.options.New = func(set decide.Settings, seed uint64) (policy.Policy, error) {
-			return policy.New(opt.Policy, set, seed)
+		sim.options.New = func(settings decide.Settings, seed uint64) (policy.Policy, error) {
+			return policy.New(opt.Policy, settings, seed)
 		}
 	}
 	sim.addEngines()
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// workTolerance is the rounding error that the work totals may have, as a ratio of the work.
+// workTolerance is the rounding error that the work totals may have, as a ratio of all work that engines received.
 const workTolerance = 1e-6
 
 // report finishes the observer and returns its report, after a check that work is conserved.
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -15,18 +15,18 @@
 
 // Names returns the names of the embedded scenarios, sorted.
 func Names() []string {
-	l, err := files.ReadDir(".")
+	entries, err := files.ReadDir(".")
 	if err != nil {
-		panic(err) // cannot happen: the files are embedded
+		panic(err) // cannot happen: the directory is embedded
 	}
 	var names []string
-	for _, f := range l {
+	for _, f := range entries {
 		names = append(names, strings.TrimSuffix(f.Name(), ".json"))
 	}
 	return names
 }
 
-// Raw returns the text and the file name of a scenario, which is given by the name of an embedded scenario or as a file.
+// Raw returns the file name and the JSON text of a scenario, given the name of an embedded scenario or the path of a file.
 func Raw(nameOrFile string) (file string, raw []byte, err error) {
 	if raw, err = files.ReadFile(nameOrFile + ".json"); err == nil {
 		return nameOrFile + ".json", raw, nil
@@ -37,7 +37,7 @@
 	return nameOrFile, raw, nil
 }
 
-// Load reads and validates a scenario, which is given by the name of an embedded scenario or as a file.
+// Load reads and validates a scenario, given the name of an embedded scenario or the path of a file.
 func Load(nameOrFile string) (*scenario.Scenario, error) {
 	file, raw, err := Raw(nameOrFile)
 	if err != nil {
