--- a/internal/drill/history.go
+++ b/internal/drill/history.go
@@ -17,14 +17,14 @@
 	Holder       string      `json:"holder"`
 	CalledAtMS   float64     `json:"call_ms"`
 	AppliedAtMS  float64     `json:"at_ms"`
-	ReturnedAtMS float64     `json:"return_ms"` // 0: the owner did not receive the outcome
+	ReturnedAtMS float64     `json:"return_ms"` // time of the return; 0: the owner did not receive the outcome
 	Admitted     bool        `json:"admitted"`
 }
 
 // CheckFencing returns a violation for each write that was admitted after a write under a higher fencing token, or after a
 // write of another holder under the same token. The writes are in the order in which the target applied them.
 func CheckFencing(writes []FencedWrite) (violations []Violation) {
-	lastAdmitted := map[string]FencedWrite{} // by job
+	lastAdmitted := map[string]FencedWrite{} // last admitted write of each job
 	for _, write := range writes {
 		if !write.Admitted {
 			continue
--- a/internal/drill/real.go
+++ b/internal/drill/real.go
@@ -68,7 +68,7 @@
 	fleet           fleetconf.Config // newest configuration, with the replicas' addresses without relays
 	replicaRelays   map[link]*Relay
 	serviceRelays   map[serviceRoute]*Relay
-	datagramRelays  map[link]*DatagramRelay // by the link from the lower to the higher process index
+	datagramRelays  map[link]*DatagramRelay // relays between two processes, by the link from the lower to the higher index
 	faultLog        []string
 	injectedFaults  []injectedFault
 	faulted         map[int]bool // whether a process is killed, shut down or paused now, by process index
--- a/internal/drill/real_config.go
+++ b/internal/drill/real_config.go
@@ -104,9 +104,9 @@
 	return os.WriteFile(file, raw, 0o600)
 }
 
-// environment returns the variables that are added to a process's environment: a directory for temporary files, which is
-// kept after the process ends, and the faults of the process's clock and disk. A process reads these faults only at its start, so the faults
-// must name the process: a role is resolved too late.
+// environment returns the variables that are added to a process's environment: a directory for temporary files, which
+// is kept after the process ends, and the faults of the process's clock and disk. A process reads these faults only at
+// its start, so the faults must name the process: a role is resolved too late.
 func (r *realRun) environment(process int) []string {
 	environment := []string{"TMPDIR=" + r.processDirectory(process)}
 	clock, disk := "", ""
--- a/internal/drill/real_config_test.go
+++ b/internal/drill/real_config_test.go
@@ -12,7 +12,7 @@
 // Coordinators listen with SO_REUSEPORT, so two runs that chose the same address would receive each other's connections.
 // Each run must therefore use its own hosts for replicas and REST listeners.
 func TestConcurrentRealRunsShareNoHost(t *testing.T) {
-	runOf := map[string]int{} // by host
+	runOf := map[string]int{} // number of the run that uses a host, by host
 	for run := range 3 {
 		network, err := loopback.Claim()
 		require.NoError(t, err)
--- a/internal/drill/real_faults.go
+++ b/internal/drill/real_faults.go
@@ -232,7 +232,7 @@
 	if f.Disk == DiskRolledBack {
 		_ = os.RemoveAll(backup)
 		_ = os.CopyFS(backup, os.DirFS(r.replicaDirectory(process)))
-		time.Sleep(downtime / 2) // until the disk is newer than its backup
+		time.Sleep(downtime / 2) // lets the process write, so that the disk becomes newer than the backup
 	}
 	if f.Kind == FaultTerminate {
 		r.controller.Terminate(process)
--- a/internal/drill/real_network.go
+++ b/internal/drill/real_network.go
@@ -7,8 +7,8 @@
 	"aniseloft/internal/emulator/live"
 )
 
-// maxServiceRelays limits the number of relays to services. Once the limit is reached, further engines are reached without a
-// relay.
+// maxServiceRelays limits the number of relays to services. Once the limit is reached, further engines are reached
+// without a relay.
 const maxServiceRelays = 256
 
 // Effects of FaultLossyNetwork. TCP retransmits lost bytes, so that a lossy network delays streams and lowers their
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -91,7 +91,7 @@
 }
 
 func (r *Relay) acceptLoop() {
-	const retryAfter = time.Millisecond // after an error such as a lack of file descriptors
+	const retryAfter = time.Millisecond // pause after an Accept error such as a lack of file descriptors
 	for {
 		connection, err := r.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/drill/unowned.go
+++ b/internal/drill/unowned.go
@@ -16,8 +16,8 @@
 	causeBeforeFault = FaultKind("start") // cause of a time without an owner that begins before any fault
 )
 
-// unownedTimes holds, for each cause, a histogram of the times in ms in which a job had no owner. The cause is the kind of
-// the last fault before that time.
+// unownedTimes holds, for each cause, a histogram of the times in ms in which a job had no owner. The cause is the kind
+// of the last fault before that time.
 type unownedTimes map[FaultKind]*hdrhistogram.Histogram
 
 func (u unownedTimes) add(cause FaultKind, ms float64) {
--- a/internal/drill/virtual.go
+++ b/internal/drill/virtual.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// find returns the process with the given name, but no duplicate that FaultDuplicateName started. It returns nil if there is no such process.
+// find returns the process with the given name, but no duplicate that FaultDuplicateName started. It returns nil if
+// there is no such process.
 func (s *simulation) find(name string) *process {
 	for _, p := range s.processes {
 		if p.name == name && !p.isDuplicate {
--- a/internal/drill/virtual_checks.go
+++ b/internal/drill/virtual_checks.go
@@ -7,7 +7,8 @@
 	"aniseloft/internal/lease"
 )
 
-// sampleIntervalMS is the interval between two checks for the owners of jobs. Times without an owner have this resolution.
+// sampleIntervalMS is the interval between two checks for the owners of jobs. Times without an owner have this
+// resolution.
 const sampleIntervalMS = 10.0
 
 // sampleOwners checks every sampleIntervalMS which jobs have a running owner, and that no job has two owners.
--- a/internal/drill/virtual_faults.go
+++ b/internal/drill/virtual_faults.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// addDuplicate runs a second process with the name of another for a duration. The second process has its own clock and disk.
+// addDuplicate runs a second process with the name of another for a duration. The second process has its own clock and
+// disk.
 func (s *simulation) addDuplicate(name string, durationMS float64) {
 	const (
 		maxClockOffsetMS  = 1e6
--- a/internal/drill/virtual_process.go
+++ b/internal/drill/virtual_process.go
@@ -23,7 +23,7 @@
 	client   *lease.Client
 	resolver *lease.LeaderResolver
 
-	replica        *consensus.Replica // nil: the process is not in the consensus group
+	replica        *consensus.Replica // replica of the consensus group that the process runs; nil: none
 	replicaID      uint64             // identity of the replica on the disk; 0: the disk is new
 	disk           consensus.PersistentState
 	diskHistory    []consensus.PersistentState // earlier states, to which the disk may be rolled back
@@ -115,7 +115,8 @@
 	})
 }
 
-// end kills the process, or shuts it down gracefully, as the fault says, and restarts it. A paused process is always killed.
+// end kills the process, or shuts it down gracefully, as the fault says, and restarts it. A paused process is always
+// killed.
 func (p *process) end(f Fault) {
 	if f.Kind == FaultKill || p.paused {
 		p.kill(f)
--- a/internal/emulator/des/des.go
+++ b/internal/emulator/des/des.go
@@ -87,8 +87,8 @@
 	return top
 }
 
-// Stream returns a random source for one use in a simulation, such as "arrivals"; this use is its concern. The streams of one seed are independent: the
-// numbers that one concern draws do not affect those of another.
+// Stream returns the random source of one concern of a simulation, such as "arrivals". The streams of
+// one seed are independent: the numbers that one concern draws do not affect those of another.
 func Stream(seed uint64, concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
--- a/internal/emulator/engine/job.go
+++ b/internal/emulator/engine/job.go
@@ -23,11 +23,11 @@
 	state     state
 	seq       int // order of arrival
 	grantedMB int64
-	total     float64         // see Total
+	total     float64         // work at this engine in ms, as Total returns it
 	ioWork    float64         // part of total that is done on disks
 	finish    float64         // value of the share's clock at which the job is done
 	workLeft  float64         // part of total that is not done yet; valid while the job has no share
-	share     *processorShare // nil: the job does not run
+	share     *processorShare // processor share that runs the job; nil: the job does not run
 	index     int             // position in the heap of the job's share
 }
 
--- a/internal/emulator/live/addresses_test.go
+++ b/internal/emulator/live/addresses_test.go
@@ -43,7 +43,7 @@
 	var listening, ended sync.WaitGroup
 	listening.Add(rehearsals)
 	var mu sync.Mutex
-	rehearsalOf := map[string]int{} // by host
+	rehearsalOf := map[string]int{} // number of the rehearsal that uses a host, by host
 	for rehearsal := range rehearsals {
 		ended.Go(func() {
 			var once sync.Once
--- a/internal/emulator/live/client.go
+++ b/internal/emulator/live/client.go
@@ -131,8 +131,8 @@
 	return observer.Failed, 0
 }
 
-// finish ends the try with its result. The request stays registered for requestRetentionMS, because late messages may still
-// reach an engine.
+// finish ends the try with its result. The request stays registered for requestRetentionMS, because late messages may
+// still reach an engine.
 func (t *try) finish(result observer.TryResult, retryAfterMS float64) {
 	d := t.client.rehearsal
 	t.once.Do(func() {
@@ -176,8 +176,8 @@
 // the coordinator's close: the protocol allows 50 ms, to which socketSlackMS is added. The client sends such a request again.
 const closeCrossingWindowMS = 50.0 + socketSlackMS
 
-// connectionLost handles a connection that ended without an answer. That is a violation, unless the coordinator was killed.
-// If the request may have crossed the close, Options.Unanswered decides.
+// connectionLost handles a connection that ended without an answer. That is a violation, unless the coordinator was
+// killed. If the request may have crossed the close, Options.Unanswered decides.
 func (d *Rehearsal) connectionLost(at float64, t *try) {
 	r := t.request
 	wasKilled := at <= d.lossExcusedUntil(r.coordinator)
--- a/internal/emulator/live/client_pool.go
+++ b/internal/emulator/live/client_pool.go
@@ -52,7 +52,8 @@
 	} `json:"error"`
 }
 
-// errNoConnection is returned when all connections of a pool with isFixed set are closed or at their limit of open requests.
+// errNoConnection is returned when all connections of a pool with isFixed set are closed or at their limit of open
+// requests.
 var errNoConnection = errors.New("no open connection to the coordinator")
 
 // close closes the connections.
--- a/internal/emulator/live/controller.go
+++ b/internal/emulator/live/controller.go
@@ -32,8 +32,8 @@
 // Kill ends a coordinator with SIGKILL.
 func (r *Controller) Kill(n int) { r.rehearsal.killCoordinator(n) }
 
-// frontProxyDrainDelay is the time for which, after a coordinator's SIGTERM, the protocol lets the front proxy open connections to
-// the coordinator.
+// frontProxyDrainDelay is the time for which, after a coordinator's SIGTERM, the protocol lets the front proxy open
+// connections to the coordinator.
 const frontProxyDrainDelay = 300 * time.Millisecond
 
 // Terminate shuts a coordinator down gracefully, and waits until it has ended.
--- a/internal/emulator/live/coordinators.go
+++ b/internal/emulator/live/coordinators.go
@@ -192,8 +192,8 @@
 	return fmt.Errorf("coordinator %d did not pass its health check within %v; see its log", p.index, startTimeout)
 }
 
-// stopCoordinator sends a coordinator a signal, and SIGKILL if the process still runs 10 s later. It waits for the end of the
-// process.
+// stopCoordinator sends a coordinator a signal, and SIGKILL if the process still runs 10 s later. It waits for the end
+// of the process.
 func (d *Rehearsal) stopCoordinator(p *coordinator, sig syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -222,7 +222,8 @@
 	return -1
 }
 
-// killGraceMS is the time after the kill of a coordinator within which a lost connection counts as an effect of the kill.
+// killGraceMS is the time after the kill of a coordinator within which a lost connection counts as an effect of the
+// kill.
 const killGraceMS = 1000.0
 
 func (d *Rehearsal) killCoordinator(n int) {
@@ -244,8 +245,8 @@
 	return p.endRequested
 }
 
-// afterDetection calls f, which changes which coordinators the front proxy believes to be alive, after the proxy's detection
-// delay.
+// afterDetection calls f, which changes which coordinators the front proxy believes to be alive, after the proxy's
+// detection delay.
 func (d *Rehearsal) afterDetection(f func()) {
 	d.frontProxyMu.Lock()
 	delay := d.frontProxy.DetectionDelay()
--- a/internal/emulator/live/discovery.go
+++ b/internal/emulator/live/discovery.go
@@ -4,8 +4,8 @@
 	"aniseloft/decide"
 )
 
-// endpointChanged publishes the new state of an engine after the detection and propagation delays of the scenario, or later if
-// the journal service is unavailable then.
+// endpointChanged publishes the new state of an engine after the detection and propagation delays of the scenario, or
+// later if the journal service is unavailable then.
 func (d *Rehearsal) endpointChanged(e *Engine, state decide.EndpointState, unresponsive bool) {
 	d.mu.Lock()
 	detectionMS := d.scenario.Discovery.DetectionMS
@@ -34,7 +34,8 @@
 	})
 }
 
-// publishPending publishes the changes that were delayed while the journal service was unavailable, if it is available again.
+// publishPending publishes the changes that were delayed while the journal service was unavailable, if it is available
+// again.
 func (d *Rehearsal) publishPending(available bool) {
 	if !available {
 		return
--- a/internal/emulator/live/discovery_service.go
+++ b/internal/emulator/live/discovery_service.go
@@ -108,8 +108,8 @@
 	j.changed = make(chan struct{})
 }
 
-// entriesAfter returns the events after a position, a channel that is closed at the next change, and whether the service is
-// unavailable.
+// entriesAfter returns the events after a position, a channel that is closed at the next change, and whether the
+// service is unavailable.
 func (j *discoveryService) entriesAfter(tail int) (events []entry, wake chan struct{}, down bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/emulator/live/engine.go
+++ b/internal/emulator/live/engine.go
@@ -130,7 +130,8 @@
 	return e.clock.FromWallTime(c.MessageBegan())
 }
 
-// startProcess starts a new process, which warms up from warmUpStart on. If warmUpStart is negative, the process is warm.
+// startProcess starts a new process, which warms up from warmUpStart on. If warmUpStart is negative, the process is
+// warm.
 func (e *Engine) startProcess(warmUpStart, fleetSlowdown float64) error {
 	if err := e.listen(); err != nil {
 		return err
--- a/internal/emulator/live/engine_http.go
+++ b/internal/emulator/live/engine_http.go
@@ -203,8 +203,8 @@
 	w.Header().Set("X-Num", strconv.FormatFloat(value, 'f', 3, 64))
 }
 
-// unknownQuery returns a request for a query that no client of the rehearsal sent, as when only engines are served. The query
-// has the mean work and memory of its class. The request is nil if there is no such class.
+// unknownQuery returns a request for a query that no client of the rehearsal sent, as when only engines are served. The
+// query has the mean work and memory of its class. The request is nil if there is no such class.
 func (e *Engine) unknownQuery(class, statement string) *clientRequest {
 	for i, candidate := range e.scenario.Classes {
 		if candidate.Name == class {
--- a/internal/emulator/live/events.go
+++ b/internal/emulator/live/events.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// restartCoordinator starts a coordinator that a fault has ended, unless the end of another fault has already started it.
+// restartCoordinator starts a coordinator that a fault has ended, unless the end of another fault has already started
+// it.
 func (d *Rehearsal) restartCoordinator(ctx context.Context, index int) {
 	if len(d.coordinators) == 0 {
 		return
--- a/internal/emulator/live/persistent_client.go
+++ b/internal/emulator/live/persistent_client.go
@@ -40,7 +40,8 @@
 	longQuery  = queryShape{class: 1, workMS: 60000}
 )
 
-// firstPersistentNumber is the lowest number of a persistent client's query. It is above the numbers of all queries of a scenario.
+// firstPersistentNumber is the lowest number of a persistent client's query. It is above the numbers of all queries of
+// a scenario.
 const firstPersistentNumber = 1 << 40
 
 // lastPersistentNumber counts the queries of all persistent clients.
--- a/internal/emulator/live/rehearsal.go
+++ b/internal/emulator/live/rehearsal.go
@@ -38,8 +38,8 @@
 	// ReceivedAt returns when the message that an engine now reads left its coordinator. The engine names its connection by
 	// these two addresses. False means that the connection passes no proxy. Nil: no connection passes a proxy.
 	ReceivedAt func(local, remote net.Addr) (time.Time, bool)
-	// Unanswered is called with the ID of a request that may have crossed the coordinator's close of its connection, and decides
-	// whether that is a violation. Nil: it always is a violation.
+	// Unanswered is called with the ID of a request that may have crossed the coordinator's close of its connection, and
+	// decides whether that is a violation. Nil: it always is a violation.
 	Unanswered func(coordinator int, requestID string)
 	// GossipAddresses returns the addresses to which a coordinator sends datagrams for its peers. Nil: peers itself.
 	GossipAddresses func(n int, peers []string) ([]string, error)
--- a/internal/emulator/live/shutdown.go
+++ b/internal/emulator/live/shutdown.go
@@ -45,10 +45,10 @@
 	return time.Duration((min(longest, maxCountedDeadlineMS) + killAfterDeadlineMS) * float64(time.Millisecond))
 }
 
-// Shutdown shuts a coordinator down as the platform does: it sends a series of signals with SIGTERM while clients go on using
-// their open connections, and SIGKILL at the earliest time at which the platform may. A coordinator that has to be killed
-// violates the rule of one answer. Shutdown calls unanswered with the ID of each request whose connection the coordinator
-// closed without an answer; such a request violates a rule if the coordinator had read it.
+// Shutdown shuts a coordinator down as the platform does: it sends a series of signals with SIGTERM while clients go on
+// using their open connections, and SIGKILL at the earliest time at which the platform may. A coordinator that has to
+// be killed violates the rule of one answer. Shutdown calls unanswered with the ID of each request whose connection the
+// coordinator closed without an answer; such a request violates a rule if the coordinator had read it.
 func (r *Controller) Shutdown(n int, series SignalSeries, rng *rand.Rand, unanswered func(requestID string)) {
 	d := r.rehearsal
 	p := d.coordinators[n]
@@ -97,8 +97,8 @@
 // noSignal is the argument of terminateAndKill that means that no signal may end the process.
 const noSignal = syscall.Signal(-1)
 
-// terminateAndKill sends SIGTERM, calls afterTerm, and sends SIGKILL after earliestKill if the process still runs. The process
-// must exit with code 0 or be ended by allowedSignal; anything else violates the rule of one answer.
+// terminateAndKill sends SIGTERM, calls afterTerm, and sends SIGKILL after earliestKill if the process still runs. The
+// process must exit with code 0 or be ended by allowedSignal; anything else violates the rule of one answer.
 func (d *Rehearsal) terminateAndKill(p *coordinator, afterTerm func(), allowedSignal syscall.Signal) {
 	d.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -173,8 +173,9 @@
 	_ = os.WriteFile(path, valid, 0o600)
 }
 
-// OpenUnusedConnections opens connections to a coordinator that carry no complete request: they idle, stop in the middle of a
-// message, or are closed and opened again. It spreads their opening over half of the duration; the connections are closed at its end.
+// OpenUnusedConnections opens connections to a coordinator that carry no complete request: they idle, stop in the
+// middle of a message, or are closed and opened again. It spreads their opening over half of the duration; the
+// connections are closed at its end.
 func (r *Controller) OpenUnusedConnections(n, connections int, duration time.Duration) {
 	d := r.rehearsal
 	d.note("%d connections without requests are opened to coordinator %d", connections, n)
--- a/internal/emulator/observer/observer.go
+++ b/internal/emulator/observer/observer.go
@@ -173,9 +173,9 @@
 	o.close(at, coord, r, closedByAnswer)
 }
 
-// AnswerReceived records a final answer when the client reads it; at is the time of its arrival. If the client reads late,
-// ClientDisconnected may be called first. Then an answer that arrived before the client left still counts as the request's
-// answer, and a later one is ignored.
+// AnswerReceived records a final answer when the client reads it; at is the time of its arrival. If the client reads
+// late, ClientDisconnected may be called first. Then an answer that arrived before the client left still counts as the
+// request's answer, and a later one is ignored.
 func (o *Observer) AnswerReceived(at float64, coord int, r *Request, kind TryResult) {
 	if r.closedBy != closedByDisconnect {
 		o.RequestAnswered(at, coord, r, kind)
@@ -321,8 +321,8 @@
 	}
 }
 
-// EngineOverloaded records an engine that failed of overload while it warmed up. NotifiedRatio is the part of the engine's load that
-// came from coordinators that had been notified of its start.
+// EngineOverloaded records an engine that failed of overload while it warmed up. NotifiedRatio is the part of the
+// engine's load that came from coordinators that had been notified of its start.
 func (o *Observer) EngineOverloaded(at float64, id decide.EndpointID, notifiedRatio float64) {
 	o.totals.Overloaded++
 	o.Note(at, "engine %d fails of overload", id)
--- a/internal/emulator/observer/report.go
+++ b/internal/emulator/observer/report.go
@@ -24,7 +24,8 @@
 	Events      int                  `json:"events"`
 }
 
-// ClassReport is the result of one class. Latencies are those of served queries, from the first try to the answer, in ms.
+// ClassReport is the result of one class. Latencies are those of served queries, from the first try to the answer, in
+// ms.
 type ClassReport struct {
 	Name        string  `json:"name"`
 	Service     float64 `json:"service"`
--- a/internal/emulator/receivetime/conn.go
+++ b/internal/emulator/receivetime/conn.go
@@ -22,13 +22,14 @@
 	rawConn syscall.RawConn
 
 	mu             sync.Mutex // guards the fields below
-	latestRead     time.Time  // see LatestRead
-	messageBegan   time.Time  // see MessageBegan
+	latestRead     time.Time  // value that LatestRead returns
+	messageBegan   time.Time  // value that MessageBegan returns
 	atMessageStart bool       // the next bytes that are read begin a message
 }
 
-// New enables the kernel's receive time stamps on a connection, which the returned Conn owns from then on. The kernel starts
-// to take time stamps some milliseconds after they are first enabled; bytes that arrived before get the time of their Read.
+// New enables the kernel's receive time stamps on a connection, which the returned Conn owns from then on. The kernel
+// starts to take time stamps some milliseconds after they are first enabled; bytes that arrived before get the time of
+// their Read.
 func New(c *net.TCPConn) (*Conn, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/emulator/scenario/timeline.go
+++ b/internal/emulator/scenario/timeline.go
@@ -53,7 +53,7 @@
 // Timeline is the faults of a run, generated from its seed.
 type Timeline struct {
 	Spans       []FaultSpan
-	Events      []Event // in order of time
+	Events      []Event // starts, changes and ends of faults, in order of time
 	EngineCount int     // number of engines of the whole run; the initial fleet has the lowest indexes
 	bursts      []burst // bursts of faults
 	wavePhase   float64
@@ -245,7 +245,8 @@
 	return fmt.Sprintf("coordinators %v crash", f.Coordinators)
 }
 
-// restartDrainMS is the time for which a restarting engine drains, and the minimum time for an engine that drains for good.
+// restartDrainMS is the time for which a restarting engine drains, and the minimum time for an engine that drains for
+// good.
 const restartDrainMS = 3000.0
 
 // addEngineFault adds the events of a fault of one engine.
--- a/internal/emulator/simulation/actions.go
+++ b/internal/emulator/simulation/actions.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// performCancel cancels an attempt that has not ended. The coordinator handles the outcome of the attempt in its next step.
+// performCancel cancels an attempt that has not ended. The coordinator handles the outcome of the attempt in its next
+// step.
 func (c *coordinator) performCancel(action decide.CancelAttempt) {
 	r := c.requests[action.ID]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
--- a/internal/emulator/simulation/attempts.go
+++ b/internal/emulator/simulation/attempts.go
@@ -26,7 +26,7 @@
 	coordinator         *coordinator
 	request             *openRequest
 	index               int            // position in the request's attempts
-	engine              *engineProcess // nil: the attempt was not sent
+	engine              *engineProcess // engine to which the attempt is sent; nil: it was not sent
 	startedAt, deadline float64
 	grantMB             float64
 	priority            int
@@ -38,8 +38,8 @@
 	job                 *engine.Job
 }
 
-// attemptEnded handles an attempt's outcome. Job is the engine's job if the attempt succeeded; load is the load report of the
-// answer, or nil.
+// attemptEnded handles an attempt's outcome. Job is the engine's job if the attempt succeeded; load is the load report
+// of the answer, or nil.
 func (c *coordinator) attemptEnded(now float64, a *attempt, outcome decide.Outcome, job *engine.Job, load *decide.LoadReport) {
 	if a.ended {
 		return
--- a/internal/emulator/simulation/discovery.go
+++ b/internal/emulator/simulation/discovery.go
@@ -6,8 +6,8 @@
 	"aniseloft/decide"
 )
 
-// discovery simulates the journal service, which lists the engines. Each coordinator receives watch events in order. Changes
-// that are due while the service is unavailable are published once it is available again.
+// discovery simulates the journal service, which lists the engines. Each coordinator receives watch events in order.
+// Changes that are due while the service is unavailable are published once it is available again.
 type discovery struct {
 	rng                 *rand.Rand
 	unavailable         bool
--- a/internal/emulator/simulation/events.go
+++ b/internal/emulator/simulation/events.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// restartCoordinator starts a coordinator that a fault has ended, unless the end of another fault has already started it.
+// restartCoordinator starts a coordinator that a fault has ended, unless the end of another fault has already started
+// it.
 func (sim *Simulation) restartCoordinator(index int) {
 	c := sim.coordinators[index]
 	if c.running {
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// releaseConnection ends an attempt's use of its connection, once. A reusable connection becomes idle, any other is closed.
+// releaseConnection ends an attempt's use of its connection, once. A reusable connection becomes idle, any other is
+// closed.
 func (proc *engineProcess) releaseConnection(a *attempt, reusable bool) {
 	if a.connectionReleased || proc.incarnation != a.engineIncarnation || !proc.running {
 		return
--- a/internal/emulator/simulation/rules_test.go
+++ b/internal/emulator/simulation/rules_test.go
@@ -21,7 +21,7 @@
 	engines   []decide.EndpointID // all engines ever listed, in order of their first notification
 	onArrival func(c *scriptedPolicy, ev decide.RequestArrived) []decide.Action
 	onEnd     func(c *scriptedPolicy, ev decide.AttemptEnded) []decide.Action
-	next      int // index of the engine that nextEngine returned last, before the modulo
+	next      int // number of calls of nextEngine
 }
 
 func (c *scriptedPolicy) Handle(_ decide.Millis, ev decide.Event) []decide.Action {
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -26,7 +26,8 @@
 	return names
 }
 
-// Raw returns the file name and the JSON text of a scenario, given the name of an embedded scenario or the path of a file.
+// Raw returns the file name and the JSON text of a scenario, given the name of an embedded scenario or the path of a
+// file.
 func Raw(nameOrFile string) (file string, raw []byte, err error) {
 	if raw, err = files.ReadFile(nameOrFile + ".json"); err == nil {
 		return nameOrFile + ".json", raw, nil
