--- a/internal/drill/connection_origins.go
+++ b/internal/drill/connection_origins.go
@@ -23,6 +23,7 @@
 	return &connectionOrigins{origins: map[connectionAddresses]*receivetime.Conn{}}
 }
 
+// add records that a connection to a target carries the bytes of the client's connection origin.
 func (o *connectionOrigins) add(target net.Conn, origin *receivetime.Conn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/drill/history.go
+++ b/internal/drill/history.go
@@ -40,6 +40,8 @@
 	return violations
 }
 
+// fencingViolation describes a write that was admitted after the write last, which its fencing token should have ruled
+// out.
 func fencingViolation(write, last FencedWrite) Violation {
 	return Violation{
 		Rule: RuleFence, Process: write.Holder, AtMS: write.AppliedAtMS,
--- a/internal/drill/real.go
+++ b/internal/drill/real.go
@@ -167,6 +167,7 @@
 	return filepath.Join(r.processDirectory(process), "fleet")
 }
 
+// logFault adds a line to the list of faults in the run's result.
 func (r *realRun) logFault(message string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/real_faults.go
+++ b/internal/drill/real_faults.go
@@ -82,6 +82,7 @@
 	r.injectedFaults = append(r.injectedFaults, injectedFault{time.Now(), f.Kind})
 }
 
+// logNotInjected records a fault that a run with real processes cannot inject.
 func (r *realRun) logNotInjected(f Fault) {
 	r.logFault(string(f.Kind) + " was not injected: with real processes its target (who) must be a process name such as n0, and twin works only in virtual time")
 }
@@ -123,6 +124,7 @@
 	return running, replicas
 }
 
+// leader returns the process in running that leads the consensus group, or noProcess.
 func (r *realRun) leader(running []int) int {
 	status := r.coordinationStatus()
 	if status == nil {
@@ -152,6 +154,7 @@
 	return owners
 }
 
+// pickRandom returns one of the processes at random, or noProcess if there are none.
 func (r *realRun) pickRandom(processes []int) int {
 	if len(processes) == 0 {
 		return noProcess
@@ -196,6 +199,7 @@
 	_, _ = coordination.Admin(context.Background(), r.currentFleet(), "", request, adminTimeout)
 }
 
+// setFaulted records whether a process is killed, shut down or paused, so that other faults leave it out.
 func (r *realRun) setFaulted(process int, faulted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,12 +253,14 @@
 	time.AfterFunc(downtime, func() { r.restart(process) })
 }
 
+// setUpgraded records that a process has shut down gracefully, after which it runs RealOptions.Coordinator.
 func (r *realRun) setUpgraded(process int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.upgraded[process] = true
 }
 
+// restart starts a process again. If that fails, it records a violation.
 func (r *realRun) restart(process int) {
 	if err := r.controller.Start(process); err != nil {
 		r.logFault(fmt.Sprintf("%s failed to start: %v", ProcessName(process), err))
@@ -265,6 +271,7 @@
 	r.setFaulted(process, false)
 }
 
+// damageDirectory brings the directory of a replica into the state in which a fault leaves the disk.
 func damageDirectory(disk, backup string, state DiskState) {
 	switch state {
 	case DiskLost:
--- a/internal/drill/real_log.go
+++ b/internal/drill/real_log.go
@@ -102,6 +102,7 @@
 	return summary
 }
 
+// addWrite adds the write that a log line with the message writeMessage describes.
 func (r *realRun) addWrite(summary *logSummary, fields map[string]string) {
 	if fields["unknown"] == "true" {
 		summary.unknown++
@@ -125,6 +126,7 @@
 	return r.sinceStartMS(time.UnixMicro(micros))
 }
 
+// parseLogfmt returns the fields of a log line in the logfmt format, by key.
 func parseLogfmt(line []byte) map[string]string {
 	fields := map[string]string{}
 	decoder := logfmt.NewDecoder(bytes.NewReader(line))
--- a/internal/drill/real_network.go
+++ b/internal/drill/real_network.go
@@ -98,6 +98,7 @@
 	}
 }
 
+// resetReplicaConnections resets all connections between processes and the replicas of others.
 func (r *realRun) resetReplicaConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,6 +151,7 @@
 	}
 }
 
+// disturbDatagrams applies a fault to a relay for datagrams: a partition drops all of them.
 func disturbDatagrams(relay *DatagramRelay, f Fault, duration time.Duration) {
 	if f.Kind == FaultPartition {
 		relay.SetFaults(1, 0, 0)
--- a/internal/drill/relay.go
+++ b/internal/drill/relay.go
@@ -32,6 +32,7 @@
 // NewRelay opens a relay that listens on loopback and forwards connections to target.
 func NewRelay(target string) (*Relay, error) { return newRelay(target, nil) }
 
+// newRelay opens a relay like NewRelay, which records the client's connection of each connection in origins.
 func newRelay(target string, origins *connectionOrigins) (*Relay, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -105,6 +106,7 @@
 	}
 }
 
+// track records an open connection, so that ResetConnections can reset it.
 func (r *Relay) track(connection net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,6 +166,8 @@
 	return !r.closed
 }
 
+// copy copies bytes with the delay of the relay, and only while their direction is not blocked, until either side
+// closes.
 func (r *Relay) copy(to, from net.Conn, blocked *bool) {
 	const bufferSize = 16 << 10
 	buffer := make([]byte, bufferSize)
--- a/internal/drill/soak.go
+++ b/internal/drill/soak.go
@@ -93,6 +93,7 @@
 	call    string // identifier of the request, as logs contain it
 }
 
+// addUnanswered records a request whose connection was closed without an answer, for checkUnanswered.
 func (r *realRun) addUnanswered(process int, call string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/unowned.go
+++ b/internal/drill/unowned.go
@@ -20,6 +20,7 @@
 // of the last fault before that time.
 type unownedTimes map[FaultKind]*hdrhistogram.Histogram
 
+// add records a time without an owner, in ms, under its cause.
 func (u unownedTimes) add(cause FaultKind, ms float64) {
 	if u[cause] == nil {
 		u[cause] = hdrhistogram.New(minUnownedMS, maxUnownedMS, histogramDigits)
--- a/internal/drill/virtual.go
+++ b/internal/drill/virtual.go
@@ -132,6 +132,7 @@
 	}
 }
 
+// logf adds a line with the virtual time to the result's log, if the log is kept.
 func (s *simulation) logf(format string, args ...any) {
 	if s.keepLog {
 		s.result.Log = append(s.result.Log, fmt.Sprintf("%9.1f ", s.loop.Now())+fmt.Sprintf(format, args...))
--- a/internal/drill/virtual_faults.go
+++ b/internal/drill/virtual_faults.go
@@ -99,6 +99,8 @@
 	}
 }
 
+// fillDisk makes writes to the disk fail for a duration. After that, a process whose
+// replica has ended opens it again.
 func (p *process) fillDisk(durationMS float64) {
 	p.diskFull = true
 	p.sim.loop.After(durationMS, func() {
@@ -155,6 +157,7 @@
 	}
 }
 
+// reconfigure gives the process a new list of replicas. A process that joins the list opens its replica.
 func (p *process) reconfigure(replicas []string, generation uint64) {
 	if !p.running {
 		return
--- a/internal/drill/virtual_owner.go
+++ b/internal/drill/virtual_owner.go
@@ -18,6 +18,7 @@
 	p.logClientEvents()
 }
 
+// receiveReply handles a replica's response to a keep-alive, or queues it while the process is paused.
 func (p *process) receiveReply(reply lease.KeepAliveResponse) {
 	if !p.running {
 		return
@@ -65,6 +66,7 @@
 	}
 }
 
+// targetDelayMS draws the time that a message takes between a process and a job's target.
 func (s *simulation) targetDelayMS() float64 { return 0.1 + s.networkRand.ExpFloat64() }
 
 // applyWrite applies a write at its target, which checks the fencing token and writes in one step, and sends the outcome
@@ -91,6 +93,7 @@
 	})
 }
 
+// writeReturned handles the outcome of a write at its owner; highest is the target's highest fencing token.
 func (p *process) writeReturned(write FencedWrite, highest lease.Fence) {
 	now := p.clock()
 	p.client.End(now, write.Job, write.Fence)
--- a/internal/drill/virtual_process.go
+++ b/internal/drill/virtual_process.go
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// tick advances the replica's timers and sends a keep-alive if one is due.
 func (p *process) tick() {
 	if p.replica != nil {
 		p.step(func() { p.replica.Tick(p.clock()) })
@@ -100,6 +101,7 @@
 	f()
 }
 
+// pause stops the process for a duration, as SIGSTOP and SIGCONT do. Its clock keeps running.
 func (p *process) pause(durationMS float64) {
 	if p.paused {
 		return
@@ -137,6 +139,7 @@
 	})
 }
 
+// damageDisk brings the disk into the given state.
 func (p *process) damageDisk(state DiskState) {
 	const maxRollback = 20 // maximum number of stored disk states that a rollback skips
 	switch state {
@@ -152,6 +155,7 @@
 	}
 }
 
+// loseDisk replaces the disk by a new, empty disk.
 func (p *process) loseDisk() {
 	p.disk, p.replicaID, p.diskHistory = consensus.PersistentState{}, 0, nil
 }
--- a/internal/drill/virtual_replica.go
+++ b/internal/drill/virtual_replica.go
@@ -85,6 +85,7 @@
 	}
 }
 
+// syncDurationMS draws the duration of a disk sync, unless a fault has set it.
 func (p *process) syncDurationMS() float64 {
 	duration := 0.2 + 2*p.sim.networkRand.Float64()
 	if p.nextSyncMS > 0 {
@@ -115,6 +116,8 @@
 	})
 }
 
+// persist writes the replica's state to the disk. If DisabledGuards.VoteSync is set, a write without log entries and
+// snapshot leaves the term and the vote on the disk unchanged.
 func (p *process) persist(ready consensus.Ready) {
 	p.diskHistory = append(p.diskHistory, p.disk)
 	if len(p.diskHistory) > maxDiskHistory {
@@ -185,6 +188,7 @@
 	})
 }
 
+// announce sends the announcement of the replica to all other replicas.
 func (p *process) announce() {
 	announcement := p.replica.Announcement()
 	for _, name := range p.sim.replicas {
--- a/internal/emulator/engine/job.go
+++ b/internal/emulator/engine/job.go
@@ -35,6 +35,7 @@
 // more if it spills.
 func (j *Job) Total() float64 { return j.total }
 
+// state is the state of a job at the engine.
 type state int
 
 const (
--- a/internal/emulator/live/client.go
+++ b/internal/emulator/live/client.go
@@ -74,6 +74,7 @@
 	return params
 }
 
+// pickCoordinator returns the index of the coordinator to which the front proxy sends a client of a zone, or -1.
 func (d *Rehearsal) pickCoordinator(zone int) int {
 	d.frontProxyMu.Lock()
 	defer d.frontProxyMu.Unlock()
@@ -162,6 +163,7 @@
 	requestRetentionMS = 5000.0 // time for which engines can look up a request after its end
 )
 
+// requestAnswered notifies the observer of an answer that arrived at a client, and counts its work as served.
 func (d *Rehearsal) requestAnswered(at float64, r *clientRequest, result observer.TryResult) {
 	d.sharedObserver.with(func(o *observer.Observer) {
 		o.AnswerReceived(at, r.coordinator, r.observed, result)
--- a/internal/emulator/live/client_pool.go
+++ b/internal/emulator/live/client_pool.go
@@ -133,6 +133,7 @@
 	}, nil
 }
 
+// read passes each answer to its handler until the connection closes, and then nil to the handlers that are left.
 func (c *clientConnection) read() {
 	r := bufio.NewReaderSize(c, 1<<16)
 	for {
--- a/internal/emulator/live/controller.go
+++ b/internal/emulator/live/controller.go
@@ -8,7 +8,8 @@
 	"aniseloft/internal/emulator/observer"
 )
 
-// Controller injects faults into a rehearsal's coordinators. Requests that a kill loses violate no rule, as in a crash.
+// Controller injects faults into a rehearsal's coordinators. Its methods get a coordinator's index as n. Requests that a
+// kill loses violate no rule, as in a crash.
 type Controller struct {
 	rehearsal *Rehearsal
 	ctx       context.Context
@@ -91,6 +92,7 @@
 	}
 }
 
+// setPaused records whether a coordinator is paused, and excuses the deadlines of its open requests.
 func (r *Controller) setPaused(n int, paused bool) {
 	r.rehearsal.mu.Lock()
 	r.rehearsal.paused[n] = paused
--- a/internal/emulator/live/coordinators.go
+++ b/internal/emulator/live/coordinators.go
@@ -35,6 +35,7 @@
 	startTimeout        = 30 * time.Second
 )
 
+// startCoordinators starts all coordinators and waits until they serve.
 func (d *Rehearsal) startCoordinators(ctx context.Context) error {
 	var err error
 	if d.directory, err = os.MkdirTemp("", "rehearsal-"); err != nil {
@@ -77,6 +78,8 @@
 	return nil
 }
 
+// startCoordinator starts a coordinator's process with a new configuration. An exit that the rehearsal has not requested
+// violates a rule.
 func (d *Rehearsal) startCoordinator(p *coordinator) error {
 	configJSON, err := d.config(p.index, p.listen, p.seedRand.Uint64())
 	if err != nil {
@@ -226,6 +229,7 @@
 // kill.
 const killGraceMS = 1000.0
 
+// killCoordinator ends a coordinator with SIGKILL. The front proxy detects that after a delay.
 func (d *Rehearsal) killCoordinator(n int) {
 	if len(d.coordinators) == 0 || d.isDown(d.coordinators[n]) {
 		return
@@ -239,6 +243,7 @@
 	d.afterDetection(func() { d.frontProxy.SetAlive(n, false) })
 }
 
+// isDown reports whether the end of a coordinator has been requested and it has not been started again.
 func (d *Rehearsal) isDown(p *coordinator) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/emulator/live/discovery_service.go
+++ b/internal/emulator/live/discovery_service.go
@@ -43,6 +43,7 @@
 	engine  decide.EndpointID
 }
 
+// stateNames holds the names of engine states in the endpoint list; statesByName is its inverse.
 var stateNames = map[decide.EndpointState]string{decide.EndpointReady: "active", decide.EndpointDraining: "leaving", decide.EndpointRemoved: "left"}
 var statesByName = map[string]decide.EndpointState{"active": decide.EndpointReady, "leaving": decide.EndpointDraining, "left": decide.EndpointRemoved}
 
@@ -100,6 +101,7 @@
 	j.changed = make(chan struct{})
 }
 
+// setDown makes the service unavailable, or available again, and wakes the polls that wait.
 func (j *discoveryService) setDown(down bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/emulator/live/engine.go
+++ b/internal/emulator/live/engine.go
@@ -202,6 +202,7 @@
 	}
 }
 
+// jobsEnded sets the HTTP status of the queries whose jobs ended. A part of the completed jobs fails at random.
 func (e *Engine) jobsEnded(ends []engine.End) {
 	for _, end := range ends {
 		q := end.Job.Owner.(*engineQuery)
--- a/internal/emulator/live/engine_http.go
+++ b/internal/emulator/live/engine_http.go
@@ -110,6 +110,7 @@
 	e.advance()
 }
 
+// cancel cancels a query and forgets it. The caller holds mu.
 func (e *Engine) cancel(id string) {
 	q := e.queries[id]
 	if q == nil {
@@ -130,6 +131,7 @@
 	return fallback
 }
 
+// startQuery starts a query in the model and answers as longPoll does, or rejects it. The caller holds mu.
 func (e *Engine) startQuery(w http.ResponseWriter, r *http.Request, request *clientRequest) {
 	id, now := r.Header.Get("Request-Id"), e.clock.Now()
 	if e.draining {
--- a/internal/emulator/observer/observer.go
+++ b/internal/emulator/observer/observer.go
@@ -250,6 +250,7 @@
 	return 0
 }
 
+// violateSentAfterClose records that an attempt was sent after its request was closed.
 func (o *Observer) violateSentAfterClose(sentAt float64, r *Request) {
 	o.Violate(RuleOneAnswer, sentAt, "%s: sent %.3f ms after %s, at %.3f ms", r.Name, sentAt-r.closedAt, r.closedBy, r.closedAt)
 }
--- a/internal/emulator/policy/policy.go
+++ b/internal/emulator/policy/policy.go
@@ -55,11 +55,13 @@
 	next      int // counter of the round-robin policy
 }
 
+// endpoint is an engine in the endpoint list, with the number of attempts in flight to it.
 type endpoint struct {
 	decide.EndpointInfo
 	inFlight int
 }
 
+// request is an open request, or one that is answered but still has an attempt in flight.
 type request struct {
 	decide.RequestArrived
 	deadline   decide.Millis
@@ -123,6 +125,7 @@
 	return xxhash.Sum64(b[:])
 }
 
+// Handle implements Policy.
 func (p *basicPolicy) Handle(now decide.Millis, ev decide.Event) []decide.Action {
 	switch ev := ev.(type) {
 	case decide.EndpointUpdate:
@@ -141,6 +144,7 @@
 	return nil
 }
 
+// updateEndpoints applies a complete or an incremental update of the endpoint list.
 func (p *basicPolicy) updateEndpoints(ev decide.EndpointUpdate) {
 	isListed := map[decide.EndpointID]bool{}
 	for _, e := range ev.Entries {
@@ -163,6 +167,8 @@
 	slices.SortFunc(p.order, func(a, b *endpoint) int { return int(int64(a.ID) - int64(b.ID)) })
 }
 
+// startAttempt sends a request to one of the engines that may take it, or gives up if there is none. It avoids the
+// engine of the last failed attempt unless no other is ready.
 func (p *basicPolicy) startAttempt(now decide.Millis, r *request) []decide.Action {
 	c := p.settings.Classes[r.Class]
 	var candidates []*endpoint
@@ -204,6 +210,7 @@
 	return acts
 }
 
+// attemptEnded retries a request after a failed attempt if that is safe and its deadline allows it, or else gives up.
 func (p *basicPolicy) attemptEnded(now decide.Millis, ev decide.AttemptEnded) []decide.Action {
 	r := p.requests[ev.ID]
 	if r == nil || r.current == nil {
--- a/internal/emulator/scenario/timeline.go
+++ b/internal/emulator/scenario/timeline.go
@@ -189,6 +189,7 @@
 	return rng.Perm(engines)[:affected]
 }
 
+// addStalls makes a part of the initial fleet stall again and again, each engine at times of its own.
 func (t *Timeline) addStalls(v *faultValues, rng *rand.Rand) (description string) {
 	affected := t.drawAffected(v.affectedRatio, rng)
 	for _, engine := range affected {
@@ -200,6 +201,8 @@
 	return fmt.Sprintf("%d engines stall for %.0f ms, about every %.0f ms", len(affected), v.magnitudeMS, v.intervalMS)
 }
 
+// addNoisyNeighbours makes another program use a part of the initial fleet, on and off, at times of its own on each
+// engine.
 func (t *Timeline) addNoisyNeighbours(v *faultValues, rng *rand.Rand) (description string) {
 	affected := t.drawAffected(v.affectedRatio, rng)
 	interval := v.intervalMS
@@ -235,6 +238,8 @@
 	return "all engines are replaced, one by one"
 }
 
+// addCoordinatorCrashes adds the crashes of the coordinators that a fault lists. If the fault has a duration, it adds
+// their starts at its end.
 func (t *Timeline) addCoordinatorCrashes(f Fault, v *faultValues) (description string) {
 	for _, coordinator := range f.Coordinators {
 		t.Events = append(t.Events, Event{AtMS: v.start, Kind: EventCoordinatorCrash, Coordinator: coordinator})
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -13,6 +13,7 @@
 	errors ValidationErrors
 }
 
+// add records a problem of the field at a JSON pointer.
 func (c *checker) add(path, problem, remedy string) {
 	c.errors = append(c.errors, ValidationError{c.file, path, problem, remedy})
 }
@@ -35,6 +36,7 @@
 	}
 }
 
+// check checks a scenario that conforms to the schema, and records the problems that it finds.
 func (c *checker) check(s *Scenario) {
 	c.checkDuration("/duration_ms", s.DurationMS, minRunMS)
 	for i, class := range s.Classes {
--- a/internal/emulator/simulation/actions.go
+++ b/internal/emulator/simulation/actions.go
@@ -45,6 +45,7 @@
 	c.inbox = append(c.inbox, attemptEndedInput{attempt: a, outcome: decide.OutcomeCancelled})
 }
 
+// answerByID gives the request with an ID its final answer, if the request is still open.
 func (c *coordinator) answerByID(now float64, id decide.RequestID, result observer.TryResult, retryAfterMS float64) {
 	if r := c.requests[id]; r != nil {
 		c.answer(now, r, result, retryAfterMS)
@@ -52,6 +53,7 @@
 	}
 }
 
+// startTimer delivers the token of a timer to the policy after the delay of the action.
 func (c *coordinator) startTimer(now float64, action decide.StartTimer) {
 	incarnation := c.incarnation
 	c.effect(func(sim *Simulation) {
--- a/internal/emulator/simulation/coordinator.go
+++ b/internal/emulator/simulation/coordinator.go
@@ -130,6 +130,7 @@
 	}
 }
 
+// effect defers a change to state outside the coordinator until all coordinators have handled their inboxes.
 func (c *coordinator) effect(e effect) { c.effects = append(c.effects, e) }
 
 // handleInbox handles the inputs that are in the inbox when it is called. Inputs added meanwhile wait for the next step.
--- a/internal/emulator/simulation/engine_reports.go
+++ b/internal/emulator/simulation/engine_reports.go
@@ -79,6 +79,8 @@
 	})
 }
 
+// sendProgress sends the progress of a query to its coordinator: how far it is, or why it waits, and the
+// memory that it lacks if it spills.
 func (proc *engineProcess) sendProgress(a *attempt, progress engine.Progress) {
 	send := func(kind decide.ProgressKind, value float64) {
 		event := decide.AttemptProgress{ID: a.request.id, Attempt: a.index, Kind: kind, Value: value}
--- a/internal/emulator/simulation/network.go
+++ b/internal/emulator/simulation/network.go
@@ -56,6 +56,7 @@
 	idle []float64 // times at which the connections became idle, the oldest first
 }
 
+// put adds a connection that becomes idle now.
 func (p *connectionPool) put(now float64) { p.idle = append(p.idle, now) }
 
 // take takes the most recently used connection and reports whether there was one. It closes the
--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -59,6 +59,7 @@
 	})
 }
 
+// draw calls chart and saves the result in every format, unless the chart with that name is already drawn.
 func (w *chartWriter) draw(name string, width, height vg.Length, chart func() (*plot.Plot, error)) error {
 	if w.drawn[name] {
 		return nil
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -32,6 +32,7 @@
 	Line int // line number, from 1
 }
 
+// Error names the file and the line, and the remedy.
 func (e LineError) Error() string {
 	return fmt.Sprintf("%s: line %d: not a result; remove that line, and run the plan again", e.File, e.Line)
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -84,6 +84,7 @@
 	errs      error
 }
 
+// run runs the cells without a stored result, and waits until all workers have ended.
 func (r *runner) run(ctx context.Context, cells []Cell, stored []Result) error {
 	isStored := map[resultKey]bool{}
 	for _, result := range stored {
@@ -114,6 +115,7 @@
 	return errors.Join(r.errs, ctx.Err())
 }
 
+// hash returns the hash of a cell's scenario with its variant's changes.
 func (r *runner) hash(cell Cell) string { return r.hashes[scenarioKey{cell.Scenario, cell.Variant}] }
 
 // complete counts a cell as completed and appends its line to the results file. The line is nil if the result is already
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -59,6 +59,7 @@
 // header holds the column names of tables.
 var header = []string{"scenario", "variant", "policy", "seeds", "service", "95% interval", "worst 10 s", "worst class", "wasted", "rules broken"}
 
+// fields returns the cells of a row in the order of header, as text.
 func (r Row) fields() []string {
 	decimal := func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 	return []string{
