--- a/internal/drill/history.go
+++ b/internal/drill/history.go
@@ -83,8 +83,8 @@
 	return parts
 }
 
-// CheckLinearizability returns a violation for each job whose writes, by the times of their calls and returns, are not
-// linearizable over a register whose fencing token never decreases.
+// CheckLinearizability returns a violation if the writes, by the times of their calls and returns, are not linearizable
+// over a register of each job whose fencing token never decreases.
 func CheckLinearizability(writes []FencedWrite) []Violation {
 	const microsPerMilli = 1000
 	var operations []porcupine.Operation
--- a/internal/drill/real.go
+++ b/internal/drill/real.go
@@ -39,7 +39,7 @@
 	Rejected       int              `json:"refused"` // number of rejected writes
 	Unknown        int              `json:"unknown"` // number of writes whose outcome their owner did not receive
 	Grants         []store.FenceRow `json:"grants"`
-	Unowned        []UnownedTime    `json:"gaps"` // times between two writes to the query record in which its job had no owner
+	Unowned        []UnownedTime    `json:"gaps"` // times between two writes to the query record in which lease.JobPruneRecord had no owner
 	Service        float64          `json:"service"`
 	JournalCalls   int              `json:"journal_calls"`
 	BytesPerSecond float64          `json:"bytes_s"` // bytes that one coordinator sends to the others per second, on average
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -4,7 +4,7 @@
 
 // The rules that runs are checked against. The values are written to results.
 const (
-	RuleFence        = "fence"   // no target admits a write after a write under a higher fencing token
+	RuleFence        = "fence"   // no target admits a write whose fencing token is lower than that of an earlier write
 	RuleSingleOwner  = "one"     // no two processes hold the lease of a job at the same time, each by its own clock
 	RuleLinearizable = "order"   // writes are linearizable over a register whose fencing token never decreases
 	RuleRequest      = "request" // no request is lost, no rule of package observer is violated, and each process starts
--- a/internal/drill/virtual_process.go
+++ b/internal/drill/virtual_process.go
@@ -141,7 +141,7 @@
 
 // damageDisk brings the disk into the given state.
 func (p *process) damageDisk(state DiskState) {
-	const maxRollback = 20 // maximum number of stored disk states that a rollback skips
+	const maxRollback = 20 // number of the newest stored disk states from which a rollback draws one
 	switch state {
 	case DiskLost:
 		p.loseDisk()
