--- a/internal/emulator/live/client_pool.go
+++ b/internal/emulator/live/client_pool.go
@@ -31,7 +31,7 @@
 	pool              *clientPool
 	lastID            int
 	pendingHandlers   map[int]answerHandler // handlers of unanswered requests, by request ID
-	cancelledHandlers map[int]answerHandler // handlers of cancelled requests, which may be answered before the cancellation arrives, by request ID
+	cancelledHandlers map[int]answerHandler // handlers of cancelled requests, which may still be answered, by request ID
 	closed            bool
 }
 
--- a/internal/emulator/observer/observer.go
+++ b/internal/emulator/observer/observer.go
@@ -186,7 +186,7 @@
 	}
 	delete(o.unanswered, r)
 	o.checkAnswer(at, r, kind)
-	r.sentAt = slices.DeleteFunc(r.sentAt, func(sentAt float64) bool { return sentAt >= r.closedAt+o.departureSlack(r) }) // attempts that are already recorded as violations
+	r.sentAt = slices.DeleteFunc(r.sentAt, func(sentAt float64) bool { return sentAt >= r.closedAt+o.departureSlack(r) }) // these attempts are already violations
 	r.closedAt, r.closedBy = at, closedByAnswer
 	o.checkSentBeforeClose(r)
 }
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -96,7 +96,7 @@
 	MemoryMB           float64  `json:"memory_mb"`
 	Speed              Range    `json:"speed"`
 	SaturationThreads  Range    `json:"knee"`   // threads per core above which throughput falls
-	ThrashRatio        Range    `json:"thrash"` // factor of the throughput at twice SaturationThreads; at four times, the square of this factor, and so on
+	ThrashRatio        Range    `json:"thrash"` // factor of the throughput at twice SaturationThreads; its square at four times, and so on
 	SeekPenalty        Range    `json:"seek"`   // factor of the disks' throughput with twice as many threads as disks is 1/(1+SeekPenalty)
 	SpillPenalty       Range    `json:"spill"`  // additional work of a query without any memory, as a multiple of its work
 	MaxGrantRatio      float64  `json:"most_grant"`
@@ -104,7 +104,7 @@
 	Priorities         bool     `json:"priorities"`   // whether engines apply the priorities of coordinators
 	ReportsCost        bool     `json:"tells_cost"`   // whether answers report the work and memory of a query
 	MemoryShort        string   `json:"memory_short"` // QueueForMemory or OvercommitMemory
-	PagingPenalty      Range    `json:"page"`         // divisor of the throughput when queries need twice the engine's memory, with OvercommitMemory
+	PagingPenalty      Range    `json:"page"`         // with OvercommitMemory: divisor of the throughput at twice the memory
 	ProgressMS         float64  `json:"progress_ms"`  // interval of progress reports on an attempt; 0: none
 	Reports            string   `json:"reports"`      // ReportsByProbe, ReportsInAnswers (by probe too) or NoReports
 	ReportFields       []string `json:"report_fields"`
