--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -48,13 +48,13 @@
 // Submit starts a request. The responder receives exactly one answer, unless Withdraw is called before.
 func (d *Dispatcher) Submit(query Query, responder Responder) Ticket {
 	ticket := Ticket{
-		requestID:  decide.RequestID(strconv.FormatUint(d.lastID.Add(1), 36)),
+		requestID:  decide.RequestID(strconv.FormatUint(d.lastRequestNumber.Add(1), 36)),
 		clientLeft: new(atomic.Bool),
 	}
-	d.openCount.Add(1)
-	d.lastSubmitted.Store(time.Now().UnixMilli())
+	d.openRequestCount.Add(1)
+	d.lastSubmittedAt.Store(time.Now().UnixMilli())
 	d.post(func() {
-		d.Counters.submitted(query.Class)
+		d.Counters.countSubmitted(query.Class)
 		d.admit(ticket, query, responder)
 	})
 	return ticket
@@ -70,12 +70,12 @@
 		d.answer(r, answer)
 		return
 	}
-	if len(d.requests) >= d.maxOpen || len(query.Statement) > d.freeStatementBytes {
+	if len(d.requests) >= d.openRequestLimit || len(query.Statement) > d.freeStatementBytes {
 		d.answer(r, Answer{Kind: Rejected, RetryAfter: millis.Duration(d.settings.MaxRetryAfter), Reason: reasonTooManyOpen})
 		return
 	}
 	// Endpoints identify a request by its call ID: two requests with one ID would receive each other's progress and result.
-	if _, inUse := d.callIDs[query.CallID]; inUse {
+	if _, inUse := d.openCallIDs[query.CallID]; inUse {
 		d.answer(r, Answer{Kind: Failed, Reason: reasonCallInUse})
 		return
 	}
@@ -95,7 +95,7 @@
 
 // open registers an admitted request and passes it to the balancer.
 func (d *Dispatcher) open(r *request) {
-	d.requests[r.requestID], d.callIDs[r.query.CallID] = r, struct{}{}
+	d.requests[r.requestID], d.openCallIDs[r.query.CallID] = r, struct{}{}
 	d.freeStatementBytes -= len(r.query.Statement)
 	timeLeft := time.Until(r.query.Deadline)
 	d.log.Debug("request admitted", "call", r.query.CallID, "class", r.query.Class, "time_left_ms", timeLeft.Milliseconds(), "work_ms", r.query.EstimatedWork)
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -16,7 +16,7 @@
 
 // attempt is one execution of a request at an endpoint. It is running or has ended.
 type attempt struct {
-	endpoint  *tableEntry // nil: the endpoint had left the endpoint list before the attempt started
+	endpoint  *listedEndpoint // nil: the endpoint had left the endpoint list before the attempt started
 	startedAt time.Time
 	cancel    context.CancelFunc
 	ended     bool
@@ -43,21 +43,21 @@
 	timeout := min(millis.Duration(order.Timeout), time.Until(r.query.Deadline))
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	a := &attempt{endpoint: e, startedAt: time.Now(), cancel: cancel}
-	index := len(r.attempts)
+	attemptIndex := len(r.attempts)
 	r.attempts = append(r.attempts, a)
 	r.runningAttempts++
-	d.Counters.attemptStarted(r.query.Class)
-	d.log.Debug("attempt started", "call", r.query.CallID, "class", r.query.Class, "attempt", index,
+	d.Counters.countAttemptStarted(r.query.Class)
+	d.log.Debug("attempt started", "call", r.query.CallID, "class", r.query.Class, "attempt", attemptIndex,
 		"endpoint", a.endpointName(), "timeout_ms", timeout.Milliseconds())
 	d.recordRun(r, a)
 	if e == nil || r.closed() {
-		d.afterEvent(func() { d.attemptEnded(r, index, order.Endpoint, Result{Outcome: decide.OutcomeNotSent}) })
+		d.afterEvent(func() { d.attemptEnded(r, attemptIndex, order.Endpoint, Result{Outcome: decide.OutcomeNotSent}) })
 		return
 	}
-	spec, upstream := d.attemptSpec(r, index, order, timeout), e.upstream
+	spec, upstream := d.attemptSpec(r, attemptIndex, order, timeout), e.upstream
 	go func() {
 		result := upstream.Run(ctx, spec)
-		d.post(func() { d.attemptEnded(r, index, order.Endpoint, result) })
+		d.post(func() { d.attemptEnded(r, attemptIndex, order.Endpoint, result) })
 	}()
 }
 
@@ -80,8 +80,8 @@
 }
 
 // attemptSpec returns the description of an attempt that the endpoint's client executes.
-func (d *Dispatcher) attemptSpec(r *request, index int, order decide.StartAttempt, timeout time.Duration) AttemptSpec {
-	a := r.attempts[index]
+func (d *Dispatcher) attemptSpec(r *request, attemptIndex int, order decide.StartAttempt, timeout time.Duration) AttemptSpec {
+	a := r.attempts[attemptIndex]
 	e := a.endpoint
 	spec := AttemptSpec{
 		CallID: r.query.CallID, Class: d.settings.Classes[r.query.Class].Name, Statement: r.query.Statement,
@@ -90,12 +90,12 @@
 		OnProgress: func(kind decide.ProgressKind, value float64) {
 			d.post(func() {
 				if !a.ended {
-					d.handle(decide.AttemptProgress{ID: r.requestID, Attempt: index, Kind: kind, Value: value})
+					d.handle(decide.AttemptProgress{ID: r.requestID, Attempt: attemptIndex, Kind: kind, Value: value})
 				}
 			})
 		},
 		StillReady: func() bool {
-			if !e.ready.Load() || d.overrides.suspended(e.Name) || !r.mayStart() {
+			if !e.ready.Load() || d.overrides.isSuspended(e.Name) || !r.mayStart() {
 				return false
 			}
 			return order.StartBefore == 0 || millis.Now() < order.StartBefore
@@ -103,7 +103,7 @@
 		BeginSend: r.gate.begin,
 	}
 	if spec.Sink != nil {
-		spec.Sink = &progressSink{ResultSink: spec.Sink, report: func() { spec.OnProgress(decide.ProgressPage, 0) }}
+		spec.Sink = &progressSink{ResultSink: spec.Sink, reportProgress: func() { spec.OnProgress(decide.ProgressPage, 0) }}
 	}
 	return spec
 }
@@ -112,15 +112,15 @@
 // stream, and its endpoint must not be mistaken for an unresponsive one.
 type progressSink struct {
 	ResultSink
-	report     func()    // reports progress to the balancer
-	reportedAt time.Time // time of the latest progress report
+	reportProgress func()    // reports progress to the balancer
+	lastReportAt   time.Time // time of the latest progress report
 }
 
 // WritePage reports progress, at most once per progressInterval, and writes the page.
 func (s *progressSink) WritePage(ctx context.Context, rows []byte) error {
-	if now := time.Now(); now.Sub(s.reportedAt) >= progressInterval {
-		s.reportedAt = now
-		s.report()
+	if now := time.Now(); now.Sub(s.lastReportAt) >= progressInterval {
+		s.lastReportAt = now
+		s.reportProgress()
 	}
 	return s.ResultSink.WritePage(ctx, rows)
 }
@@ -174,13 +174,13 @@
 }
 
 // attemptEnded records the outcome of an attempt, answers the clients that its result decides and notifies the balancer.
-func (d *Dispatcher) attemptEnded(r *request, index int, id decide.EndpointID, result Result) {
-	d.recordOutcome(r, r.attempts[index], result.Outcome)
+func (d *Dispatcher) attemptEnded(r *request, attemptIndex int, endpointID decide.EndpointID, result Result) {
+	d.recordOutcome(r, r.attempts[attemptIndex], result.Outcome)
 	d.answerOutcome(r, result)
-	latency := millis.Since(r.attempts[index].startedAt)
-	d.logAttemptEnded(r, index, result, latency)
+	latency := millis.Since(r.attempts[attemptIndex].startedAt)
+	d.logAttemptEnded(r, attemptIndex, result, latency)
 	d.handle(decide.AttemptEnded{
-		ID: r.requestID, Attempt: index, Endpoint: id, Outcome: result.Outcome, Latency: latency, RequestClosed: r.closed(),
+		ID: r.requestID, Attempt: attemptIndex, Endpoint: endpointID, Outcome: result.Outcome, Latency: latency, RequestClosed: r.closed(),
 		ActualWork: result.ActualWork, ActualMemoryMB: result.ActualMemoryMB, Load: result.Load,
 	})
 	d.removeIfDone(r)
@@ -195,7 +195,7 @@
 	if a.neverRan() {
 		d.runHistory.forget(r.key(), millis.FromTime(a.startedAt))
 	}
-	d.Counters.attemptEnded(r.query.Class, outcome)
+	d.Counters.countAttemptEnded(r.query.Class, outcome)
 }
 
 // answerOutcome sends the answers that follow directly from an attempt's result. The first success is
@@ -214,8 +214,8 @@
 	}
 }
 
-func (d *Dispatcher) logAttemptEnded(r *request, index int, result Result, latency decide.Millis) {
-	d.log.Debug("attempt ended", "call", r.query.CallID, "class", r.query.Class, "attempt", index,
-		"endpoint", r.attempts[index].endpointName(), "outcome", outcomeNames[result.Outcome],
+func (d *Dispatcher) logAttemptEnded(r *request, attemptIndex int, result Result, latency decide.Millis) {
+	d.log.Debug("attempt ended", "call", r.query.CallID, "class", r.query.Class, "attempt", attemptIndex,
+		"endpoint", r.attempts[attemptIndex].endpointName(), "outcome", outcomeNames[result.Outcome],
 		"latency_ms", latency, "work_ms", result.ActualWork, "reason", result.Reason)
 }
--- a/internal/routing/coalescing.go
+++ b/internal/routing/coalescing.go
@@ -23,8 +23,8 @@
 
 // requestKey is an idempotency key and its class. Equal keys of different classes are unrelated.
 type requestKey struct {
-	class int
-	key   string
+	class          int
+	idempotencyKey string
 }
 
 func (r *request) key() requestKey { return requestKey{r.query.Class, r.query.IdempotencyKey} }
@@ -136,8 +136,8 @@
 
 // startFollowerTimer limits the wait of a follower to its own deadline.
 func (d *Dispatcher) startFollowerTimer(r *request) {
-	wait := max(time.Until(r.query.Deadline), 0)
-	r.deadlineTimer = time.AfterFunc(wait, func() { d.post(func() { d.followerDeadlineExceeded(r) }) })
+	timeLeft := max(time.Until(r.query.Deadline), 0)
+	r.deadlineTimer = time.AfterFunc(timeLeft, func() { d.post(func() { d.followerDeadlineExceeded(r) }) })
 }
 
 // followerDeadlineExceeded answers a follower whose leader has not ended by the follower's deadline.
--- a/internal/routing/coalescing_test.go
+++ b/internal/routing/coalescing_test.go
@@ -13,16 +13,16 @@
 func TestFollowerOfWithdrawnUnsentLeaderUsesOwnCallID(t *testing.T) {
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	_, leaderTicket := submit(d, "one", keyedClass, "k") // no endpoint is listed, so the request is queued
-	second, _ := submit(d, "two", keyedClass, "k")
-	third, _ := submit(d, "three", keyedClass, "k")
+	secondRecorder, _ := submit(d, "two", keyedClass, "k")
+	thirdRecorder, _ := submit(d, "three", keyedClass, "k")
 	d.Withdraw(leaderTicket)
 	flush(t, d)
 	listEndpoint()
 	attempt := upstream.next(t)
 	require.Equal(t, "two", attempt.CallID)
 	attempt.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, second.answers).Kind)
-	require.Equal(t, Succeeded, receive(t, third.answers).Kind, "all followers share one run")
+	require.Equal(t, Succeeded, receive(t, secondRecorder.answers).Kind)
+	require.Equal(t, Succeeded, receive(t, thirdRecorder.answers).Kind, "all followers share one run")
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
 	require.Zero(t, d.OpenRequests())
@@ -32,22 +32,22 @@
 func TestRetryAfterWithdrawnLeaderUsesFollowerCallID(t *testing.T) {
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	listEndpoint()
-	first, firstTicket := submit(d, "one", keyedClass, "k")
+	firstRecorder, firstTicket := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
-	second, _ := submit(d, "two", keyedClass, "k")
-	third, thirdTicket := submit(d, "three", keyedClass, "k")
+	secondRecorder, _ := submit(d, "two", keyedClass, "k")
+	thirdRecorder, thirdTicket := submit(d, "three", keyedClass, "k")
 	d.Withdraw(firstTicket)
 	d.Withdraw(thirdTicket)
 	flush(t, d)
 	require.NoError(t, attempt.ctx.Err(), "not cancelled: the second request follows it")
 	attempt.end(decide.OutcomeError)
-	retry := upstream.next(t)
-	require.Equal(t, "two", retry.CallID)
-	retry.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, second.answers).Kind)
+	retryAttempt := upstream.next(t)
+	require.Equal(t, "two", retryAttempt.CallID)
+	retryAttempt.end(decide.OutcomeSucceeded)
+	require.Equal(t, Succeeded, receive(t, secondRecorder.answers).Kind)
 	flush(t, d)
-	require.Empty(t, first.answers)
-	require.Empty(t, third.answers)
+	require.Empty(t, firstRecorder.answers)
+	require.Empty(t, thirdRecorder.answers)
 	require.Empty(t, upstream.attempts)
 	require.Zero(t, d.OpenRequests())
 }
@@ -69,11 +69,11 @@
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
 	require.Zero(t, d.OpenRequests())
-	third, _ := submit(d, "three", keyedClass, "k")
+	thirdRecorder, _ := submit(d, "three", keyedClass, "k")
 	thirdAttempt := upstream.next(t)
 	require.Equal(t, "three", thirdAttempt.CallID, "the key is available again")
 	thirdAttempt.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, third.answers).Kind)
+	require.Equal(t, Succeeded, receive(t, thirdRecorder.answers).Kind)
 }
 
 // The endpoints' deduplication window begins with the first attempt. A retry that is ordered within the window must not
@@ -83,23 +83,23 @@
 	d, upstream, listEndpoint := startDispatcher(t, true, float64(dedupWindow.Milliseconds()))
 	listEndpoint()
 	recorder, _ := submit(d, "one", keyedClass, "k")
-	first := upstream.next(t)
-	require.True(t, first.StillReady())
-	afterSend := time.Now() // the deduplication window began earlier
-	first.end(decide.OutcomeAnswerLost)
-	var second *fakeAttempt
+	firstAttempt := upstream.next(t)
+	require.True(t, firstAttempt.StillReady())
+	firstSentBefore := time.Now() // the deduplication window began earlier
+	firstAttempt.end(decide.OutcomeAnswerLost)
+	var secondAttempt *fakeAttempt
 	select {
-	case second = <-upstream.attempts:
+	case secondAttempt = <-upstream.attempts:
 	case a := <-recorder.answers: // the machine stalled, and the window ended before the balancer decided
 		require.Equal(t, Failed, a.Kind)
 		return
 	}
-	require.Equal(t, "one", second.CallID)
-	for time.Since(afterSend) < dedupWindow { // simulates a slow dial
+	require.Equal(t, "one", secondAttempt.CallID)
+	for time.Since(firstSentBefore) < dedupWindow { // simulates a slow dial
 		time.Sleep(time.Millisecond)
 	}
-	require.False(t, second.StillReady())
-	second.end(decide.OutcomeNotSent)
+	require.False(t, secondAttempt.StillReady())
+	secondAttempt.end(decide.OutcomeNotSent)
 	require.Equal(t, Failed, receive(t, recorder.answers).Kind, "answered immediately, and no longer retryable")
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
@@ -111,23 +111,23 @@
 	const dedupWindow = 300 * time.Millisecond
 	d, upstream, listEndpoint := startDispatcher(t, true, float64(dedupWindow.Milliseconds()))
 	listEndpoint()
-	first, _ := submit(d, "one", keyedClass, "k")
+	firstRecorder, _ := submit(d, "one", keyedClass, "k")
 	attempt := upstream.next(t)
-	follower, _ := submit(d, "two", keyedClass, "k")
+	followerRecorder, _ := submit(d, "two", keyedClass, "k")
 	flush(t, d)
 	for startedAt := time.Now(); time.Since(startedAt) < dedupWindow; { // the endpoint is still working
 		time.Sleep(time.Millisecond)
 	}
 	attempt.end(decide.OutcomeError)
-	require.Equal(t, Failed, receive(t, first.answers).Kind)
-	require.Equal(t, Failed, receive(t, follower.answers).Kind, "a follower")
-	later, _ := submit(d, "three", keyedClass, "k")
-	require.Equal(t, Failed, receive(t, later.answers).Kind, "a later request")
+	require.Equal(t, Failed, receive(t, firstRecorder.answers).Kind)
+	require.Equal(t, Failed, receive(t, followerRecorder.answers).Kind, "a follower")
+	laterRecorder, _ := submit(d, "three", keyedClass, "k")
+	require.Equal(t, Failed, receive(t, laterRecorder.answers).Kind, "a later request")
 	flush(t, d)
 	require.Empty(t, upstream.attempts)
-	other, _ := submit(d, "four", keyedClass, "another")
+	otherRecorder, _ := submit(d, "four", keyedClass, "another")
 	upstream.next(t).end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, other.answers).Kind, "another key is independent")
+	require.Equal(t, Succeeded, receive(t, otherRecorder.answers).Kind, "another key is independent")
 }
 
 // With a deduplication scope of one zone, endpoints of other zones would run the query a second time. A retry must stay
@@ -136,9 +136,9 @@
 	settings := testSettings(true, 60000)
 	settings.ZoneNames, settings.Classes[keyedClass].DedupScope = []string{"a", "b"}, decide.DedupZone
 	d, upstream := startDispatcherWith(t, settings)
-	setStates := func(a, b decide.EndpointState) {
-		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, Zone: 0, State: a}},
-			{Name: "b", Address: "127.0.0.1:2", EndpointInfo: decide.EndpointInfo{ID: 2, Zone: 1, State: b}}})
+	setStates := func(stateA, stateB decide.EndpointState) {
+		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, Zone: 0, State: stateA}},
+			{Name: "b", Address: "127.0.0.1:2", EndpointInfo: decide.EndpointInfo{ID: 2, Zone: 1, State: stateB}}})
 	}
 	setStates(decide.EndpointReady, decide.EndpointDraining)
 	_, ticket := submit(d, "one", keyedClass, "k")
@@ -147,7 +147,7 @@
 	attempt.end(decide.OutcomeCancelled)
 	require.Eventually(t, func() bool { return attemptCount(t, d, "one") < 0 }, waitTimeout, time.Millisecond, "the request has ended")
 	setStates(decide.EndpointDraining, decide.EndpointReady)
-	retry, _ := submit(d, "two", keyedClass, "k")
+	retryRecorder, _ := submit(d, "two", keyedClass, "k")
 	_, _ = submit(d, "three", keyedClass, "new")
 	require.Equal(t, 1, attemptCount(t, d, "three"))
 	require.Zero(t, attemptCount(t, d, "two"), "the retry waits for an endpoint of its zone")
@@ -156,5 +156,5 @@
 	attempt = upstream.next(t)
 	require.Equal(t, "two", attempt.CallID)
 	attempt.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, retry.answers).Kind)
+	require.Equal(t, Succeeded, receive(t, retryRecorder.answers).Kind)
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	answerKinds  = int(Failed) + 1
-	outcomeKinds = int(decide.OutcomeAnswerLost) + 1
+	answerKindCount = int(Failed) + 1
+	outcomeCount    = int(decide.OutcomeAnswerLost) + 1
 )
 
 type classCounters struct {
@@ -29,12 +29,12 @@
 	submitted       atomic.Int64
 	withdrawn       atomic.Int64 // requests whose client left before the answer
 	attemptsStarted atomic.Int64
-	answers         [answerKinds]atomic.Int64
-	attemptsEnded   [outcomeKinds]atomic.Int64
+	answers         [answerKindCount]atomic.Int64
+	attemptsEnded   [outcomeCount]atomic.Int64
 }
 
 // outcomeNames are the names of the outcomes in counters and logs, indexed by decide.Outcome.
-var outcomeNames = [outcomeKinds]string{"served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "lost"}
+var outcomeNames = [outcomeCount]string{"served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent", "lost"}
 
 func newCounters(settings decide.Settings) *Counters {
 	c := &Counters{classes: make([]classCounters, len(settings.Classes))}
@@ -44,11 +44,11 @@
 	return c
 }
 
-func (c *Counters) submitted(class int)                 { c.classes[class].submitted.Add(1) }
-func (c *Counters) withdrawn(class int)                 { c.classes[class].withdrawn.Add(1) }
-func (c *Counters) answered(class int, kind AnswerKind) { c.classes[class].answers[kind].Add(1) }
-func (c *Counters) attemptStarted(class int)            { c.classes[class].attemptsStarted.Add(1) }
-func (c *Counters) attemptEnded(class int, outcome decide.Outcome) {
+func (c *Counters) countSubmitted(class int)                 { c.classes[class].submitted.Add(1) }
+func (c *Counters) countWithdrawn(class int)                 { c.classes[class].withdrawn.Add(1) }
+func (c *Counters) countAnswered(class int, kind AnswerKind) { c.classes[class].answers[kind].Add(1) }
+func (c *Counters) countAttemptStarted(class int)            { c.classes[class].attemptsStarted.Add(1) }
+func (c *Counters) countAttemptEnded(class int, outcome decide.Outcome) {
 	c.classes[class].attemptsEnded[outcome].Add(1)
 }
 
--- a/internal/routing/dispatcher.go
+++ b/internal/routing/dispatcher.go
@@ -35,28 +35,28 @@
 	deferredEvents []func()      // events that Run handles right after the current one
 
 	requests           map[decide.RequestID]*request
-	callIDs            map[string]struct{} // call IDs of the open requests, by which endpoints identify them
+	openCallIDs        map[string]struct{} // call IDs of the open requests, by which endpoints identify them
 	coalescer          *coalescer
 	runHistory         *runHistory
-	endpoints          map[decide.EndpointID]*tableEntry
-	maxOpen            int // maximum number of open requests
+	endpoints          map[decide.EndpointID]*listedEndpoint
+	openRequestLimit   int // maximum number of open requests
 	freeStatementBytes int // bytes left for the statements of further requests
 
 	processEnding    bool          // AnswerAllOpen was called: further requests are rejected
 	endingRetryAfter time.Duration // retry delay of these rejections
 
-	lastID        atomic.Uint64
-	openCount     atomic.Int64
-	lastSubmitted atomic.Int64 // time of the latest Submit, in Unix milliseconds
-	overrides     *overrideTable
+	lastRequestNumber atomic.Uint64
+	openRequestCount  atomic.Int64
+	lastSubmittedAt   atomic.Int64 // time of the latest Submit, in Unix milliseconds
+	overrides         *overrideTable
 
 	Counters   *Counters
 	PeerSender PeerSender // set before Run; nil: no gossip
 }
 
-// NewDispatcher returns a dispatcher whose event loop is not running yet. statementBytes limits the
+// NewDispatcher returns a dispatcher whose event loop is not running yet. maxStatementBytes limits the
 // total size of the statements of all open requests.
-func NewDispatcher(settings decide.Settings, seed uint64, upstreams UpstreamFactory, log *slog.Logger, statementBytes int) (*Dispatcher, error) {
+func NewDispatcher(settings decide.Settings, seed uint64, upstreams UpstreamFactory, log *slog.Logger, maxStatementBytes int) (*Dispatcher, error) {
 	balancer, err := decide.New(settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -64,13 +64,13 @@
 	d := &Dispatcher{
 		settings: settings, balancer: balancer, upstreams: upstreams, log: log,
 		inbox: make(chan func(), inboxSize), done: make(chan struct{}),
-		requests: map[decide.RequestID]*request{}, callIDs: map[string]struct{}{},
-		coalescer: newCoalescer(), runHistory: newRunHistory(), endpoints: map[decide.EndpointID]*tableEntry{},
-		maxOpen: maxOpenRequests, freeStatementBytes: statementBytes,
+		requests: map[decide.RequestID]*request{}, openCallIDs: map[string]struct{}{},
+		coalescer: newCoalescer(), runHistory: newRunHistory(), endpoints: map[decide.EndpointID]*listedEndpoint{},
+		openRequestLimit: maxOpenRequests, freeStatementBytes: maxStatementBytes,
 		overrides: newOverrideTable(), Counters: newCounters(settings),
 	}
 	if settings.MaxOpenRequests > 0 {
-		d.maxOpen = min(settings.MaxOpenRequests, maxOpenRequests)
+		d.openRequestLimit = min(settings.MaxOpenRequests, maxOpenRequests)
 	}
 	return d, nil
 }
@@ -89,10 +89,10 @@
 }
 
 // OpenRequests returns the number of requests without a final answer.
-func (d *Dispatcher) OpenRequests() int64 { return d.openCount.Load() }
+func (d *Dispatcher) OpenRequests() int64 { return d.openRequestCount.Load() }
 
 // LastSubmitted returns the time at which the latest request was submitted.
-func (d *Dispatcher) LastSubmitted() time.Time { return time.UnixMilli(d.lastSubmitted.Load()) }
+func (d *Dispatcher) LastSubmitted() time.Time { return time.UnixMilli(d.lastSubmittedAt.Load()) }
 
 // Run handles events until ctx is cancelled, and then cancels all attempts.
 func (d *Dispatcher) Run(ctx context.Context) {
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -6,8 +6,8 @@
 	"aniseloft/decide"
 )
 
-// tableEntry is an endpoint of the endpoint list together with the client that sends attempts to it.
-type tableEntry struct {
+// listedEndpoint is an endpoint of the endpoint list together with the client that sends attempts to it.
+type listedEndpoint struct {
 	Endpoint           // as passed to the balancer: the list entry with the admin override applied
 	listEntry Endpoint // the list entry without the override
 	upstream  Upstream
@@ -62,7 +62,7 @@
 		e = nil
 	}
 	if e == nil {
-		e = &tableEntry{Endpoint: entry, upstream: d.upstreams.Upstream(entry)}
+		e = &listedEndpoint{Endpoint: entry, upstream: d.upstreams.Upstream(entry)}
 		d.endpoints[entry.ID] = e
 	}
 	e.listEntry = listEntry
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -28,8 +28,8 @@
 // fakeUpstream is the Upstream of all endpoints. It passes the attempts to the test.
 type fakeUpstream struct{ attempts chan *fakeAttempt }
 
-func (u *fakeUpstream) Run(ctx context.Context, a AttemptSpec) Result {
-	attempt := &fakeAttempt{a, ctx, make(chan Result)}
+func (u *fakeUpstream) Run(ctx context.Context, spec AttemptSpec) Result {
+	attempt := &fakeAttempt{spec, ctx, make(chan Result)}
 	u.attempts <- attempt
 	return <-attempt.results
 }
@@ -68,9 +68,9 @@
 )
 
 // testSettings returns settings with an idempotent class and one with idempotency keys and the given deduplication window.
-func testSettings(cancellation bool, dedupWindow decide.Millis) decide.Settings {
+func testSettings(cancellationEnabled bool, dedupWindow decide.Millis) decide.Settings {
 	return decide.Settings{
-		Balancers: 1, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: cancellation, MaxRetryAfter: 100,
+		Balancers: 1, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: cancellationEnabled, MaxRetryAfter: 100,
 		Kinds: []decide.EndpointKind{{Cores: 16}}, KindNames: []string{"std"}, ZoneNames: []string{"a"},
 		Classes: []decide.Class{
 			{Name: "look", LatencyObjective: 8000, Deadline: 10000, Threads: 1, PriorityWeight: 1},
@@ -80,8 +80,8 @@
 }
 
 // startDispatcher runs a dispatcher with testSettings and one fake endpoint, which listEndpoint adds to the endpoint list.
-func startDispatcher(t *testing.T, cancellation bool, dedupWindow decide.Millis) (d *Dispatcher, upstream *fakeUpstream, listEndpoint func()) {
-	d, upstream = startDispatcherWith(t, testSettings(cancellation, dedupWindow))
+func startDispatcher(t *testing.T, cancellationEnabled bool, dedupWindow decide.Millis) (d *Dispatcher, upstream *fakeUpstream, listEndpoint func()) {
+	d, upstream = startDispatcherWith(t, testSettings(cancellationEnabled, dedupWindow))
 	return d, upstream, func() {
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, State: decide.EndpointReady}}})
 	}
@@ -92,9 +92,9 @@
 	d, err := NewDispatcher(settings, 1, upstream, slog.New(slog.DiscardHandler), 1<<20)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); d.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-ended })
+	runEnded := make(chan struct{})
+	go func() { defer close(runEnded); d.Run(ctx) }()
+	t.Cleanup(func() { cancel(); <-runEnded })
 	return d, upstream
 }
 
@@ -106,18 +106,18 @@
 }
 
 // attemptCount returns the number of attempts of an open request, or -1 if the request is not open.
-func attemptCount(t *testing.T, d *Dispatcher, call string) int {
-	n := make(chan int, 1)
+func attemptCount(t *testing.T, d *Dispatcher, callID string) int {
+	attemptCounts := make(chan int, 1)
 	d.post(func() {
 		for _, r := range d.requests {
-			if r.query.CallID == call {
-				n <- len(r.attempts)
+			if r.query.CallID == callID {
+				attemptCounts <- len(r.attempts)
 				return
 			}
 		}
-		n <- -1
+		attemptCounts <- -1
 	})
-	return receive(t, n)
+	return receive(t, attemptCounts)
 }
 
 // onlyRequest returns the ID of the only open request. It must be called on the dispatcher's goroutine.
@@ -129,7 +129,7 @@
 }
 
 // submit submits a request and returns the recorder of its answers and its ticket.
-func submit(d *Dispatcher, call string, class int, key string) (*answerRecorder, Ticket) {
-	a := &answerRecorder{make(chan Answer, 2)}
-	return a, d.Submit(Query{CallID: call, Class: class, Statement: []byte("x"), Deadline: time.Now().Add(waitTimeout), IdempotencyKey: key}, a)
+func submit(d *Dispatcher, callID string, class int, key string) (*answerRecorder, Ticket) {
+	recorder := &answerRecorder{make(chan Answer, 2)}
+	return recorder, d.Submit(Query{CallID: callID, Class: class, Statement: []byte("x"), Deadline: time.Now().Add(waitTimeout), IdempotencyKey: key}, recorder)
 }
--- a/internal/routing/overrides.go
+++ b/internal/routing/overrides.go
@@ -25,19 +25,21 @@
 	return t
 }
 
-// suspended reports whether an endpoint is suspended. It takes no lock.
-func (t *overrideTable) suspended(name string) bool { return (*t.suspendedNames.Load())[name] }
+// isSuspended reports whether an endpoint is suspended. It takes no lock.
+func (t *overrideTable) isSuspended(endpointName string) bool {
+	return (*t.suspendedNames.Load())[endpointName]
+}
 
 // update runs f on the overrides, under the lock, and then rebuilds the set of suspended names.
 func (t *overrideTable) update(f func(*overrides.Set)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.overrides)
-	names := map[string]bool{}
+	suspendedNames := map[string]bool{}
 	for _, suspension := range t.overrides.Suspensions() {
-		names[suspension.EndpointName] = true
+		suspendedNames[suspension.EndpointName] = true
 	}
-	t.suspendedNames.Store(&names)
+	t.suspendedNames.Store(&suspendedNames)
 }
 
 // apply records an entry of the endpoint list and returns it with the override applied.
@@ -49,10 +51,10 @@
 }
 
 // setUnlisted records that an endpoint is no longer on the endpoint list.
-func (t *overrideTable) setUnlisted(name string) {
+func (t *overrideTable) setUnlisted(endpointName string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.overrides.SetListed(name, false)
+	t.overrides.SetListed(endpointName, false)
 }
 
 // Suspend suspends an endpoint and returns the number of SUSPEND calls since it was last restored.
--- a/internal/routing/probe.go
+++ b/internal/routing/probe.go
@@ -27,7 +27,7 @@
 	}()
 }
 
-func (d *Dispatcher) probeEnded(e *tableEntry, startedAt time.Time, outcome decide.Outcome, load *decide.LoadReport) {
+func (d *Dispatcher) probeEnded(e *listedEndpoint, startedAt time.Time, outcome decide.Outcome, load *decide.LoadReport) {
 	latency := millis.Since(startedAt)
 	inFlight := -1.0 // -1 in the log: the probe returned no load report
 	if load != nil {
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -57,7 +57,7 @@
 
 func (d *Dispatcher) withdraw(id decide.RequestID) {
 	if follower := d.coalescer.followers[id]; follower != nil {
-		d.Counters.withdrawn(follower.query.Class)
+		d.Counters.countWithdrawn(follower.query.Class)
 		d.close(follower)
 		d.leaveLeader(follower)
 		return
@@ -66,7 +66,7 @@
 	if r == nil || r.closed() {
 		return
 	}
-	d.Counters.withdrawn(r.query.Class)
+	d.Counters.countWithdrawn(r.query.Class)
 	d.close(r)
 	d.handle(decide.ClientDisconnected{ID: r.requestID})
 	if r.runningAttempts == 0 { // no running attempt can produce a result for the followers
@@ -127,8 +127,8 @@
 // startDeadlineTimer ensures that every request is answered: the timer answers it if the balancer has
 // not done so by the deadline plus deadlineGrace.
 func (d *Dispatcher) startDeadlineTimer(r *request) {
-	wait := max(time.Until(r.query.Deadline), 0) + deadlineGrace
-	r.deadlineTimer = time.AfterFunc(wait, func() { d.post(func() { d.deadlineExceeded(r) }) })
+	timerDelay := max(time.Until(r.query.Deadline), 0) + deadlineGrace
+	r.deadlineTimer = time.AfterFunc(timerDelay, func() { d.post(func() { d.deadlineExceeded(r) }) })
 }
 
 func (d *Dispatcher) deadlineExceeded(r *request) {
@@ -154,12 +154,12 @@
 		return
 	}
 	responder := r.responder
-	d.Counters.answered(r.query.Class, answer.Kind)
+	d.Counters.countAnswered(r.query.Class, answer.Kind)
 	d.log.Debug("request answered", "call", r.query.CallID, "class", r.query.Class, "kind", answer.Kind.String(),
 		"attempts", len(r.attempts), "reason", answer.Reason)
 	d.close(r)
-	// An attempt that is still dialling must not start. If the first byte of an attempt is being written, the answer
-	// waits for it.
+	// Closing the gate keeps an attempt that is still dialling from starting. While the first byte of
+	// another attempt is being written to its endpoint, the answer waits: no attempt may start after the answer.
 	respond := func() { responder.Respond(answer) }
 	if r.gate.close(func() { d.post(respond) }) {
 		respond()
@@ -170,7 +170,7 @@
 // close marks a request as answered or withdrawn.
 func (d *Dispatcher) close(r *request) {
 	r.responder = nil
-	d.openCount.Add(-1)
+	d.openRequestCount.Add(-1)
 	if r.deadlineTimer != nil {
 		r.deadlineTimer.Stop()
 	}
@@ -181,6 +181,6 @@
 	if r.closed() && r.runningAttempts == 0 && d.requests[r.requestID] == r {
 		d.freeStatementBytes += len(r.query.Statement)
 		delete(d.requests, r.requestID)
-		delete(d.callIDs, r.query.CallID)
+		delete(d.openCallIDs, r.query.CallID)
 	}
 }
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -12,8 +12,8 @@
 // A dial takes up to a second. If the settings don't enable cancellation the balancer does not cancel attempts, but an
 // attempt that has not started when its client leaves must still not start.
 func TestWithdrawDuringDialStartsNoAttempt(t *testing.T) {
-	for _, cancellation := range []bool{false, true} {
-		d, upstream, listEndpoint := startDispatcher(t, cancellation, 5000)
+	for _, cancellationEnabled := range []bool{false, true} {
+		d, upstream, listEndpoint := startDispatcher(t, cancellationEnabled, 5000)
 		listEndpoint()
 		_, ticket := submit(d, "one", idempotentClass, "")
 		attempt := upstream.next(t)
@@ -31,20 +31,20 @@
 // not from the queue, not after a dial, not as a retry, and not when a follower is admitted again.
 func TestDetachStartsNoFurtherAttempt(t *testing.T) {
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
-	queued, ticket := submit(d, "queued", keyedClass, "a")
-	follower, followerTicket := submit(d, "follower", keyedClass, "a")
-	third, _ := submit(d, "third", keyedClass, "a")
+	queuedRecorder, ticket := submit(d, "queued", keyedClass, "a")
+	followerRecorder, followerTicket := submit(d, "follower", keyedClass, "a")
+	thirdRecorder, _ := submit(d, "third", keyedClass, "a")
 	d.Detach(followerTicket)
 	flush(t, d)
-	require.Empty(t, follower.answers, "the follower waits for its leader")
+	require.Empty(t, followerRecorder.answers, "the follower waits for its leader")
 	d.Detach(ticket)
-	require.Equal(t, Rejected, receive(t, queued.answers).Kind)
-	require.Equal(t, Rejected, receive(t, follower.answers).Kind)
+	require.Equal(t, Rejected, receive(t, queuedRecorder.answers).Kind)
+	require.Equal(t, Rejected, receive(t, followerRecorder.answers).Kind)
 	listEndpoint()
 	attempt := upstream.next(t)
 	require.Equal(t, "third", attempt.CallID, "the next request under the key")
 	attempt.end(decide.OutcomeSucceeded)
-	require.Equal(t, Succeeded, receive(t, third.answers).Kind)
+	require.Equal(t, Succeeded, receive(t, thirdRecorder.answers).Kind)
 
 	for _, outcome := range []decide.Outcome{decide.OutcomeNotSent, decide.OutcomeAnswerLost, decide.OutcomeOverloaded, decide.OutcomeSucceeded} {
 		d, upstream, listEndpoint := startDispatcher(t, true, 5000)
@@ -85,25 +85,25 @@
 // The deadline timer may fire before or after the end of an attempt is reported. In both cases a retryable request is
 // rejected, and a request that may have run and must not run twice fails.
 func TestDeadlineTimerAnswersByRetryability(t *testing.T) {
-	for class, want := range []AnswerKind{Rejected, Failed} {
+	for class, wantKind := range []AnswerKind{Rejected, Failed} {
 		settings := testSettings(true, 5000)
 		settings.Classes[keyedClass].Idempotency = decide.NotIdempotent
 		d, upstream := startDispatcherWith(t, settings)
 		d.UpdateEndpoints(decide.UpdateSnapshot, []Endpoint{{Name: "a", Address: "127.0.0.1:1", EndpointInfo: decide.EndpointInfo{ID: 1, State: decide.EndpointReady}}})
-		var a *answerRecorder
+		var recorder *answerRecorder
 		var attempt *fakeAttempt
 		for timeLeft := 200 * time.Millisecond; attempt == nil; timeLeft *= 2 { // on a stalled machine the deadline may pass before the attempt starts
-			a = &answerRecorder{make(chan Answer, 2)}
-			d.Submit(Query{CallID: timeLeft.String(), Class: class, Statement: []byte("x"), Deadline: time.Now().Add(timeLeft)}, a)
+			recorder = &answerRecorder{make(chan Answer, 2)}
+			d.Submit(Query{CallID: timeLeft.String(), Class: class, Statement: []byte("x"), Deadline: time.Now().Add(timeLeft)}, recorder)
 			select {
 			case attempt = <-upstream.attempts:
-			case <-a.answers:
+			case <-recorder.answers:
 			}
 		}
-		require.Equal(t, want, receive(t, a.answers).Kind) // the attempt has not ended yet
+		require.Equal(t, wantKind, receive(t, recorder.answers).Kind) // the attempt has not ended yet
 		attempt.end(decide.OutcomeTimeout)
 		flush(t, d)
-		require.Empty(t, a.answers, "one answer")
+		require.Empty(t, recorder.answers, "one answer")
 	}
 }
 
@@ -142,8 +142,8 @@
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	listEndpoint()
 	d.AnswerAllOpen(50 * time.Millisecond)
-	late, _ := submit(d, "late", keyedClass, "a")
-	answer := receive(t, late.answers)
+	lateRecorder, _ := submit(d, "late", keyedClass, "a")
+	answer := receive(t, lateRecorder.answers)
 	require.Equal(t, Rejected, answer.Kind)
 	require.Equal(t, 50*time.Millisecond, answer.RetryAfter)
 	flush(t, d)
@@ -157,14 +157,14 @@
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	listEndpoint()
 	recorder, _ := submit(d, "one", idempotentClass, "")
-	running := upstream.next(t)
+	runningAttempt := upstream.next(t)
 	d.post(func() {
 		id := onlyRequest(d)
 		d.perform(decide.StartAttempt{ID: id, Endpoint: 99, Timeout: 1000})
 		d.perform(decide.SetAttemptResources{ID: id, GrantMB: 8, Priority: 2})
 	})
 	flush(t, d)
-	running.end(decide.OutcomeSucceeded)
+	runningAttempt.end(decide.OutcomeSucceeded)
 	require.Equal(t, Succeeded, receive(t, recorder.answers).Kind)
 	flush(t, d)
 	require.Zero(t, d.OpenRequests())
@@ -177,18 +177,18 @@
 	d, upstream, listEndpoint := startDispatcher(t, true, 5000)
 	listEndpoint()
 	recorder, _ := submit(d, "one", idempotentClass, "")
-	running := upstream.next(t)
-	sent, ok := running.BeginSend()
+	runningAttempt := upstream.next(t)
+	sendDone, ok := runningAttempt.BeginSend()
 	require.True(t, ok)
 	d.AnswerAllOpen(50 * time.Millisecond)
 	flush(t, d)
 	require.Empty(t, recorder.answers, "the first byte is being written")
-	_, ok = running.BeginSend()
+	_, ok = runningAttempt.BeginSend()
 	require.False(t, ok, "no other attempt may start")
-	sent()
-	sent()
+	sendDone()
+	sendDone()
 	require.Equal(t, Rejected, receive(t, recorder.answers).Kind)
-	running.end(decide.OutcomeCancelled)
+	runningAttempt.end(decide.OutcomeCancelled)
 	flush(t, d)
 	require.Empty(t, recorder.answers)
 	require.Zero(t, d.OpenRequests())
--- a/internal/routing/runhistory.go
+++ b/internal/routing/runhistory.go
@@ -8,8 +8,8 @@
 // runHistory records the first run of each idempotency key for as long as a retry may arrive. It does
 // not read the clock. The dispatcher's goroutine owns it.
 type runHistory struct {
-	runs  map[requestKey]recordedRun
-	order []runStart // the recorded runs, including removed ones, oldest first
+	runs       map[requestKey]recordedRun
+	startOrder []runStart // the recorded runs, including removed ones, oldest first
 }
 
 // recordedRun is the first run under a key.
@@ -29,24 +29,24 @@
 // record records a run that starts under a key and the time until which a retry may arrive. Further
 // runs under the key are ignored: the endpoints' deduplication window begins with the first.
 func (h *runHistory) record(key requestKey, run decide.EarlierRun, retriesUntil decide.Millis) {
-	if key.key == "" || h.earlierRun(key, run.StartedAt) != nil {
+	if key.idempotencyKey == "" || h.earlierRun(key, run.StartedAt) != nil {
 		return
 	}
 	h.expire(run.StartedAt)
 	h.runs[key] = recordedRun{run, retriesUntil}
-	h.order = append(h.order, runStart{key, run.StartedAt})
+	h.startOrder = append(h.startOrder, runStart{key, run.StartedAt})
 }
 
 // expire removes the oldest runs while they are expired or too many are recorded.
 func (h *runHistory) expire(now decide.Millis) {
-	for len(h.order) > 0 {
-		oldest := h.order[0]
+	for len(h.startOrder) > 0 {
+		oldest := h.startOrder[0]
 		run := h.runs[oldest.key]
-		if run.StartedAt == oldest.startedAt && run.retriesUntil > now && len(h.order) < maxRecordedRuns {
+		if run.StartedAt == oldest.startedAt && run.retriesUntil > now && len(h.startOrder) < maxRecordedRuns {
 			return
 		}
 		h.forget(oldest.key, oldest.startedAt)
-		h.order = h.order[1:]
+		h.startOrder = h.startOrder[1:]
 	}
 }
 
--- a/internal/routing/sendgate.go
+++ b/internal/routing/sendgate.go
@@ -6,30 +6,30 @@
 // answer, and the answer is delayed while a first byte is being written. Attempts call begin on their own goroutines, and
 // the dispatcher calls close; neither call blocks.
 type sendGate struct {
-	mu      sync.Mutex // guards the fields below
-	closed  bool       // set with the final answer: no further attempt may start
-	sending int        // number of attempts whose first byte is being written
-	onIdle  func()     // set by close while sending is above 0; called when sending becomes 0
+	mu           sync.Mutex // guards the fields below
+	closed       bool       // set with the final answer: no further attempt may start
+	sendingCount int        // number of attempts whose first byte is being written
+	onIdle       func()     // set by close while sendingCount is above 0; called when sendingCount becomes 0
 }
 
-// begin reports whether an attempt may send its first byte. If so, the caller must call sent as soon as the byte has been
+// begin reports whether an attempt may send its first byte. If so, the caller must call sendDone as soon as the byte has been
 // written or can no longer be written.
-func (g *sendGate) begin() (sent func(), ok bool) {
+func (g *sendGate) begin() (sendDone func(), ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return nil, false
 	}
-	g.sending++
+	g.sendingCount++
 	return sync.OnceFunc(g.end), true
 }
 
 // end records that the first byte of an attempt has been written or can no longer be written.
 func (g *sendGate) end() {
 	g.mu.Lock()
-	g.sending--
+	g.sendingCount--
 	var notify func()
-	if g.sending == 0 {
+	if g.sendingCount == 0 {
 		notify, g.onIdle = g.onIdle, nil
 	}
 	g.mu.Unlock()
@@ -44,7 +44,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	if g.sending == 0 {
+	if g.sendingCount == 0 {
 		return true
 	}
 	g.onIdle = notify
--- a/internal/routing/tablegroup.go
+++ b/internal/routing/tablegroup.go
@@ -17,39 +17,39 @@
 		if !isSchema(tokens, i) {
 			continue
 		}
-		if n, ok := schemaNumber(tokens[i].text); ok {
-			return n
+		if group, ok := schemaNumber(tokens[i].text); ok {
+			return group
 		}
 	}
 	return 0
 }
 
-// isSchema reports whether token i, which must not be the last token, is a schema name: the last but one
+// isSchema reports whether the token at tokenIndex, which must not be the last token, is a schema name: the last but one
 // identifier of a qualified name such as schema.table or catalog.schema.table.
-func isSchema(tokens []token, i int) bool {
-	if !tokens[i].isIdentifier || tokens[i+1].text != "." {
+func isSchema(tokens []token, tokenIndex int) bool {
+	if !tokens[tokenIndex].isIdentifier || tokens[tokenIndex+1].text != "." {
 		return false
 	}
-	if i > 0 && tokens[i-1].text == "." && i+2 == len(tokens) {
+	if tokenIndex > 0 && tokens[tokenIndex-1].text == "." && tokenIndex+2 == len(tokens) {
 		return false
 	}
-	hasThreeNames := i+3 < len(tokens) && tokens[i+2].isIdentifier && tokens[i+3].text == "."
+	hasThreeNames := tokenIndex+3 < len(tokens) && tokens[tokenIndex+2].isIdentifier && tokens[tokenIndex+3].text == "."
 	return !hasThreeNames
 }
 
 // schemaNumber returns the number after the last underscore of a schema name, if that is a group number.
 func schemaNumber(name string) (uint64, bool) {
-	underscore := strings.LastIndexByte(name, '_')
-	digits := name[underscore+1:]
-	if underscore <= 0 || digits == "" || len(digits) > maxGroupDigits || strings.EqualFold(name[:underscore], stagingSchema) {
+	underscoreIndex := strings.LastIndexByte(name, '_')
+	digits := name[underscoreIndex+1:]
+	if underscoreIndex <= 0 || digits == "" || len(digits) > maxGroupDigits || strings.EqualFold(name[:underscoreIndex], stagingSchema) {
 		return 0, false
 	}
-	var n uint64
-	for _, c := range digits {
-		if c < '0' || c > '9' {
+	var group uint64
+	for _, digit := range digits {
+		if digit < '0' || digit > '9' {
 			return 0, false
 		}
-		n = n*10 + uint64(c-'0')
+		group = group*10 + uint64(digit-'0')
 	}
-	return n, true
+	return group, true
 }
--- a/internal/routing/tablegroup_test.go
+++ b/internal/routing/tablegroup_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestTableGroup(t *testing.T) {
-	for statement, group := range map[string]uint64{
+	for statement, wantGroup := range map[string]uint64{
 		"select * from sales_17.orders":              17,
 		"select * from catalog.sales_17.orders":      17,
 		"select * from sales_17.orders.price":        0, // catalog.schema.table: the schema is orders
@@ -19,6 +19,6 @@
 		"select * from sales_1234567890123456.t":     0, // more than maxGroupDigits digits
 		"select * from sales_x1.t, _5.t, sales_06.t": 6,
 	} {
-		require.Equal(t, group, TableGroup(statement), statement)
+		require.Equal(t, wantGroup, TableGroup(statement), statement)
 	}
 }
--- a/internal/routing/tokenize.go
+++ b/internal/routing/tokenize.go
@@ -13,32 +13,32 @@
 
 // tokenize splits a statement into identifiers and single characters, in order. Comments are skipped,
 // a string is one token without its content, and a quoted identifier is an identifier.
-func tokenize(s string) []token {
+func tokenize(statement string) []token {
 	tokens := make([]token, 0, initialTokenCapacity)
-	for i := 0; i < len(s); {
-		c := s[i]
+	for i := 0; i < len(statement); {
+		c := statement[i]
 		switch {
-		case strings.HasPrefix(s[i:], "--"):
-			end := strings.IndexByte(s[i:], '\n')
-			if end < 0 {
+		case strings.HasPrefix(statement[i:], "--"):
+			commentLength := strings.IndexByte(statement[i:], '\n')
+			if commentLength < 0 {
 				return tokens
 			}
-			i += end
-		case strings.HasPrefix(s[i:], "/*"):
-			i = skipBlockComment(s, i)
+			i += commentLength
+		case strings.HasPrefix(statement[i:], "/*"):
+			i = skipBlockComment(statement, i)
 		case c == '\'':
-			i, _ = readQuoted(s, i)
+			i, _ = readQuoted(statement, i)
 			tokens = append(tokens, token{text: "''"})
 		case c == '"' || c == '`':
-			end, text := readQuoted(s, i)
-			i = end
-			tokens = append(tokens, token{text, true})
+			endIndex, identifier := readQuoted(statement, i)
+			i = endIndex
+			tokens = append(tokens, token{identifier, true})
 		case isIdentifierByte(c):
 			start := i
-			for i < len(s) && isIdentifierByte(s[i]) {
+			for i < len(statement) && isIdentifierByte(statement[i]) {
 				i++
 			}
-			tokens = append(tokens, token{s[start:i], !isDigit(c)})
+			tokens = append(tokens, token{statement[start:i], !isDigit(c)})
 		case c == ' ' || c == '\t' || c == '\n' || c == '\r':
 			i++
 		default:
@@ -50,12 +50,12 @@
 }
 
 // skipBlockComment returns the index after the block comment at i. Block comments nest.
-func skipBlockComment(s string, i int) int {
-	for depth := 0; i < len(s); {
+func skipBlockComment(statement string, i int) int {
+	for depth := 0; i < len(statement); {
 		switch {
-		case strings.HasPrefix(s[i:], "/*"):
+		case strings.HasPrefix(statement[i:], "/*"):
 			depth, i = depth+1, i+2
-		case strings.HasPrefix(s[i:], "*/"):
+		case strings.HasPrefix(statement[i:], "*/"):
 			depth, i = depth-1, i+2
 			if depth == 0 {
 				return i
@@ -68,21 +68,21 @@
 }
 
 // readQuoted returns the index after the quoted text at i, and the text. Doubled quotes are unescaped.
-func readQuoted(s string, i int) (end int, text string) {
-	quote := s[i]
-	var b []byte
-	for i++; i < len(s); i++ {
-		if s[i] != quote {
-			b = append(b, s[i])
+func readQuoted(statement string, i int) (endIndex int, text string) {
+	quote := statement[i]
+	var unescaped []byte
+	for i++; i < len(statement); i++ {
+		if statement[i] != quote {
+			unescaped = append(unescaped, statement[i])
 			continue
 		}
-		if i+1 >= len(s) || s[i+1] != quote {
-			return i + 1, string(b)
+		if i+1 >= len(statement) || statement[i+1] != quote {
+			return i + 1, string(unescaped)
 		}
-		b = append(b, quote)
+		unescaped = append(unescaped, quote)
 		i++
 	}
-	return i, string(b)
+	return i, string(unescaped)
 }
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -26,9 +26,9 @@
 	// start: the endpoint may have started to drain while the connection was dialled.
 	StillReady func() bool
 	// BeginSend is called right before the first byte is written. If ok is false, the request has been answered and the
-	// attempt must not start. Otherwise sent must be called as soon as the byte has been written or can no longer be
+	// attempt must not start. Otherwise sendDone must be called as soon as the byte has been written or can no longer be
 	// written, as the answer waits for it. Nil: the attempt need not be ordered relative to an answer.
-	BeginSend func() (sent func(), ok bool)
+	BeginSend func() (sendDone func(), ok bool)
 }
 
 // Result is the outcome of an attempt.
@@ -49,7 +49,7 @@
 	// attempt is lost, it cancels the attempt at the endpoint before it returns.
 	Run(ctx context.Context, spec AttemptSpec) Result
 	// Prioritize changes the priority of a running attempt.
-	Prioritize(ctx context.Context, call string, priority int) error
+	Prioritize(ctx context.Context, callID string, priority int) error
 	// Probe requests a load report from the endpoint.
 	Probe(ctx context.Context) (decide.Outcome, *decide.LoadReport)
 	// Connections returns how many of the endpoint's connections carry a call and how many are idle.
