--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -36,16 +36,16 @@
 }
 
 func (p *Program) executeSuspend(endpointName string) []byte {
-	var calls int
+	var suspendCalls int
 	err := p.overrides.change(overrides.Change{EndpointName: endpointName}, func() (err error) {
-		calls, err = p.dispatcher.Suspend(endpointName)
+		suspendCalls, err = p.dispatcher.Suspend(endpointName)
 		return err
 	})
 	if err != nil {
 		return admin.Nak(err.Error())
 	}
-	if calls > 1 {
-		return admin.Ack(fmt.Sprintf("%s out already (%d calls; one RESTORE lets it back)", endpointName, calls))
+	if suspendCalls > 1 {
+		return admin.Ack(fmt.Sprintf("%s out already (%d calls; one RESTORE lets it back)", endpointName, suspendCalls))
 	}
 	return admin.Ack(endpointName + " out")
 }
--- a/internal/program/budget.go
+++ b/internal/program/budget.go
@@ -58,32 +58,32 @@
 
 // connectionBudget is the maximum number of connections of each kind.
 type connectionBudget struct {
-	clients     int // from JSON-RPC clients
-	restClients int // from clients of the paged REST protocol
-	admin       int // for operators' commands
-	upstream    int // to endpoints
+	maxClients     int // from JSON-RPC clients
+	maxRESTClients int // from clients of the paged REST protocol
+	maxAdmin       int // for operators' commands
+	maxUpstream    int // to endpoints
 }
 
 // divideSockets divides the descriptor limit among the kinds of connections.
-func divideSockets(sockets int, hasGossip, hasREST bool) connectionBudget {
-	clientSockets := sockets / clientDivisor
-	admin := min(max(sockets/adminDivisor, 1), clients.MaxAdminConnections)
-	reserved := reservedDescriptors + max(admin-reservedAdminConnections, 0)
+func divideSockets(socketLimit int, hasGossip, hasREST bool) connectionBudget {
+	clientSockets := socketLimit / clientDivisor
+	adminConnections := min(max(socketLimit/adminDivisor, 1), clients.MaxAdminConnections)
+	reservedCount := reservedDescriptors + max(adminConnections-reservedAdminConnections, 0)
 	if hasGossip {
-		reserved++
+		reservedCount++
 	}
-	b := connectionBudget{clients: clientSockets, admin: admin, upstream: sockets - clientSockets - reserved}
+	budget := connectionBudget{maxClients: clientSockets, maxAdmin: adminConnections, maxUpstream: socketLimit - clientSockets - reservedCount}
 	if hasREST {
-		b.restClients = clientSockets / restClientDivisor
-		b.clients -= b.restClients
+		budget.maxRESTClients = clientSockets / restClientDivisor
+		budget.maxClients -= budget.maxRESTClients
 	}
-	return b
+	return budget
 }
 
 // maxInFlight returns the maximum number of attempts in flight, limited by connections and by the memory for their results.
 func (p *Program) maxInFlight(upstreamConnections int) int {
-	byConnections := int(float64(upstreamConnections-nonRequestConnections) * inFlightFraction)
-	return min(byConnections, int(p.memoryFraction(resultMemoryFraction)/engine.MaxResultBytes))
+	connectionLimit := int(float64(upstreamConnections-nonRequestConnections) * inFlightFraction)
+	return min(connectionLimit, int(p.memoryFraction(resultMemoryFraction)/engine.MaxResultBytes))
 }
 
 // memoryFraction returns a fraction of the memory limit, in bytes.
--- a/internal/program/budget_test.go
+++ b/internal/program/budget_test.go
@@ -12,18 +12,18 @@
 )
 
 func TestDivideSockets(t *testing.T) {
-	for _, c := range []struct {
-		sockets            int
+	for _, testCase := range []struct {
+		socketLimit        int
 		hasGossip, hasREST bool
-		want               connectionBudget
+		wantBudget         connectionBudget
 	}{
-		{64, false, false, connectionBudget{clients: 21, admin: 1, upstream: 19}},
-		{384, false, false, connectionBudget{clients: 128, admin: 8, upstream: 228}},
-		{1024, false, false, connectionBudget{clients: 341, admin: 16, upstream: 647}},
-		{1024, true, false, connectionBudget{clients: 341, admin: 16, upstream: 646}},
-		{1024, true, true, connectionBudget{clients: 256, restClients: 85, admin: 16, upstream: 646}},
+		{64, false, false, connectionBudget{maxClients: 21, maxAdmin: 1, maxUpstream: 19}},
+		{384, false, false, connectionBudget{maxClients: 128, maxAdmin: 8, maxUpstream: 228}},
+		{1024, false, false, connectionBudget{maxClients: 341, maxAdmin: 16, maxUpstream: 647}},
+		{1024, true, false, connectionBudget{maxClients: 341, maxAdmin: 16, maxUpstream: 646}},
+		{1024, true, true, connectionBudget{maxClients: 256, maxRESTClients: 85, maxAdmin: 16, maxUpstream: 646}},
 	} {
-		require.Equal(t, c.want, divideSockets(c.sockets, c.hasGossip, c.hasREST), c)
+		require.Equal(t, testCase.wantBudget, divideSockets(testCase.socketLimit, testCase.hasGossip, testCase.hasREST), testCase)
 	}
 }
 
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-const help = `aniseloft runs one coordinator between clients and query engines. It takes no arguments to serve.
+const helpText = `aniseloft runs one coordinator between clients and query engines. It takes no arguments to serve.
 
 Usage:
   LB_CONFIG=config.json aniseloft
@@ -41,7 +41,7 @@
 	}
 	switch args[0] {
 	case "-h", "--help", "help":
-		_, _ = io.WriteString(out, help)
+		_, _ = io.WriteString(out, helpText)
 	case "--version", "version":
 		_, _ = fmt.Fprintln(out, "aniseloft", version())
 	default:
@@ -57,11 +57,11 @@
 	if !ok {
 		return "unknown"
 	}
-	v := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			v += " " + s.Value
+	versionText := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			versionText += " " + setting.Value
 		}
 	}
-	return v + " " + info.GoVersion
+	return versionText + " " + info.GoVersion
 }
--- a/internal/program/drainstate.go
+++ b/internal/program/drainstate.go
@@ -33,10 +33,10 @@
 
 // setLongestDeadline sets the longest deadline of all classes, which determines when the platform kills the process
 // after SIGTERM. It must be called before the drain starts.
-func (d *drainState) setLongestDeadline(deadline time.Duration) {
+func (d *drainState) setLongestDeadline(longestDeadline time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.state.LongestDeadline = deadline
+	d.state.LongestDeadline = longestDeadline
 }
 
 // answerAllAfter returns how long after SIGTERM every open request must have been answered.
@@ -61,10 +61,10 @@
 	return d.state.AnswerAllAt()
 }
 
-func (d *drainState) admit(now time.Time, expected time.Duration) bool {
+func (d *drainState) admit(now time.Time, expectedDuration time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.state.Admit(now, expected)
+	return d.state.Admit(now, expectedDuration)
 }
 
 func (d *drainState) draining() bool {
--- a/internal/program/drillfaults.go
+++ b/internal/program/drillfaults.go
@@ -34,7 +34,7 @@
 // fleetClock returns the clock for leases, in milliseconds. It starts at 0 when fleetClock is called and is
 // monotonic, apart from the rate and the jumps in setting, the value of drillClockVariable.
 func fleetClock(setting string) (func() lease.Millis, error) {
-	start, rate := time.Now(), 1.0
+	startedAt, rate := time.Now(), 1.0
 	var jumps []clockJump
 	for i, field := range strings.Fields(setting) {
 		jump, isJump, err := parseClockSetting(field)
@@ -52,32 +52,32 @@
 		}
 	}
 	return func() lease.Millis {
-		elapsed := float64(time.Since(start)) / float64(time.Millisecond)
-		now := elapsed * rate
+		elapsed := float64(time.Since(startedAt)) / float64(time.Millisecond)
+		clockReading := elapsed * rate
 		for _, jump := range jumps {
 			if elapsed >= jump.atMS {
-				now += jump.byMS
+				clockReading += jump.byMS
 			}
 		}
-		return now
+		return clockReading
 	}, nil
 }
 
 // parseClockSetting parses a jump such as 1000@5000 or a rate, which is returned as the jump's byMS.
 func parseClockSetting(field string) (jump clockJump, isJump bool, err error) {
-	by, at, isJump := strings.Cut(field, "@")
-	if jump.byMS, err = strconv.ParseFloat(by, 64); err == nil && isJump {
-		jump.atMS, err = strconv.ParseFloat(at, 64)
+	byText, atText, isJump := strings.Cut(field, "@")
+	if jump.byMS, err = strconv.ParseFloat(byText, 64); err == nil && isJump {
+		jump.atMS, err = strconv.ParseFloat(atText, 64)
 	}
 	return jump, isJump, err
 }
 
 // diskFault is a simulated disk that is full for some time, or a single slow save.
 type diskFault struct {
-	full     bool          // true: the disk is full; false: one save is slow
-	startsAt time.Duration // time since the start of the process
-	duration time.Duration
-	done     bool // set after the slow save, which happens once
+	diskFull     bool          // true: the disk is full; false: one save is slow
+	startsAt     time.Duration // time since the start of the process
+	duration     time.Duration
+	slowSaveDone bool // set after the slow save, which happens once
 }
 
 // drillDiskFaults returns a function that injects the faults in setting, the value of drillDiskVariable, into the
@@ -95,10 +95,10 @@
 	if len(faults) == 0 {
 		return nil, nil
 	}
-	start := time.Now()
+	startedAt := time.Now()
 	return func() error {
 		for i := range faults {
-			if err := faults[i].inject(start); err != nil {
+			if err := faults[i].inject(startedAt); err != nil {
 				return err
 			}
 		}
@@ -107,34 +107,34 @@
 }
 
 func parseDiskFault(field string) (diskFault, error) {
-	kind, times, _ := strings.Cut(field, ":")
-	duration, at, hasStart := strings.Cut(times, "@")
-	durationMS, durationErr := strconv.ParseFloat(duration, 64)
-	atMS, atErr := strconv.ParseFloat(at, 64)
+	kind, timesText, _ := strings.Cut(field, ":")
+	durationText, atText, hasStart := strings.Cut(timesText, "@")
+	durationMS, durationErr := strconv.ParseFloat(durationText, 64)
+	atMS, atErr := strconv.ParseFloat(atText, 64)
 	if durationErr != nil || atErr != nil || !hasStart || kind != "slow" && kind != "full" {
 		return diskFault{}, errDiskSyntax
 	}
 	return diskFault{
-		full:     kind == "full",
+		diskFull: kind == "full",
 		startsAt: time.Duration(atMS * float64(time.Millisecond)),
 		duration: time.Duration(durationMS * float64(time.Millisecond)),
 	}, nil
 }
 
 // inject returns an error while the disk is full, and blocks for a slow save.
-func (f *diskFault) inject(start time.Time) error {
-	elapsed := time.Since(start)
+func (f *diskFault) inject(startedAt time.Time) error {
+	elapsed := time.Since(startedAt)
 	if elapsed < f.startsAt {
 		return nil
 	}
-	if f.full {
+	if f.diskFull {
 		if elapsed < f.startsAt+f.duration {
 			return syscall.ENOSPC
 		}
 		return nil
 	}
-	if !f.done {
-		f.done = true
+	if !f.slowSaveDone {
+		f.slowSaveDone = true
 		time.Sleep(f.duration)
 	}
 	return nil
--- a/internal/program/drillfaults_test.go
+++ b/internal/program/drillfaults_test.go
@@ -11,11 +11,11 @@
 func TestFleetClockFollowsDrillSettings(t *testing.T) {
 	clock, err := fleetClock("")
 	require.NoError(t, err)
-	first, started := clock(), time.Now()
+	firstReading, startedAt := clock(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	second := clock()
-	require.LessOrEqual(t, second-first, float64(time.Since(started))/float64(time.Millisecond)+1, "a correct clock")
-	require.GreaterOrEqual(t, second-first, 20.0)
+	secondReading := clock()
+	require.LessOrEqual(t, secondReading-firstReading, float64(time.Since(startedAt))/float64(time.Millisecond)+1, "a correct clock")
+	require.GreaterOrEqual(t, secondReading-firstReading, 20.0)
 	clock, err = fleetClock("0.5 3600000@0 -1000@60000")
 	require.NoError(t, err)
 	require.InDelta(t, 3600000, clock(), 10000, "the first jump has happened, the second has not")
@@ -26,14 +26,14 @@
 }
 
 func TestDiskFaultsFollowDrillSettings(t *testing.T) {
-	fault, err := drillDiskFaults("")
+	injectFault, err := drillDiskFaults("")
 	require.NoError(t, err)
-	require.Nil(t, fault)
-	fault, err = drillDiskFaults("slow:30@0 full:60000@0")
+	require.Nil(t, injectFault)
+	injectFault, err = drillDiskFaults("slow:30@0 full:60000@0")
 	require.NoError(t, err)
-	started := time.Now()
-	require.ErrorIs(t, fault(), syscall.ENOSPC)
-	require.GreaterOrEqual(t, time.Since(started), 30*time.Millisecond)
+	startedAt := time.Now()
+	require.ErrorIs(t, injectFault(), syscall.ENOSPC)
+	require.GreaterOrEqual(t, time.Since(startedAt), 30*time.Millisecond)
 	for _, invalid := range []string{"slow", "slow:5", "late:5@5", "slow:x@5"} {
 		_, err = drillDiskFaults(invalid)
 		require.ErrorContains(t, err, drillDiskVariable, invalid)
--- a/internal/program/overridestore.go
+++ b/internal/program/overridestore.go
@@ -34,18 +34,18 @@
 // overrideStore synchronizes the admin overrides of this process with the state file. Its mutex orders
 // changes within the process; the file lock orders the changes of both processes of an upgrade.
 type overrideStore struct {
-	path   string
-	update func(func(*overrides.Set) (changed bool)) // runs a function on the dispatcher's overrides, under their lock
-	log    *slog.Logger
+	path            string
+	updateOverrides func(func(*overrides.Set) (changed bool)) // runs a function on the dispatcher's overrides, under their lock
+	log             *slog.Logger
 
 	mu              sync.Mutex
-	modTime         time.Time          // modification time of the file when it was last read or written
-	size            int64              // size of the file at that time, in bytes
+	fileModTime     time.Time          // modification time of the file when it was last read or written
+	fileSize        int64              // size of the file at that time, in bytes
 	unsyncedChanges []overrides.Change // changes made without the file lock, so the file may lack them
 }
 
-func newOverrideStore(dir string, update func(func(*overrides.Set) (changed bool)), log *slog.Logger) *overrideStore {
-	return &overrideStore{path: filepath.Join(dir, stateFileName), update: update, log: log}
+func newOverrideStore(dir string, updateOverrides func(func(*overrides.Set) (changed bool)), log *slog.Logger) *overrideStore {
+	return &overrideStore{path: filepath.Join(dir, stateFileName), updateOverrides: updateOverrides, log: log}
 }
 
 // load adopts the overrides of an earlier process at startup.
@@ -74,13 +74,13 @@
 func (s *overrideStore) poll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	locked := false
+	lockHeld := false
 	if len(s.unsyncedChanges) > 0 {
 		var unlock func()
-		unlock, locked = lockFile(s.lockPath(), 1)
+		unlock, lockHeld = lockFile(s.lockPath(), 1)
 		defer unlock()
 	}
-	s.synchronize(locked)
+	s.synchronize(lockHeld)
 }
 
 // change adopts what the other process wrote, makes a change with apply and writes the file. If the
@@ -89,18 +89,18 @@
 func (s *overrideStore) change(change overrides.Change, apply func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	unlock, locked := lockFile(s.lockPath(), stateLockTries)
+	unlock, lockHeld := lockFile(s.lockPath(), stateLockTries)
 	defer unlock()
-	s.synchronize(locked)
-	before, _ := s.snapshot()
+	s.synchronize(lockHeld)
+	sequenceBefore, _ := s.snapshot()
 	if err := apply(); err != nil {
 		return err
 	}
-	after, content := s.snapshot()
-	if after == before {
+	sequenceAfter, content := s.snapshot()
+	if sequenceAfter == sequenceBefore {
 		return nil
 	}
-	if !locked {
+	if !lockHeld {
 		s.unsyncedChanges = append(s.unsyncedChanges, change)
 	}
 	s.writeFile(content)
@@ -109,7 +109,7 @@
 
 // snapshot returns the sequence of the overrides and their encoding for the state file.
 func (s *overrideStore) snapshot() (sequence uint64, content []byte) {
-	s.update(func(set *overrides.Set) bool {
+	s.updateOverrides(func(set *overrides.Set) bool {
 		sequence, content = set.Sequence(), set.Encode(millis.Now())
 		return false
 	})
@@ -117,13 +117,13 @@
 }
 
 // synchronize adopts what the other process wrote. If the file may lack changes of this process, it instead
-// reconciles these changes with the file, provided that the file lock is held (locked); otherwise it does nothing.
-func (s *overrideStore) synchronize(locked bool) {
+// reconciles these changes with the file, provided that the file lock is held (lockHeld); otherwise it does nothing.
+func (s *overrideStore) synchronize(lockHeld bool) {
 	if len(s.unsyncedChanges) == 0 {
 		s.readFile()
 		return
 	}
-	if locked {
+	if lockHeld {
 		s.reconcile()
 	}
 }
@@ -136,7 +136,7 @@
 	}
 	fileOutdated := err != nil
 	var content []byte
-	s.update(func(set *overrides.Set) bool {
+	s.updateOverrides(func(set *overrides.Set) bool {
 		now := millis.Now()
 		if err == nil {
 			fileOutdated = set.Reconcile(state, s.unsyncedChanges, now)
@@ -154,7 +154,7 @@
 // readFile adopts the state in the file if the file has changed and its state is newer. A missing file
 // has no effect.
 func (s *overrideStore) readFile() {
-	info, err := os.Stat(s.path)
+	fileInfo, err := os.Stat(s.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -162,21 +162,21 @@
 		s.log.Warn(logStateUnreadable, "path", s.path, "err", err)
 		return
 	}
-	if info.ModTime().Equal(s.modTime) && info.Size() == s.size {
+	if fileInfo.ModTime().Equal(s.fileModTime) && fileInfo.Size() == s.fileSize {
 		return
 	}
 	state, err := s.decodeFile()
 	if errors.Is(err, errStateUnreadable) {
 		return
 	}
-	s.modTime, s.size = info.ModTime(), info.Size()
+	s.fileModTime, s.fileSize = fileInfo.ModTime(), fileInfo.Size()
 	if err == nil {
 		s.adopt(state)
 	}
 }
 
 func (s *overrideStore) adopt(state overrides.State) {
-	s.update(func(set *overrides.Set) bool {
+	s.updateOverrides(func(set *overrides.Set) bool {
 		if !set.Adopt(state) {
 			return false
 		}
@@ -208,8 +208,8 @@
 		s.log.Error("state file not written", "path", s.path, "err", err)
 		return
 	}
-	if info, err := os.Stat(s.path); err == nil {
-		s.modTime, s.size = info.ModTime(), info.Size()
+	if fileInfo, err := os.Stat(s.path); err == nil {
+		s.fileModTime, s.fileSize = fileInfo.ModTime(), fileInfo.Size()
 	}
 }
 
--- a/internal/program/phase.go
+++ b/internal/program/phase.go
@@ -26,7 +26,7 @@
 // enter changes the phase and logs it.
 func (p *Program) enter(next Phase) {
 	p.phase.Store(int32(next))
-	p.phaseEntered = time.Now()
+	p.phaseEnteredAt = time.Now()
 	p.log.Info("phase", "now", next.String())
 }
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -29,32 +29,32 @@
 // Program is one coordinator process. Run's goroutine owns it; fields that listeners and operators'
 // calls read are atomic or have their own lock.
 type Program struct {
-	phase        atomic.Int32
-	phaseEntered time.Time
-	config       *config.Coordinator
-	logConfig    config.Log
-	log          *slog.Logger
-	logLevel     *slog.LevelVar
-	errOut       io.Writer
-	stop         context.CancelFunc // ends the goroutines of the components, except those of the listeners
+	phase            atomic.Int32
+	phaseEnteredAt   time.Time
+	config           *config.Coordinator
+	logConfig        config.Log
+	log              *slog.Logger
+	logLevel         *slog.LevelVar
+	errOut           io.Writer
+	cancelComponents context.CancelFunc // ends the goroutines of the components, except those of the listeners
 
-	dispatcher *routing.Dispatcher
-	discovery  *discovery.Watcher
-	pool       *upstream.Pool
-	clients    *listener.Listener
-	admin      *listener.Listener // nil if no address for operators' calls is configured
-	peers      *gossip.Transport  // sends and receives gossip; nil if gossip is off
-	fleet      fleetMember        // nil if coordination with other coordinators is off
+	dispatcher      *routing.Dispatcher
+	discovery       *discovery.Watcher
+	pool            *upstream.Pool
+	clientListener  *listener.Listener
+	adminListener   *listener.Listener // nil if no address for operators' calls is configured
+	gossipTransport *gossip.Transport  // sends and receives gossip; nil if gossip is off
+	fleet           fleetMember        // nil if coordination with other coordinators is off
 
 	drain     drainState
 	overrides *overrideStore
 	instance  *instanceLock // lets other processes of this coordinator detect this one
 
 	// Components of the paged REST protocol; nil if it is off.
-	rest        *clients.RESTServer
-	restClients *listener.Listener
-	store       *store.Store // the record: the SQL store of REST queries
-	spool       *spool.Store // also nil if the spool is off
+	restServer   *clients.RESTServer
+	restListener *listener.Listener
+	store        *store.Store // the record: the SQL store of REST queries
+	spool        *spool.Store // also nil if the spool is off
 }
 
 // Run starts the program, serves until it is shut down, and returns the exit code.
@@ -93,11 +93,11 @@
 func (p *Program) serve(signals signalChannels) {
 	drainCheck := time.NewTicker(drainCheckInterval)
 	defer drainCheck.Stop()
-	var printCounters <-chan time.Time // nil: never
+	var countersTick <-chan time.Time // nil: never
 	if interval := p.logConfig.CountersInterval(); interval > 0 {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
-		printCounters = ticker.C
+		countersTick = ticker.C
 	}
 	for p.Phase() != Stopped {
 		select {
@@ -107,7 +107,7 @@
 			p.reload()
 		case <-signals.print:
 			p.printStatus()
-		case <-printCounters:
+		case <-countersTick:
 			p.printCounters()
 		case <-drainCheck.C:
 			if p.drained() {
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -9,26 +9,26 @@
 // reload reads the configuration again and connects to the journal service that it names. An invalid
 // file is logged and otherwise ignored, as it must not end a process that serves.
 func (p *Program) reload() {
-	loaded, _, err := config.LoadCoordinator()
+	newConfig, _, err := config.LoadCoordinator()
 	if err != nil {
 		p.log.Error("configuration not reloaded; the previous one stays in effect", "err", err)
 		return
 	}
-	old := p.config
-	if !reflect.DeepEqual(loaded.Settings, old.Settings) || loaded.Limits != old.Limits || loaded.Listen != old.Listen {
+	oldConfig := p.config
+	if !reflect.DeepEqual(newConfig.Settings, oldConfig.Settings) || newConfig.Limits != oldConfig.Limits || newConfig.Listen != oldConfig.Listen {
 		p.log.Warn("only the address of the journal service is reloaded; other changes need a restart")
 	}
 	p.reloadFleet()
-	p.config.Journal = loaded.Journal
-	p.discovery.Redirect(loaded.Journal)
-	p.log.Info("configuration reloaded", "journal", loaded.Journal)
+	p.config.Journal = newConfig.Journal
+	p.discovery.Redirect(newConfig.Journal)
+	p.log.Info("configuration reloaded", "journal", newConfig.Journal)
 }
 
 // reloadFleet reads the fleet file again and applies it as far as this is possible at run time.
 func (p *Program) reloadFleet() {
-	fleet, err := config.LoadFleet()
+	fleetConfig, err := config.LoadFleet()
 	if err == nil && p.fleet != nil {
-		err = p.fleet.Reload(fleet)
+		err = p.fleet.Reload(fleetConfig)
 	}
 	if err != nil {
 		p.log.Error("fleet file not reloaded; the previous one stays in effect", "err", err)
--- a/internal/program/rest.go
+++ b/internal/program/rest.go
@@ -17,29 +17,29 @@
 // listener of the paged REST protocol. Queries that an
 // earlier process left unfinished are ended before the listener opens, so that no client can read them
 // in that state.
-func (p *Program) openRest(ctx context.Context, settings config.REST, connections int, fleet fleetconf.Config) error {
+func (p *Program) openRest(ctx context.Context, settings config.REST, maxConnections int, fleetConfig fleetconf.Config) error {
 	openCtx, cancel := context.WithTimeout(ctx, storeOpenTimeout)
 	defer cancel()
 	var err error
 	if p.store, err = store.Open(openCtx, settings.Store); err != nil {
 		return err
 	}
-	if err = p.joinFleetByRecord(openCtx, fleet); err != nil {
+	if err = p.joinFleetByRecord(openCtx, fleetConfig); err != nil {
 		return err
 	}
 	if p.spool, err = p.openSpool(settings); err != nil {
 		return err
 	}
-	p.rest = &clients.RESTServer{
+	p.restServer = &clients.RESTServer{
 		Dispatcher: p.dispatcher, Record: p.store, Spool: p.spool, Node: p.config.Name, Fleet: p.fleet, Log: p.log,
 		Retention: time.Duration(settings.KeepSeconds) * time.Second, PurgeInterval: time.Duration(settings.PurgeMS) * time.Millisecond,
 		CollectSpool: p.spoolCollector(settings), Drain: p.drainPolicy(),
 		InputBudget: listener.NewBudget(p.memoryFraction(inputMemoryFraction)),
 	}
-	if err := p.rest.Start(ctx); err != nil {
+	if err := p.restServer.Start(ctx); err != nil {
 		return err
 	}
-	p.restClients, err = listener.Listen(settings.Listen, connections, p.log, p.rest.Serve)
+	p.restListener, err = listener.Listen(settings.Listen, maxConnections, p.log, p.restServer.Serve)
 	return err
 }
 
--- a/internal/program/shutdown.go
+++ b/internal/program/shutdown.go
@@ -77,10 +77,10 @@
 }
 
 func (p *Program) clientListeners() []*listener.Listener {
-	if p.restClients == nil {
-		return []*listener.Listener{p.clients}
+	if p.restListener == nil {
+		return []*listener.Listener{p.clientListener}
 	}
-	return []*listener.Listener{p.clients, p.restClients}
+	return []*listener.Listener{p.clientListener, p.restListener}
 }
 
 // wakeListeners makes the listeners close connections without an open request.
@@ -93,19 +93,19 @@
 
 // drained reports whether a draining program may end: no further requests are expected, and all open ones have ended.
 func (p *Program) drained() bool {
-	return p.Phase() == Draining && time.Since(p.phaseEntered) >= minDrainDuration && p.idle() && p.noNewRequests() && p.leasesReleased()
+	return p.Phase() == Draining && time.Since(p.phaseEnteredAt) >= minDrainDuration && p.idle() && p.noNewRequests() && p.leasesReleased()
 }
 
 // idle reports whether no request is open and the end of every REST query has been written to the record (the SQL
 // store of queries).
 func (p *Program) idle() bool {
-	return p.dispatcher.OpenRequests() == 0 && (p.rest == nil || p.rest.Live() == 0)
+	return p.dispatcher.OpenRequests() == 0 && (p.restServer == nil || p.restServer.Live() == 0)
 }
 
 // noNewRequests reports whether no request was submitted within quietPeriod and no client is sending one. It is always
 // true once every open request must have been answered, as further requests are rejected from then on.
 func (p *Program) noNewRequests() bool {
-	if time.Since(p.phaseEntered) >= p.drain.answerAllAfter() {
+	if time.Since(p.phaseEnteredAt) >= p.drain.answerAllAfter() {
 		return true
 	}
 	return time.Since(p.dispatcher.LastSubmitted()) >= quietPeriod && !slices.ContainsFunc(p.clientListeners(), (*listener.Listener).ReceivingMessage)
@@ -113,7 +113,7 @@
 
 // leasesReleased reports whether this coordinator's leases are released or leaseReleaseTimeout has passed.
 func (p *Program) leasesReleased() bool {
-	return p.fleet == nil || p.fleet.Idle() || time.Since(p.phaseEntered) > leaseReleaseTimeout
+	return p.fleet == nil || p.fleet.Idle() || time.Since(p.phaseEnteredAt) > leaseReleaseTimeout
 }
 
 // close stops the components in the order of the data flow, so that a request that arrives while the
@@ -128,9 +128,9 @@
 		time.Sleep(drainCheckInterval)
 	}
 	p.logStep(stepListenersClosed)
-	p.stop()
-	if p.admin != nil {
-		p.admin.Close(deadline)
+	p.cancelComponents()
+	if p.adminListener != nil {
+		p.adminListener.Close(deadline)
 	}
 	p.logStep(stepComponentsStopped)
 	if p.store != nil {
--- a/internal/program/shutdown_test.go
+++ b/internal/program/shutdown_test.go
@@ -27,33 +27,33 @@
 		Classes: []decide.Class{{Name: "look", LatencyObjective: 8000, Deadline: 10000, Threads: 1, PriorityWeight: 1}}}, 1, nil, log, 1<<20)
 	require.NoError(t, err)
 	p := &Program{dispatcher: dispatcher, log: log}
-	server := &clients.JSONRPCServer{Dispatcher: dispatcher, Log: log, Drain: clients.DrainPolicy{Ready: p.ready, Draining: p.drain.draining},
+	jsonRPCServer := &clients.JSONRPCServer{Dispatcher: dispatcher, Log: log, Drain: clients.DrainPolicy{Ready: p.ready, Draining: p.drain.draining},
 		InputBudget: listener.NewBudget(1 << 20), OutputBudget: listener.NewBudget(1 << 20)}
-	p.clients, err = listener.Listen("127.0.0.1:0", 4, log, server.Serve)
+	p.clientListener, err = listener.Listen("127.0.0.1:0", 4, log, jsonRPCServer.Serve)
 	require.NoError(t, err)
-	go p.clients.Run()
-	t.Cleanup(func() { p.clients.Close(time.Now()) })
+	go p.clientListener.Run()
+	t.Cleanup(func() { p.clientListener.Close(time.Now()) })
 	p.enter(Draining)
 	require.False(t, p.drained(), "clients may still connect")
-	p.phaseEntered = time.Now().Add(-minDrainDuration)
+	p.phaseEnteredAt = time.Now().Add(-minDrainDuration)
 	require.True(t, p.drained())
 
-	c, err := net.Dial("tcp4", p.clients.Addr().String())
+	conn, err := net.Dial("tcp4", p.clientListener.Addr().String())
 	require.NoError(t, err)
-	defer func() { _ = c.Close() }()
+	defer func() { _ = conn.Close() }()
 	writePartially := func() {
 		require.Eventually(t, func() bool { // a client that pauses is not seen as sending until its next byte
-			_, err := io.WriteString(c, " ")
+			_, err := io.WriteString(conn, " ")
 			require.NoError(t, err)
 			return !p.noNewRequests()
 		}, waitTimeout, time.Millisecond)
 	}
 	writePartially()
-	p.phaseEntered = time.Now().Add(-drain.MaxAnswerAllAfter)
+	p.phaseEnteredAt = time.Now().Add(-drain.MaxAnswerAllAfter)
 	require.True(t, p.drained(), "the wait is bounded")
-	p.phaseEntered = time.Now().Add(-minDrainDuration)
+	p.phaseEnteredAt = time.Now().Add(-minDrainDuration)
 	writePartially()
-	_, err = io.WriteString(c, `{"jsonrpc":"2.0","id":1,"method":"alive"}`+"\n")
+	_, err = io.WriteString(conn, `{"jsonrpc":"2.0","id":1,"method":"alive"}`+"\n")
 	require.NoError(t, err)
 	require.Eventually(t, p.drained, waitTimeout, time.Millisecond, "the message is complete")
 }
--- a/internal/program/spool.go
+++ b/internal/program/spool.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", config.RESTFile, err)
 	}
-	opened, recovery, err := spool.Open(medium, options)
+	openedSpool, recovery, err := spool.Open(medium, options)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", config.RESTFile, err)
 	}
@@ -33,25 +33,25 @@
 	for _, damage := range recovery.Damage {
 		p.log.Error("spool damaged", "at", damage.String())
 	}
-	return opened, nil
+	return openedSpool, nil
 }
 
 // spoolMedium returns the storage of the spool: a directory, or memory up to a fraction of the memory limit.
 func (p *Program) spoolMedium(settings config.REST) (spool.Medium, spool.Options, error) {
 	options := p.spoolOptions(settings)
 	if settings.Spool.Directory == "" {
-		bytes, limit := settings.Spool.Bytes(), p.memoryFraction(spoolMemoryFraction)
-		if bytes > limit {
-			return nil, options, fmt.Errorf("spool: total_mb: at most %d is allowed for a spool in memory; set spool: directory for a larger one", limit>>20)
+		spoolBytes, maxSpoolBytes := settings.Spool.Bytes(), p.memoryFraction(spoolMemoryFraction)
+		if spoolBytes > maxSpoolBytes {
+			return nil, options, fmt.Errorf("spool: total_mb: at most %d is allowed for a spool in memory; set spool: directory for a larger one", maxSpoolBytes>>20)
 		}
-		options.SegmentBytes = max(bytes/memorySpoolSegments, 1)
+		options.SegmentBytes = max(spoolBytes/memorySpoolSegments, 1)
 		return spool.NewMemory(), options, nil
 	}
-	path := settings.Spool.Directory
+	directoryPath := settings.Spool.Directory
 	if settings.Spool.Shared {
-		path = spool.CoordinatorDirectory(path, p.config.Name)
+		directoryPath = spool.CoordinatorDirectory(directoryPath, p.config.Name)
 	}
-	directory, err := spool.OpenDirectory(path)
+	directory, err := spool.OpenDirectory(directoryPath)
 	return directory, options, err
 }
 
@@ -85,16 +85,16 @@
 // collectSpool runs the spool collection under a fencing token and logs its result.
 func (p *Program) collectSpool(settings config.REST, fence lease.Fence, holder string) error {
 	root := settings.Spool.Directory
-	var collected spool.Collection
+	var collection spool.Collection
 	err := spool.RunFenced(root, lease.JobCollectSpool, fence, holder, func() (err error) {
-		collected, err = spool.CollectUnowned(root, p.config.Name, p.spoolOptions(settings))
+		collection, err = spool.CollectUnowned(root, p.config.Name, p.spoolOptions(settings))
 		return err
 	})
 	var staleFence lease.StaleFenceError
 	if errors.As(err, &staleFence) {
 		p.fleet.ReportStaleFence(lease.JobCollectSpool, staleFence)
-	} else if collected.Expired+collected.Removed > 0 {
-		p.log.Info("spool collected", "expired", collected.Expired, "removed", collected.Removed, "fence", fence)
+	} else if collection.Expired+collection.Removed > 0 {
+		p.log.Info("spool collected", "expired", collection.Expired, "removed", collection.Removed, "fence", fence)
 	}
 	return err
 }
--- a/internal/program/start.go
+++ b/internal/program/start.go
@@ -26,19 +26,19 @@
 		return err
 	}
 	p.applyRuntimeLimits()
-	rest, err := config.LoadREST(p.config.Settings)
+	restSettings, err := config.LoadREST(p.config.Settings)
 	if err != nil {
 		return err
 	}
-	budget := divideSockets(p.config.Limits.Sockets, gossipEnabled(p.config), rest.Listen != "")
-	if err := p.startDispatcher(budget, rest); err != nil {
+	budget := divideSockets(p.config.Limits.Sockets, gossipEnabled(p.config), restSettings.Listen != "")
+	if err := p.startDispatcher(budget, restSettings); err != nil {
 		return err
 	}
-	fleet, err := config.LoadFleet()
+	fleetConfig, err := config.LoadFleet()
 	if err != nil {
 		return err
 	}
-	if err := p.joinFleet(fleet); err != nil {
+	if err := p.joinFleet(fleetConfig); err != nil {
 		return err
 	}
 	p.overrides = newOverrideStore(os.TempDir(), p.dispatcher.UpdateOverrides, p.log)
@@ -48,8 +48,8 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p.stop = cancel
-	if err := p.startRest(ctx, rest, budget.restClients, fleet); err != nil {
+	p.cancelComponents = cancel
+	if err := p.startRest(ctx, restSettings, budget.maxRESTClients, fleetConfig); err != nil {
 		return err
 	}
 	// Another process of this coordinator that detects this one may close its listeners, so those of this process
@@ -61,38 +61,38 @@
 
 // loadConfig reads the configuration and the log settings, and logs warnings about questionable settings.
 func (p *Program) loadConfig() error {
-	coordinator, findings, err := config.LoadCoordinator()
+	coordinatorConfig, findings, err := config.LoadCoordinator()
 	if err != nil {
 		return err
 	}
-	p.config = coordinator
+	p.config = coordinatorConfig
 	if p.logConfig, err = config.LoadLog(); err != nil {
 		return err
 	}
 	p.logLevel.Set(p.logConfig.Level)
-	for _, f := range findings {
-		p.log.Warn("settings", "field", f.Field, "value", f.Value, "says", f.Message, "then", f.Consequence)
+	for _, finding := range findings {
+		p.log.Warn("settings", "field", finding.Field, "value", finding.Value, "says", finding.Message, "then", finding.Consequence)
 	}
 	return nil
 }
 
 // startDispatcher creates the dispatcher, the upstream pool and the gossip socket.
-func (p *Program) startDispatcher(budget connectionBudget, rest config.REST) error {
+func (p *Program) startDispatcher(budget connectionBudget, restSettings config.REST) error {
 	settings, err := p.startGossip()
 	if err != nil {
 		return err
 	}
 	connectTimeout, idleTimeout := upstreamTimeouts(settings)
-	p.pool = upstream.NewPool(budget.upstream, connectTimeout, idleTimeout, p.log)
-	settings.MaxInFlight = p.maxInFlight(budget.upstream)
+	p.pool = upstream.NewPool(budget.maxUpstream, connectTimeout, idleTimeout, p.log)
+	settings.MaxInFlight = p.maxInFlight(budget.maxUpstream)
 	p.drain.setLongestDeadline(longestDeadline(settings.Classes))
-	upstreams := upstream.Factory{Pool: p.pool, KindNames: settings.KindNames, RESTKinds: restKinds(rest), User: p.config.Name}
+	upstreams := upstream.Factory{Pool: p.pool, KindNames: settings.KindNames, RESTKinds: restKinds(restSettings), User: p.config.Name}
 	p.dispatcher, err = routing.NewDispatcher(settings, p.config.SeedNumber, upstreams, p.log, int(p.memoryFraction(statementMemoryFraction)))
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	if p.peers != nil {
-		p.dispatcher.PeerSender = p.peers
+	if p.gossipTransport != nil {
+		p.dispatcher.PeerSender = p.gossipTransport
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 		return settings, nil
 	}
 	var err error
-	p.peers, err = gossip.Listen(p.config.PeerListen, p.config.Peers, p.config.PeersAll, settings.BalancerIndex, p.log)
+	p.gossipTransport, err = gossip.Listen(p.config.PeerListen, p.config.Peers, p.config.PeersAll, settings.BalancerIndex, p.log)
 	if err != nil {
 		return settings, fmt.Errorf("configuration: %w", err)
 	}
@@ -130,20 +130,20 @@
 
 // listen opens the listeners for clients and, if configured, for operators' calls.
 func (p *Program) listen(budget connectionBudget) error {
-	server := &clients.JSONRPCServer{
+	jsonRPCServer := &clients.JSONRPCServer{
 		Dispatcher: p.dispatcher, Log: p.log, Drain: p.drainPolicy(),
 		InputBudget:  listener.NewBudget(p.memoryFraction(inputMemoryFraction)),
 		OutputBudget: listener.NewBudget(p.memoryFraction(answerMemoryFraction)),
 	}
 	var err error
-	if p.clients, err = listener.Listen(p.config.Listen, budget.clients, p.log, server.Serve); err != nil {
+	if p.clientListener, err = listener.Listen(p.config.Listen, budget.maxClients, p.log, jsonRPCServer.Serve); err != nil {
 		return err
 	}
 	if p.config.Admin == "" {
 		return nil
 	}
-	admin := &clients.AdminServer{Execute: p.executeCommand, Log: p.log}
-	if p.admin, err = listener.Listen(p.config.Admin, budget.admin, p.log, admin.Serve); err != nil {
+	adminServer := &clients.AdminServer{Execute: p.executeCommand, Log: p.log}
+	if p.adminListener, err = listener.Listen(p.config.Admin, budget.maxAdmin, p.log, adminServer.Serve); err != nil {
 		return fmt.Errorf("admin: %w", err)
 	}
 	return nil
@@ -151,11 +151,11 @@
 
 // startRest starts the paged REST protocol if it is configured. It fails if the fleet file selects leases that the
 // record (the SQL store of REST queries) grants but no record is configured.
-func (p *Program) startRest(ctx context.Context, rest config.REST, connections int, fleet fleetconf.Config) error {
-	if rest.Listen != "" {
-		return p.openRest(ctx, rest, connections, fleet)
+func (p *Program) startRest(ctx context.Context, restSettings config.REST, maxConnections int, fleetConfig fleetconf.Config) error {
+	if restSettings.Listen != "" {
+		return p.openRest(ctx, restSettings, maxConnections, fleetConfig)
 	}
-	if fleet.Backend == fleetconf.BackendRecord {
+	if fleetConfig.Backend == fleetconf.BackendRecord {
 		return fleetconf.FieldError{Pointer: "/by", Problem: "no record is configured", Remedy: "configure one in " + config.RESTFile + ", or use a consensus group (\"by\": \"council\")"}
 	}
 	return nil
@@ -168,17 +168,17 @@
 		go p.fleet.Run(ctx)
 	}
 	go p.dispatcher.Run(ctx)
-	if p.peers != nil {
-		go p.peers.Run(ctx, p.dispatcher.ReceiveGossip)
+	if p.gossipTransport != nil {
+		go p.gossipTransport.Run(ctx, p.dispatcher.ReceiveGossip)
 	}
 	p.discovery.LoadCached(p.config.Known)
 	go p.discovery.Run(ctx)
-	go p.clients.Run()
+	go p.clientListener.Run()
 	go p.overrides.watch(ctx)
-	if p.admin != nil {
-		go p.admin.Run()
+	if p.adminListener != nil {
+		go p.adminListener.Run()
 	}
-	if p.restClients != nil {
-		go p.restClients.Run()
+	if p.restListener != nil {
+		go p.restListener.Run()
 	}
 }
--- a/internal/program/status.go
+++ b/internal/program/status.go
@@ -16,29 +16,29 @@
 
 // printCounters prints the counters of all components.
 func (p *Program) printCounters() {
-	text := p.dispatcher.Counters.String() + p.pool.String() + p.clients.String() + p.describeOverrides() +
+	counters := p.dispatcher.Counters.String() + p.pool.String() + p.clientListener.String() + p.describeOverrides() +
 		fmt.Sprintf("counters journal calls=%d\n", p.discovery.Calls.Load())
-	if p.peers != nil {
-		text += p.peers.String()
+	if p.gossipTransport != nil {
+		counters += p.gossipTransport.String()
 	}
-	if p.restClients != nil {
-		text += p.restClients.String()
+	if p.restListener != nil {
+		counters += p.restListener.String()
 	}
 	if p.fleet != nil {
-		text += p.fleet.String()
+		counters += p.fleet.String()
 	}
-	_, _ = io.WriteString(p.errOut, text)
+	_, _ = io.WriteString(p.errOut, counters)
 }
 
 // describeOverrides returns a line that says whether an operator has paused this coordinator, and lists the suspended
 // endpoints, each with its number of SUSPEND calls.
 func (p *Program) describeOverrides() string {
-	var suspended []string
+	var suspendedEndpoints []string
 	p.dispatcher.UpdateOverrides(func(set *overrides.Set) bool {
-		for _, s := range set.Suspensions() {
-			suspended = append(suspended, fmt.Sprintf("%s:%d", s.EndpointName, s.Calls))
+		for _, suspension := range set.Suspensions() {
+			suspendedEndpoints = append(suspendedEndpoints, fmt.Sprintf("%s:%d", suspension.EndpointName, suspension.Calls))
 		}
 		return false
 	})
-	return fmt.Sprintf("by_hand paused=%t out=%s\n", p.drain.paused(), strings.Join(suspended, ","))
+	return fmt.Sprintf("by_hand paused=%t out=%s\n", p.drain.paused(), strings.Join(suspendedEndpoints, ","))
 }
--- a/internal/routing/overrides.go
+++ b/internal/routing/overrides.go
@@ -35,11 +35,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.overrides)
-	suspendedNames := map[string]bool{}
+	newNames := map[string]bool{}
 	for _, suspension := range t.overrides.Suspensions() {
-		suspendedNames[suspension.EndpointName] = true
+		newNames[suspension.EndpointName] = true
 	}
-	t.suspendedNames.Store(&suspendedNames)
+	t.suspendedNames.Store(&newNames)
 }
 
 // apply records an entry of the endpoint list and returns it with the override applied.
