--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	// workMargin is the ratio of the actual to the estimated work of a request that is assumed in the worst case.
-	workMargin = 1.5
+	// worstWorkRatio is the ratio of the actual to the estimated work of a request that is assumed in the worst case.
+	worstWorkRatio = 1.5
 	// baseDurationMS is the assumed duration of a request in addition to its work, in milliseconds.
 	baseDurationMS = 50
 )
@@ -43,7 +43,7 @@
 	// kill; 0 means unknown and is treated like a deadline above the cap.
 	LongestDeadline time.Duration
 
-	paused       bool
+	isPaused     bool
 	pausedAt     time.Time // time of the first PAUSE since the last RESUME
 	terminatedAt time.Time // time of the first SIGTERM; zero: not received
 }
@@ -51,16 +51,16 @@
 // Pause starts the operator's drain and reports whether it was already active. In that case the
 // admission period still counts from the first call.
 func (d *Drain) Pause(now time.Time) (wasPaused bool) {
-	if d.paused {
+	if d.isPaused {
 		return true
 	}
-	d.paused, d.pausedAt = true, now
+	d.isPaused, d.pausedAt = true, now
 	return false
 }
 
 // Resume ends the operator's drain and reports whether it was active. It does not undo Terminate.
 func (d *Drain) Resume() (wasPaused bool) {
-	wasPaused, d.paused = d.paused, false
+	wasPaused, d.isPaused = d.isPaused, false
 	return wasPaused
 }
 
@@ -75,31 +75,31 @@
 func (d *Drain) TerminatedAt() time.Time { return d.terminatedAt }
 
 // Paused reports whether the operator's drain is active.
-func (d *Drain) Paused() bool { return d.paused }
+func (d *Drain) Paused() bool { return d.isPaused }
 
 // Admit reports whether to admit a request that was completely received at now and is expected to
 // take the given time; otherwise it is to be rejected with RetryAfter. A paused coordinator admits
 // requests for PauseAdmissionPeriod; a terminated one admits those expected to end by AnswerAllAt.
-func (d *Drain) Admit(now time.Time, expected time.Duration) bool {
-	if !d.terminatedAt.IsZero() && now.Add(expected).After(d.AnswerAllAt()) {
+func (d *Drain) Admit(now time.Time, expectedDuration time.Duration) bool {
+	if !d.terminatedAt.IsZero() && now.Add(expectedDuration).After(d.AnswerAllAt()) {
 		return false
 	}
-	return !d.paused || now.Sub(d.pausedAt) < PauseAdmissionPeriod
+	return !d.isPaused || now.Sub(d.pausedAt) < PauseAdmissionPeriod
 }
 
 // ExpectedDuration returns an upper estimate of the duration of a request. workMS is its estimated
 // work, in milliseconds on one core, which is divided by the class's threads. Without an estimate (0)
-// the result is objectiveMS, the class's latency objective in milliseconds.
-func ExpectedDuration(workMS float64, threads int, objectiveMS float64) time.Duration {
-	expectedMS := objectiveMS
+// the result is latencyObjectiveMS, the class's latency objective in milliseconds.
+func ExpectedDuration(workMS float64, threads int, latencyObjectiveMS float64) time.Duration {
+	expectedMS := latencyObjectiveMS
 	if workMS > 0 {
-		expectedMS = workMargin*workMS/float64(max(threads, 1)) + baseDurationMS
+		expectedMS = worstWorkRatio*workMS/float64(max(threads, 1)) + baseDurationMS
 	}
 	return time.Duration(expectedMS * float64(time.Millisecond))
 }
 
 // Draining reports whether a drain is active, during which connections without an open request are closed.
-func (d *Drain) Draining() bool { return d.paused || !d.terminatedAt.IsZero() }
+func (d *Drain) Draining() bool { return d.isPaused || !d.terminatedAt.IsZero() }
 
 // AnswerAllAfter returns how long after SIGTERM every open request must have been answered.
 func (d *Drain) AnswerAllAfter() time.Duration {
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -53,7 +53,7 @@
 	releasedGrants       []GrantID             // released leases, kept until a response no longer grants them
 	higherFences         map[string]Fence      // highest fence that a target has reported, by job
 	newestResponseSentAt Millis                // send time of the request that the newest response answers, or noTime
-	events               []Event
+	pendingEvents        []Event
 }
 
 // NewClient returns a client for the named jobs. The capacity is relative, usually 1; driftBound is the upper bound on
@@ -112,16 +112,16 @@
 		return // the response was sent before the leader knew of the refusal
 	}
 	expiresAt := sentAt + c.localTTL(grant.TTL)
-	held := c.heldLeases[grant.Job]
+	ownLease := c.heldLeases[grant.Job]
 	switch {
-	case held == nil || held.fence < grant.Fence:
+	case ownLease == nil || ownLease.fence < grant.Fence:
 		if expiresAt <= now || grant.Fence < c.assignments[grant.Job].Fence {
 			return
 		}
 		c.heldLeases[grant.Job] = &heldLease{fence: grant.Fence, expiresAt: expiresAt, releaseRequested: grant.Reclaim}
 		c.emit(Event{Kind: EventGranted, GrantID: grant.GrantID, ExpiresAt: expiresAt})
-	case held.fence == grant.Fence:
-		held.expiresAt, held.releaseRequested = max(held.expiresAt, expiresAt), held.releaseRequested || grant.Reclaim
+	case ownLease.fence == grant.Fence:
+		ownLease.expiresAt, ownLease.releaseRequested = max(ownLease.expiresAt, expiresAt), ownLease.releaseRequested || grant.Reclaim
 	}
 }
 
@@ -130,9 +130,9 @@
 
 func (c *Client) dropRevoked(grants []Grant) {
 	for _, job := range c.jobs {
-		held := c.heldLeases[job]
-		if held != nil && !slices.ContainsFunc(grants, func(g Grant) bool { return g.Job == job }) {
-			c.dropLease(job, held, reasonRevoked)
+		ownLease := c.heldLeases[job]
+		if ownLease != nil && !slices.ContainsFunc(grants, func(g Grant) bool { return g.Job == job }) {
+			c.dropLease(job, ownLease, reasonRevoked)
 		}
 	}
 }
@@ -146,18 +146,18 @@
 // End.
 func (c *Client) Begin(now Millis, job string) (Fence, bool) {
 	c.expire(now)
-	held := c.heldLeases[job]
-	if held == nil || held.releaseRequested || c.draining {
+	ownLease := c.heldLeases[job]
+	if ownLease == nil || ownLease.releaseRequested || c.draining {
 		return 0, false
 	}
-	held.activeOperations++
-	return held.fence, true
+	ownLease.activeOperations++
+	return ownLease.fence, true
 }
 
 // End marks an operation that Begin has allowed as finished.
 func (c *Client) End(now Millis, job string, fence Fence) {
-	if held := c.heldLeases[job]; held != nil && held.fence == fence {
-		held.activeOperations--
+	if ownLease := c.heldLeases[job]; ownLease != nil && ownLease.fence == fence {
+		ownLease.activeOperations--
 	}
 	c.expire(now)
 }
@@ -166,13 +166,13 @@
 // fence from another holder. It drops the lease and reports the fence to the leader, so that the next grant is above
 // it. A refused operation of an earlier grant is ignored if the accepted later fence is this client's own.
 func (c *Client) ObserveHigherFence(job string, refusal StaleFenceError) {
-	held := c.heldLeases[job]
-	if held != nil && held.fence == refusal.Highest && refusal.Fence < refusal.Highest {
+	ownLease := c.heldLeases[job]
+	if ownLease != nil && ownLease.fence == refusal.Highest && refusal.Fence < refusal.Highest {
 		return
 	}
 	c.higherFences[job] = max(c.higherFences[job], refusal.Highest)
-	if held != nil && held.fence <= refusal.Highest {
-		c.dropLease(job, held, reasonHigherFence)
+	if ownLease != nil && ownLease.fence <= refusal.Highest {
+		c.dropLease(job, ownLease, reasonHigherFence)
 	}
 }
 
@@ -189,8 +189,8 @@
 // operation.
 func (c *Client) Held(now Millis, job string) (Fence, bool) {
 	c.expire(now)
-	if held := c.heldLeases[job]; held != nil {
-		return held.fence, true
+	if ownLease := c.heldLeases[job]; ownLease != nil {
+		return ownLease.fence, true
 	}
 	return 0, false
 }
@@ -212,8 +212,8 @@
 
 // TakeEvents returns the events since the last call of TakeEvents.
 func (c *Client) TakeEvents() []Event {
-	events := c.events
-	c.events = nil
+	events := c.pendingEvents
+	c.pendingEvents = nil
 	return events
 }
 
@@ -221,24 +221,24 @@
 // once they have no active operation.
 func (c *Client) expire(now Millis) {
 	for _, job := range c.jobs {
-		held := c.heldLeases[job]
+		ownLease := c.heldLeases[job]
 		switch {
-		case held == nil:
-		case now >= held.expiresAt:
-			c.dropLease(job, held, reasonExpired)
-		case (held.releaseRequested || c.draining) && held.activeOperations == 0:
-			c.releasedGrants = append(c.releasedGrants, GrantID{job, held.fence})
-			c.dropLease(job, held, reasonReleased)
+		case ownLease == nil:
+		case now >= ownLease.expiresAt:
+			c.dropLease(job, ownLease, reasonExpired)
+		case (ownLease.releaseRequested || c.draining) && ownLease.activeOperations == 0:
+			c.releasedGrants = append(c.releasedGrants, GrantID{job, ownLease.fence})
+			c.dropLease(job, ownLease, reasonReleased)
 		}
 	}
 }
 
-func (c *Client) dropLease(job string, held *heldLease, reason Reason) {
+func (c *Client) dropLease(job string, ownLease *heldLease, reason Reason) {
 	delete(c.heldLeases, job)
-	c.emit(Event{Kind: EventLost, GrantID: GrantID{job, held.fence}, Reason: reason})
+	c.emit(Event{Kind: EventLost, GrantID: GrantID{job, ownLease.fence}, Reason: reason})
 }
 
 func (c *Client) emit(e Event) {
 	e.Holder = c.self.String()
-	c.events = append(c.events, e)
+	c.pendingEvents = append(c.pendingEvents, e)
 }
--- a/internal/lease/resolver.go
+++ b/internal/lease/resolver.go
@@ -13,17 +13,17 @@
 // concurrent use.
 type LeaderResolver struct {
 	replicas           []string
-	current            int    // index of the replica that is assumed to lead
-	interval           Millis // time between two keep-alive requests
+	currentIndex       int    // index of the replica that is assumed to lead
+	requestInterval    Millis // time between two keep-alive requests
 	nextRequestAt      Millis // when the next request is due
 	oldestUnansweredAt Millis // when the oldest unanswered request was sent, or noTime
-	redirects          int    // number of consecutive redirects that were followed
+	redirectCount      int    // number of consecutive redirects that were followed
 }
 
 // NewLeaderResolver returns a resolver that begins with replicas[firstIndex%len(replicas)]. Clients should differ in firstIndex,
 // so that they do not all begin with the same replica. There must be at least one replica.
 func NewLeaderResolver(replicas []string, firstIndex int, leaseTTL Millis) *LeaderResolver {
-	return &LeaderResolver{replicas: replicas, current: firstIndex % len(replicas), interval: leaseTTL / KeepAlivesPerLease, oldestUnansweredAt: noTime}
+	return &LeaderResolver{replicas: replicas, currentIndex: firstIndex % len(replicas), requestInterval: leaseTTL / KeepAlivesPerLease, oldestUnansweredAt: noTime}
 }
 
 // Due reports whether a keep-alive request is to be sent now, and to which replica. After more than two intervals
@@ -32,39 +32,39 @@
 	if now < r.nextRequestAt {
 		return "", false
 	}
-	if r.oldestUnansweredAt >= 0 && now-r.oldestUnansweredAt > 2*r.interval {
+	if r.oldestUnansweredAt >= 0 && now-r.oldestUnansweredAt > 2*r.requestInterval {
 		r.tryNextReplica()
 		r.oldestUnansweredAt = noTime
 	}
-	r.nextRequestAt = now + r.interval
+	r.nextRequestAt = now + r.requestInterval
 	if r.oldestUnansweredAt < 0 {
 		r.oldestUnansweredAt = now
 	}
-	return r.replicas[r.current], true
+	return r.replicas[r.currentIndex], true
 }
 
 // Current returns the replica that the next request goes to.
-func (r *LeaderResolver) Current() string { return r.replicas[r.current] }
+func (r *LeaderResolver) Current() string { return r.replicas[r.currentIndex] }
 
 // HandleResponse follows a redirect to another leader at once, unless the replicas keep redirecting to each other. On a
 // redirect that it does not follow it moves on to the next replica.
 func (r *LeaderResolver) HandleResponse(now Millis, response KeepAliveResponse) {
 	r.oldestUnansweredAt = noTime
 	if response.RedirectTo == "" {
-		r.redirects = 0
+		r.redirectCount = 0
 		return
 	}
-	leader := slices.Index(r.replicas, response.RedirectTo)
-	if leader >= 0 && leader != r.current && r.redirects < len(r.replicas) {
-		r.current, r.nextRequestAt = leader, now
-		r.redirects++
+	leaderIndex := slices.Index(r.replicas, response.RedirectTo)
+	if leaderIndex >= 0 && leaderIndex != r.currentIndex && r.redirectCount < len(r.replicas) {
+		r.currentIndex, r.nextRequestAt = leaderIndex, now
+		r.redirectCount++
 		return
 	}
-	r.redirects = 0
+	r.redirectCount = 0
 	r.tryNextReplica()
 }
 
 // SendNow makes the next request due at once.
 func (r *LeaderResolver) SendNow(now Millis) { r.nextRequestAt = now }
 
-func (r *LeaderResolver) tryNextReplica() { r.current = (r.current + 1) % len(r.replicas) }
+func (r *LeaderResolver) tryNextReplica() { r.currentIndex = (r.currentIndex + 1) % len(r.replicas) }
--- a/internal/lease/wire_test.go
+++ b/internal/lease/wire_test.go
@@ -14,7 +14,7 @@
 // written with
 //
 //	go test ./internal/lease -run TestMessagesKeepTheirJSON -update
-var update = flag.Bool("update", false, "overwrite the fixtures with the current encoding")
+var updateFixtures = flag.Bool("update", false, "overwrite the fixtures with the current encoding")
 
 // Every field of every message is set, so that the test detects a changed or lost tag.
 var (
@@ -35,38 +35,38 @@
 )
 
 func TestMessagesKeepTheirJSON(t *testing.T) {
-	for name, c := range map[string]struct {
-		value any
-		read  func([]byte) (any, error)
+	for fixtureName, testCase := range map[string]struct {
+		value  any
+		decode func([]byte) (any, error)
 	}{
-		"keepalive-request":  {wireKeepAliveRequest, readAs[KeepAliveRequest]},
-		"keepalive-response": {wireKeepAliveResponse, readAs[KeepAliveResponse]},
-		"announcement":       {wireAnnouncement, readAs[Announcement]},
-		"history-entry":      {wireHistoryEntry, readAs[HistoryEntry]},
-		"admin-request":      {wireAdminRequest, readAs[AdminRequest]},
-		"admin-response":     {wireAdminResponse, readAs[AdminResponse]},
-		"fence-record":       {wireFenceRecord, readAs[FenceRecord]},
-		"job-registry":       {Jobs(), readAs[[]Job]},
+		"keepalive-request":  {wireKeepAliveRequest, decodeAs[KeepAliveRequest]},
+		"keepalive-response": {wireKeepAliveResponse, decodeAs[KeepAliveResponse]},
+		"announcement":       {wireAnnouncement, decodeAs[Announcement]},
+		"history-entry":      {wireHistoryEntry, decodeAs[HistoryEntry]},
+		"admin-request":      {wireAdminRequest, decodeAs[AdminRequest]},
+		"admin-response":     {wireAdminResponse, decodeAs[AdminResponse]},
+		"fence-record":       {wireFenceRecord, decodeAs[FenceRecord]},
+		"job-registry":       {Jobs(), decodeAs[[]Job]},
 	} {
-		t.Run(name, func(t *testing.T) {
-			path := filepath.Join("testdata", name+".json")
-			written, err := json.Marshal(c.value)
+		t.Run(fixtureName, func(t *testing.T) {
+			path := filepath.Join("testdata", fixtureName+".json")
+			encoded, err := json.Marshal(testCase.value)
 			require.NoError(t, err)
-			if *update {
-				require.NoError(t, os.WriteFile(path, append(written, '\n'), 0o644))
+			if *updateFixtures {
+				require.NoError(t, os.WriteFile(path, append(encoded, '\n'), 0o644))
 			}
-			recorded, err := os.ReadFile(path)
+			fixture, err := os.ReadFile(path)
 			require.NoError(t, err)
-			require.Equal(t, string(recorded), string(written)+"\n")
-			read, err := c.read(recorded)
+			require.Equal(t, string(fixture), string(encoded)+"\n")
+			decoded, err := testCase.decode(fixture)
 			require.NoError(t, err)
-			require.Equal(t, c.value, read)
+			require.Equal(t, testCase.value, decoded)
 		})
 	}
 }
 
-func readAs[T any](raw []byte) (any, error) {
-	var v T
-	err := json.Unmarshal(raw, &v)
-	return v, err
+func decodeAs[T any](raw []byte) (any, error) {
+	var decoded T
+	err := json.Unmarshal(raw, &decoded)
+	return decoded, err
 }
--- a/internal/overrides/set.go
+++ b/internal/overrides/set.go
@@ -68,7 +68,7 @@
 
 // Suspend suspends an endpoint and returns the number of SUSPEND calls since it was last restored.
 // For an unknown name it returns ErrUnknownEndpoint.
-func (s *Set) Suspend(endpointName string, now decide.Millis) (calls int, err error) {
+func (s *Set) Suspend(endpointName string, now decide.Millis) (suspendCalls int, err error) {
 	if !s.Known(endpointName) {
 		return 0, fmt.Errorf("%w: %s", ErrUnknownEndpoint, endpointName)
 	}
@@ -110,12 +110,12 @@
 
 // Suspensions returns the suspensions, sorted by endpoint name.
 func (s *Set) Suspensions() []Suspension {
-	all := make([]Suspension, 0, len(s.suspensions))
+	sorted := make([]Suspension, 0, len(s.suspensions))
 	for _, suspension := range s.suspensions {
-		all = append(all, *suspension)
+		sorted = append(sorted, *suspension)
 	}
-	slices.SortFunc(all, func(a, b Suspension) int { return cmp.Compare(a.EndpointName, b.EndpointName) })
-	return all
+	slices.SortFunc(sorted, func(a, b Suspension) int { return cmp.Compare(a.EndpointName, b.EndpointName) })
+	return sorted
 }
 
 // Apply returns an entry of the endpoint list with the overrides applied: a suspended endpoint is
--- a/internal/overrides/state.go
+++ b/internal/overrides/state.go
@@ -104,11 +104,11 @@
 	previousSequence := s.sequence
 	s.replace(state)
 	for _, change := range changes {
-		switch suspended := s.Suspended(change.EndpointName); {
-		case change.Restore && suspended:
+		switch isSuspended := s.Suspended(change.EndpointName); {
+		case change.Restore && isSuspended:
 			_, _ = s.Restore(change.EndpointName, now) // can't fail: a suspended endpoint is known
 			fileOutdated = true
-		case !change.Restore && !suspended:
+		case !change.Restore && !isSuspended:
 			_, err := s.Suspend(change.EndpointName, now) // fails if the endpoint is no longer listed
 			fileOutdated = fileOutdated || err == nil
 		}
--- a/internal/overrides/state_test.go
+++ b/internal/overrides/state_test.go
@@ -11,14 +11,14 @@
 func TestStateFileEncodingIsStable(t *testing.T) {
 	content, err := os.ReadFile("testdata/aniseloft-state.json")
 	require.NoError(t, err)
-	s, err := Decode(content)
+	state, err := Decode(content)
 	require.NoError(t, err)
 	require.Equal(t, State{
 		Version: 1, Sequence: 5, WrittenAt: 1500.5,
 		Suspensions:  []Suspension{{EndpointName: "s-1", Calls: 2, Since: 1000.5}, {EndpointName: "s-2", Calls: 1, Since: 1200.25}},
 		Restorations: []Restoration{{EndpointName: "s-3", RestoredAt: 1400.125}},
-	}, s)
+	}, state)
 	set := New()
-	require.True(t, set.Adopt(s))
+	require.True(t, set.Adopt(state))
 	require.Equal(t, string(content), string(set.Encode(1500.5)))
 }
