--- a/internal/consensus/admin.go
+++ b/internal/consensus/admin.go
@@ -37,11 +37,11 @@
 
 // handleAdminChange handles requests that only a leader can carry out.
 func (r *Replica) handleAdminChange(request lease.AdminRequest) {
-	leader := r.leaderName()
+	leaderName := r.leaderName()
 	switch {
-	case !r.leader.serving && leader != "" && leader != r.config.Name:
-		r.respondAdmin(lease.AdminResponse{ID: request.ID, RedirectTo: leader})
-	case !r.leader.serving:
+	case !r.leaderState.serving && leaderName != "" && leaderName != r.config.Name:
+		r.respondAdmin(lease.AdminResponse{ID: request.ID, RedirectTo: leaderName})
+	case !r.leaderState.serving:
 		r.rejectAdmin(request, ErrNoLeader)
 	case request.Operation == lease.AdminStepDown:
 		r.handleStepDown(request)
@@ -55,23 +55,23 @@
 	switch {
 	case !slices.Contains(r.config.Jobs, request.Job):
 		r.rejectAdmin(request, UnknownJobError{Job: request.Job, Known: slices.Clone(r.config.Jobs)})
-	case request.Target != "" && r.leader.clients[request.Target] == nil:
+	case request.Target != "" && r.leaderState.clients[request.Target] == nil:
 		r.rejectAdmin(request, UnknownClientError{Client: request.Target})
 	case !r.propose(command{Kind: commandPrefer, Job: request.Job, Preferred: request.Target, Reason: reasonOperator}):
 		r.rejectAdmin(request, ErrLeadershipLost)
 	default:
 		r.lastAdminID++
-		r.leader.adminRequests[r.lastAdminID] = request
+		r.leaderState.adminRequests[r.lastAdminID] = request
 	}
 }
 
 // completeMoves responds to the move requests that an applied command completes.
 func (r *Replica) completeMoves(c command) {
-	for _, id := range slices.Sorted(maps.Keys(r.leader.adminRequests)) {
-		request := r.leader.adminRequests[id]
+	for _, adminID := range slices.Sorted(maps.Keys(r.leaderState.adminRequests)) {
+		request := r.leaderState.adminRequests[adminID]
 		if request.Operation == lease.AdminMove && c.Kind == commandPrefer && request.Job == c.Job {
 			r.respondAdmin(lease.AdminResponse{ID: request.ID, Status: r.Status()})
-			delete(r.leader.adminRequests, id)
+			delete(r.leaderState.adminRequests, adminID)
 		}
 	}
 }
@@ -87,28 +87,28 @@
 // stepDown transfers leadership to the active voter whose log is most complete, and among equals to the one with the
 // lowest ID.
 func (r *Replica) stepDown() error {
-	var successor, highestMatch uint64
+	var successorID, highestMatchIndex uint64
 	progress := r.node.Status().Progress
 	for _, id := range slices.Sorted(maps.Keys(progress)) {
-		p := progress[id]
-		eligible := id != r.config.ReplicaID && r.isVoter(id) && p.RecentActive
-		if eligible && (successor == raft.None || p.Match > highestMatch) {
-			successor, highestMatch = id, p.Match
+		voterProgress := progress[id]
+		canSucceed := id != r.config.ReplicaID && r.isVoter(id) && voterProgress.RecentActive
+		if canSucceed && (successorID == raft.None || voterProgress.Match > highestMatchIndex) {
+			successorID, highestMatchIndex = id, voterProgress.Match
 		}
 	}
-	if successor == raft.None {
+	if successorID == raft.None {
 		return ErrNoSuccessor
 	}
-	r.node.TransferLeader(successor)
+	r.node.TransferLeader(successorID)
 	return nil
 }
 
 func (r *Replica) respondAdmin(response lease.AdminResponse) {
-	r.ready.AdminResults = append(r.ready.AdminResults, AdminResult{Response: response})
+	r.pendingReady.AdminResults = append(r.pendingReady.AdminResults, AdminResult{Response: response})
 }
 
 func (r *Replica) rejectAdmin(request lease.AdminRequest, err error) {
-	r.ready.AdminResults = append(r.ready.AdminResults, AdminResult{Response: lease.AdminResponse{ID: request.ID}, Err: err})
+	r.pendingReady.AdminResults = append(r.pendingReady.AdminResults, AdminResult{Response: lease.AdminResponse{ID: request.ID}, Err: err})
 }
 
 // Status returns the state of the group as this replica sees it. Only a leader knows the clients and the ages of
@@ -128,25 +128,25 @@
 	for _, job := range r.config.Jobs {
 		status.Jobs = append(status.Jobs, r.jobStatus(job))
 	}
-	if r.leader.serving {
+	if r.leaderState.serving {
 		status.Clients = r.clientStatuses()
 	}
 	return status
 }
 
 func (r *Replica) jobStatus(job string) lease.JobStatus {
-	l := r.state.jobLease(job)
-	status := lease.JobStatus{Job: job, Fence: l.Fence, Holder: l.holderName(), Preferred: l.Preferred}
-	if renewedAt, known := r.leader.renewedAt[job]; known && r.leader.serving && l.Holder != nil {
+	jobLease := r.state.jobLease(job)
+	status := lease.JobStatus{Job: job, Fence: jobLease.Fence, Holder: jobLease.holderName(), Preferred: jobLease.Preferred}
+	if renewedAt, isKnown := r.leaderState.renewedAt[job]; isKnown && r.leaderState.serving && jobLease.Holder != nil {
 		status.AgeMS = r.now - renewedAt
 	}
 	return status
 }
 
 func (r *Replica) clientStatuses() (statuses []lease.ClientStatus) {
-	for name, c := range r.leader.clients {
-		statuses = append(statuses, lease.ClientStatus{Name: name, AgeMS: r.now - c.receivedAt, Capacity: c.request.Capacity,
-			Draining: c.request.Draining, HeldDown: r.isHeldDown(c)})
+	for name, client := range r.leaderState.clients {
+		statuses = append(statuses, lease.ClientStatus{Name: name, AgeMS: r.now - client.receivedAt, Capacity: client.request.Capacity,
+			Draining: client.request.Draining, HeldDown: r.isHeldDown(client)})
 	}
 	slices.SortFunc(statuses, func(a, b lease.ClientStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return statuses
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -20,36 +20,36 @@
 
 // Announcement returns the announcement that this replica sends to the others.
 func (r *Replica) Announcement() lease.Announcement {
-	a := lease.Announcement{Name: r.config.Name, ReplicaID: r.config.ReplicaID, GroupID: r.groupID()}
-	if a.GroupID == 0 && !r.hasEmptyLog() {
-		a.GroupID = unknownGroupID
+	announcement := lease.Announcement{Name: r.config.Name, ReplicaID: r.config.ReplicaID, GroupID: r.groupID()}
+	if announcement.GroupID == 0 && !r.hasEmptyLog() {
+		announcement.GroupID = unknownGroupID
 	}
-	return a
+	return announcement
 }
 
 // HandleAnnouncement handles the announcement of another replica. It ignores replicas that are not configured.
-func (r *Replica) HandleAnnouncement(now lease.Millis, a lease.Announcement) {
+func (r *Replica) HandleAnnouncement(now lease.Millis, announcement lease.Announcement) {
 	r.now = now
-	if a.Name == r.config.Name || !slices.Contains(r.config.Replicas, a.Name) {
+	if announcement.Name == r.config.Name || !slices.Contains(r.config.Replicas, announcement.Name) {
 		return
 	}
-	r.announcements[a.Name] = receivedAnnouncement{a, now}
+	r.announcements[announcement.Name] = receivedAnnouncement{announcement, now}
 	r.bootstrap()
 }
 
 // scheduleAnnouncement makes an announcement due once per minimum election timeout.
 func (r *Replica) scheduleAnnouncement() {
-	if r.now < r.nextAnnouncement {
+	if r.now < r.nextAnnouncementAt {
 		return
 	}
-	r.nextAnnouncement = r.now + r.config.Timing.Tick*float64(r.config.Timing.ElectionTicks)
-	r.ready.Announce = true
+	r.nextAnnouncementAt = r.now + r.config.Timing.Tick*float64(r.config.Timing.ElectionTicks)
+	r.pendingReady.Announce = true
 }
 
 // freshAnnouncement returns a replica's newest announcement, and whether it is younger than a lease duration.
 func (r *Replica) freshAnnouncement(name string) (receivedAnnouncement, bool) {
-	a, known := r.announcements[name]
-	return a, known && r.now-a.receivedAt < r.config.Timing.LeaseTTL
+	announcement, isKnown := r.announcements[name]
+	return announcement, isKnown && r.now-announcement.receivedAt < r.config.Timing.LeaseTTL
 }
 
 // groupID returns the ID of the group that this replica belongs to, or 0. It comes from the state machine or else from
@@ -58,8 +58,8 @@
 
 // hasEmptyLog reports whether the log has no entry and no snapshot, so that this replica was never part of a group.
 func (r *Replica) hasEmptyLog() bool {
-	last, _ := r.storage.LastIndex()
-	return last == 0
+	lastIndex, _ := r.storage.LastIndex()
+	return lastIndex == 0
 }
 
 // bootstrap creates a group with one member, to which the other replicas are then added one at a time. Only the first
@@ -69,16 +69,16 @@
 	if !r.hasEmptyLog() || r.config.Replicas[0] != r.config.Name || !r.allOthersUngrouped() {
 		return
 	}
-	m := newStateMachine()
-	m.GroupID, m.Generation = r.config.ReplicaID, r.config.Generation
-	m.Replicas[r.config.ReplicaID] = r.config.Name
-	snapshot := &raftpb.Snapshot{Data: m.encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
+	machine := newStateMachine()
+	machine.GroupID, machine.Generation = r.config.ReplicaID, r.config.Generation
+	machine.Replicas[r.config.ReplicaID] = r.config.Name
+	snapshot := &raftpb.Snapshot{Data: machine.encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
 		ConfState: &raftpb.ConfState{Voters: []uint64{r.config.ReplicaID}}}}
 	hardState := &raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}
 	if r.storage.ApplySnapshot(snapshot) != nil || r.storage.SetHardState(hardState) != nil || r.restore(snapshot) != nil || r.startNode() != nil {
 		return
 	}
-	r.ready.Persist = &PersistentState{HardState: hardState, Snapshot: snapshot}
+	r.pendingReady.Persist = &PersistentState{HardState: hardState, Snapshot: snapshot}
 	r.emit(Event{Kind: EventBootstrapped, Replica: r.config.Name})
 	_ = r.node.Campaign()
 	r.advance()
@@ -86,8 +86,8 @@
 
 func (r *Replica) allOthersUngrouped() bool {
 	for _, name := range r.config.Replicas[1:] {
-		a, known := r.announcements[name]
-		if !known || a.GroupID != 0 || r.now-a.receivedAt > r.config.Timing.LeaseTTL {
+		announcement, isKnown := r.announcements[name]
+		if !isKnown || announcement.GroupID != 0 || r.now-announcement.receivedAt > r.config.Timing.LeaseTTL {
 			return false
 		}
 	}
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -37,4 +37,4 @@
 	Reason  string      // reason of the command, or details of a regressed disk; empty: none
 }
 
-func (r *Replica) emit(e Event) { r.ready.Events = append(r.ready.Events, e) }
+func (r *Replica) emit(e Event) { r.pendingReady.Events = append(r.pendingReady.Events, e) }
--- a/internal/consensus/expiry.go
+++ b/internal/consensus/expiry.go
@@ -11,13 +11,13 @@
 func (r *Replica) manageLeases() {
 	r.forgetClients()
 	for _, job := range r.config.Jobs {
-		if proposedAt, inFlight := r.leader.proposedAt[job]; inFlight && r.now-proposedAt < r.config.Timing.LeaseTTL {
+		if proposedAt, isInFlight := r.leaderState.proposedAt[job]; isInFlight && r.now-proposedAt < r.config.Timing.LeaseTTL {
 			continue // a lost command is proposed again after the duration of a lease
 		}
-		if l := r.state.jobLease(job); l.Holder != nil {
-			r.expireLease(job, l)
+		if jobLease := r.state.jobLease(job); jobLease.Holder != nil {
+			r.expireLease(job, jobLease)
 		} else {
-			r.grantLease(job, l)
+			r.grantLease(job, jobLease)
 		}
 	}
 }
@@ -25,42 +25,42 @@
 // forgetClients forgets clients that have been silent for long and resets the lapse counts of those that kept their
 // leases.
 func (r *Replica) forgetClients() {
-	limit := r.config.Timing.LeaseTTL * forgetAfterLeases
-	for name, c := range r.leader.clients {
+	forgetAfter := r.config.Timing.LeaseTTL * forgetAfterLeases
+	for name, client := range r.leaderState.clients {
 		switch {
-		case r.now-c.receivedAt > limit:
-			delete(r.leader.clients, name)
-		case c.lapses > 0 && r.now-c.lastLapseAt > limit:
-			c.lapses = 0
+		case r.now-client.receivedAt > forgetAfter:
+			delete(r.leaderState.clients, name)
+		case client.lapseCount > 0 && r.now-client.lastLapseAt > forgetAfter:
+			client.lapseCount = 0
 		}
 	}
 }
 
 // expireLease proposes to free a job whose holder has not renewed its lease for the duration of a lease by this
 // replica's clock.
-func (r *Replica) expireLease(job string, l JobLease) {
-	renewedAt, known := r.leader.renewedAt[job]
-	if !known { // a new leader does not know when the old leader last renewed the lease
-		r.leader.renewedAt[job] = r.now
+func (r *Replica) expireLease(job string, jobLease JobLease) {
+	renewedAt, isKnown := r.leaderState.renewedAt[job]
+	if !isKnown { // a new leader does not know when the old leader last renewed the lease
+		r.leaderState.renewedAt[job] = r.now
 		return
 	}
 	if r.now-renewedAt < r.config.Timing.LeaseTTL {
 		return
 	}
-	if c := r.leader.clients[l.Holder.Name]; c != nil && c.request.Holder == *l.Holder {
-		c.lapses, c.lastLapseAt = c.lapses+1, r.now
+	if client := r.leaderState.clients[jobLease.Holder.Name]; client != nil && client.request.Holder == *jobLease.Holder {
+		client.lapseCount, client.lastLapseAt = client.lapseCount+1, r.now
 	}
-	r.propose(command{Kind: commandRelease, Job: job, Fence: l.Fence, Reason: reasonExpired})
+	r.propose(command{Kind: commandRelease, Job: job, Fence: jobLease.Fence, Reason: reasonExpired})
 }
 
 // grantLease proposes a holder for a free job. A new leader first waits until all clients have had time to send it a
 // keep-alive request.
-func (r *Replica) grantLease(job string, l JobLease) {
-	if r.now-r.leader.servingSince < 2*r.config.Timing.LeaseTTL/lease.KeepAlivesPerLease {
+func (r *Replica) grantLease(job string, jobLease JobLease) {
+	if r.now-r.leaderState.servingSince < 2*r.config.Timing.LeaseTTL/lease.KeepAlivesPerLease {
 		return
 	}
-	if c := r.chooseHolder(job, l); c != nil {
-		holder := c.request.Holder
-		r.propose(command{Kind: commandGrant, Job: job, Fence: l.Fence, Holder: &holder})
+	if client := r.chooseHolder(job, jobLease); client != nil {
+		holder := client.request.Holder
+		r.propose(command{Kind: commandGrant, Job: job, Fence: jobLease.Fence, Holder: &holder})
 	}
 }
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -13,44 +13,44 @@
 // testGroup runs replicas that share one clock. Messages arrive at once; those to and from partitioned replicas are
 // lost.
 type testGroup struct {
-	t            *testing.T
-	now          lease.Millis
-	names        []string
-	replicas     map[string]*Replica
-	disks        map[string]PersistentState
-	partitioned  map[string]bool
-	responses    []lease.KeepAliveResponse
-	adminResults []AdminResult
-	events       []Event
-	stopped      map[string]Ready // by name, the Ready in which a replica reported that it has stopped
+	t             *testing.T
+	now           lease.Millis
+	names         []string
+	replicas      map[string]*Replica
+	disks         map[string]PersistentState
+	isPartitioned map[string]bool
+	responses     []lease.KeepAliveResponse
+	adminResults  []AdminResult
+	events        []Event
+	stoppedReady  map[string]Ready // by name, the Ready in which a replica reported that it has stopped
 }
 
 func newTestGroup(t *testing.T, size int) *testGroup {
-	g := &testGroup{t: t, replicas: map[string]*Replica{}, disks: map[string]PersistentState{}, partitioned: map[string]bool{}, stopped: map[string]Ready{}}
+	group := &testGroup{t: t, replicas: map[string]*Replica{}, disks: map[string]PersistentState{}, isPartitioned: map[string]bool{}, stoppedReady: map[string]Ready{}}
 	for n := range size {
-		g.names = append(g.names, fmt.Sprint("r", n))
+		group.names = append(group.names, fmt.Sprint("r", n))
 	}
-	for _, name := range g.names {
-		g.start(name)
+	for _, name := range group.names {
+		group.start(name)
 	}
-	return g
+	return group
 }
 
 // start starts a replica from its disk. The replica's ID follows from its name.
-func (g *testGroup) start(name string) {
+func (group *testGroup) start(name string) {
 	id := uint64(name[1]-'0') + 1
-	r, err := NewReplica(Config{Name: name, ReplicaID: id, Replicas: g.names, Generation: 1, Jobs: []string{testJob},
-		Timing: lease.DefaultTiming(), Rand: rand.New(rand.NewPCG(id, 1)), State: g.disks[name]})
-	require.NoError(g.t, err)
-	g.replicas[name] = r
+	r, err := NewReplica(Config{Name: name, ReplicaID: id, Replicas: group.names, Generation: 1, Jobs: []string{testJob},
+		Timing: lease.DefaultTiming(), Rand: rand.New(rand.NewPCG(id, 1)), State: group.disks[name]})
+	require.NoError(group.t, err)
+	group.replicas[name] = r
 }
 
 // run advances the clock tick by tick, and calls onTick, unless it is nil, after each tick.
-func (g *testGroup) run(duration lease.Millis, onTick func()) {
-	for end := g.now + duration; g.now < end; {
-		g.now += lease.DefaultTiming().Tick
-		for _, name := range g.names {
-			g.call(name, func(r *Replica) { r.Tick(g.now) })
+func (group *testGroup) run(duration lease.Millis, onTick func()) {
+	for endTime := group.now + duration; group.now < endTime; {
+		group.now += lease.DefaultTiming().Tick
+		for _, name := range group.names {
+			group.call(name, func(r *Replica) { r.Tick(group.now) })
 		}
 		if onTick != nil {
 			onTick()
@@ -59,43 +59,43 @@
 }
 
 // call runs f on a replica that has not stopped, and then carries out the work that Ready returns.
-func (g *testGroup) call(name string, f func(*Replica)) {
-	r := g.replicas[name]
-	if _, stopped := g.stopped[name]; stopped {
+func (group *testGroup) call(name string, f func(*Replica)) {
+	r := group.replicas[name]
+	if _, isStopped := group.stoppedReady[name]; isStopped {
 		return
 	}
 	f(r)
 	ready := r.Ready()
-	g.events = append(g.events, ready.Events...)
+	group.events = append(group.events, ready.Events...)
 	if ready.DiskRegressed || ready.Failure != nil {
-		g.stopped[name] = ready
+		group.stoppedReady[name] = ready
 		return
 	}
 	if ready.Persist != nil {
-		g.disks[name] = g.disks[name].Merge(*ready.Persist, ready.CompactIndex)
+		group.disks[name] = group.disks[name].Merge(*ready.Persist, ready.CompactIndex)
 	}
-	g.responses = append(g.responses, ready.KeepAliveResponses...)
-	g.adminResults = append(g.adminResults, ready.AdminResults...)
+	group.responses = append(group.responses, ready.KeepAliveResponses...)
+	group.adminResults = append(group.adminResults, ready.AdminResults...)
 	for _, m := range ready.Messages {
-		if raw := EncodeMessage(m.Raft); !g.partitioned[name] && !g.partitioned[m.Recipient] {
+		if raw := EncodeMessage(m.Raft); !group.isPartitioned[name] && !group.isPartitioned[m.Recipient] {
 			decoded, err := DecodeMessage(raw)
-			require.NoError(g.t, err)
-			g.call(m.Recipient, func(r *Replica) { r.Step(g.now, m.GroupID, decoded) })
+			require.NoError(group.t, err)
+			group.call(m.Recipient, func(r *Replica) { r.Step(group.now, m.GroupID, decoded) })
 		}
 	}
-	if ready.Announce && !g.partitioned[name] {
-		for _, other := range g.names {
-			if other != name && !g.partitioned[other] {
-				g.call(other, func(to *Replica) { to.HandleAnnouncement(g.now, r.Announcement()) })
+	if ready.Announce && !group.isPartitioned[name] {
+		for _, otherName := range group.names {
+			if otherName != name && !group.isPartitioned[otherName] {
+				group.call(otherName, func(recipient *Replica) { recipient.HandleAnnouncement(group.now, r.Announcement()) })
 			}
 		}
 	}
 }
 
 // leader returns the name of the replica that leads and is not partitioned, or an empty string.
-func (g *testGroup) leader() string {
-	for _, name := range g.names {
-		if g.replicas[name].IsLeader() && !g.partitioned[name] {
+func (group *testGroup) leader() string {
+	for _, name := range group.names {
+		if group.replicas[name].IsLeader() && !group.isPartitioned[name] {
 			return name
 		}
 	}
@@ -103,153 +103,155 @@
 }
 
 // runUntilLeader runs the group for ten lease durations and requires that a replica leads and all replicas are members.
-func (g *testGroup) runUntilLeader() {
-	g.run(10*lease.DefaultTiming().LeaseTTL, nil)
-	require.NotEmpty(g.t, g.leader())
-	require.Len(g.t, g.replicas[g.leader()].Status().Replicas, len(g.names))
+func (group *testGroup) runUntilLeader() {
+	group.run(10*lease.DefaultTiming().LeaseTTL, nil)
+	require.NotEmpty(group.t, group.leader())
+	require.Len(group.t, group.replicas[group.leader()].Status().Replicas, len(group.names))
 }
 
 // keepAlive returns a function that sends the leader a keep-alive request from each of the holders.
-func (g *testGroup) keepAlive(holders ...lease.Holder) func() {
+func (group *testGroup) keepAlive(holders ...lease.Holder) func() {
 	return func() {
-		for _, h := range holders {
-			if leader := g.leader(); leader != "" {
-				request := lease.KeepAliveRequest{Holder: h, SentAt: g.now, Capacity: 1, Jobs: []string{testJob}}
-				g.call(leader, func(r *Replica) { r.HandleKeepAlive(g.now, request) })
+		for _, holder := range holders {
+			if leader := group.leader(); leader != "" {
+				request := lease.KeepAliveRequest{Holder: holder, SentAt: group.now, Capacity: 1, Jobs: []string{testJob}}
+				group.call(leader, func(r *Replica) { r.HandleKeepAlive(group.now, request) })
 			}
 		}
 	}
 }
 
 // jobStatus returns the leader's status of testJob.
-func (g *testGroup) jobStatus() lease.JobStatus { return g.replicas[g.leader()].Status().Jobs[0] }
+func (group *testGroup) jobStatus() lease.JobStatus {
+	return group.replicas[group.leader()].Status().Jobs[0]
+}
 
 // eventCount returns the number of events of a kind that the replicas have emitted.
-func (g *testGroup) eventCount(kind EventKind) (n int) {
-	for _, e := range g.events {
+func (group *testGroup) eventCount(kind EventKind) (count int) {
+	for _, e := range group.events {
 		if e.Kind == kind {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func TestFirstReplicaBootstrapsAndTheOthersAreAdded(t *testing.T) {
-	g := newTestGroup(t, 3)
-	g.runUntilLeader()
-	require.Equal(t, 1, g.eventCount(EventBootstrapped))
-	require.Equal(t, g.names, g.replicas[g.leader()].Status().Replicas)
+	group := newTestGroup(t, 3)
+	group.runUntilLeader()
+	require.Equal(t, 1, group.eventCount(EventBootstrapped))
+	require.Equal(t, group.names, group.replicas[group.leader()].Status().Replicas)
 }
 
 func TestReplicaDoesNotBootstrapWhileAnotherIsUnreachable(t *testing.T) {
-	g := newTestGroup(t, 3)
-	g.partitioned["r2"] = true
-	g.run(10*lease.DefaultTiming().LeaseTTL, nil)
-	require.Zero(t, g.eventCount(EventBootstrapped))
+	group := newTestGroup(t, 3)
+	group.isPartitioned["r2"] = true
+	group.run(10*lease.DefaultTiming().LeaseTTL, nil)
+	require.Zero(t, group.eventCount(EventBootstrapped))
 }
 
 func TestLeaseThatIsNotRenewedIsReleased(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
-	g := newTestGroup(t, 3)
-	g.runUntilLeader()
-	g.run(3*ttl, g.keepAlive(holder1))
-	require.Equal(t, lease.JobStatus{Job: testJob, Fence: 1, Holder: "n1/7"}, g.jobStatus())
-	g.run(ttl-2*lease.DefaultTiming().Tick, nil)
-	require.Equal(t, "n1/7", g.jobStatus().Holder, "the lease is not released before its TTL has passed")
-	g.run(3*lease.DefaultTiming().Tick, nil)
-	require.Empty(t, g.jobStatus().Holder)
-	g.run(ttl, g.keepAlive(holder2))
-	require.Equal(t, "n2/8", g.jobStatus().Holder)
-	require.Equal(t, lease.Fence(2), g.jobStatus().Fence)
+	group := newTestGroup(t, 3)
+	group.runUntilLeader()
+	group.run(3*ttl, group.keepAlive(holder1))
+	require.Equal(t, lease.JobStatus{Job: testJob, Fence: 1, Holder: "n1/7"}, group.jobStatus())
+	group.run(ttl-2*lease.DefaultTiming().Tick, nil)
+	require.Equal(t, "n1/7", group.jobStatus().Holder, "the lease is not released before its TTL has passed")
+	group.run(3*lease.DefaultTiming().Tick, nil)
+	require.Empty(t, group.jobStatus().Holder)
+	group.run(ttl, group.keepAlive(holder2))
+	require.Equal(t, "n2/8", group.jobStatus().Holder)
+	require.Equal(t, lease.Fence(2), group.jobStatus().Fence)
 }
 
 func TestPartitionedLeaderRenewsNothing(t *testing.T) {
-	g := newTestGroup(t, 3)
-	g.runUntilLeader()
-	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder1))
-	oldLeader := g.leader()
-	g.partitioned[oldLeader] = true
-	g.responses = nil
-	g.call(oldLeader, func(r *Replica) {
-		r.HandleKeepAlive(g.now, lease.KeepAliveRequest{Holder: holder1, SentAt: g.now, Capacity: 1, Jobs: []string{testJob}})
+	group := newTestGroup(t, 3)
+	group.runUntilLeader()
+	group.run(3*lease.DefaultTiming().LeaseTTL, group.keepAlive(holder1))
+	oldLeader := group.leader()
+	group.isPartitioned[oldLeader] = true
+	group.responses = nil
+	group.call(oldLeader, func(r *Replica) {
+		r.HandleKeepAlive(group.now, lease.KeepAliveRequest{Holder: holder1, SentAt: group.now, Capacity: 1, Jobs: []string{testJob}})
 	})
-	require.Empty(t, g.responses, "a leader without a quorum does not respond")
-	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder2))
-	require.NotEqual(t, oldLeader, g.leader())
-	require.Equal(t, "n2/8", g.jobStatus().Holder)
-	for _, r := range g.responses {
+	require.Empty(t, group.responses, "a leader without a quorum does not respond")
+	group.run(3*lease.DefaultTiming().LeaseTTL, group.keepAlive(holder2))
+	require.NotEqual(t, oldLeader, group.leader())
+	require.Equal(t, "n2/8", group.jobStatus().Holder)
+	for _, r := range group.responses {
 		require.False(t, r.Holder == holder1 && len(r.Grants) > 0)
 	}
 }
 
 func TestSecondIncarnationIsRejectedForALeaseDuration(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
-	g := newTestGroup(t, 1)
-	g.runUntilLeader()
-	g.run(ttl, g.keepAlive(holder1))
-	restarted := lease.Holder{Name: holder1.Name, Incarnation: 99}
-	g.responses = nil
-	g.keepAlive(restarted)()
-	require.Contains(t, g.responses[0].Error, "the name n1 is in use")
-	g.run(ttl, nil)
-	g.responses = nil
-	g.keepAlive(restarted)()
-	require.Empty(t, g.responses[0].Error)
+	group := newTestGroup(t, 1)
+	group.runUntilLeader()
+	group.run(ttl, group.keepAlive(holder1))
+	restartedHolder := lease.Holder{Name: holder1.Name, Incarnation: 99}
+	group.responses = nil
+	group.keepAlive(restartedHolder)()
+	require.Contains(t, group.responses[0].Error, "the name n1 is in use")
+	group.run(ttl, nil)
+	group.responses = nil
+	group.keepAlive(restartedHolder)()
+	require.Empty(t, group.responses[0].Error)
 }
 
 func TestMoveReclaimsTheLeaseForThePreferredClient(t *testing.T) {
 	ttl := lease.DefaultTiming().LeaseTTL
-	g := newTestGroup(t, 1)
-	g.runUntilLeader()
-	g.run(ttl, g.keepAlive(holder1))
-	require.Equal(t, "n1/7", g.jobStatus().Holder)
-	g.run(ttl, g.keepAlive(holder1, holder2))
-	g.call(g.leader(), func(r *Replica) {
-		r.HandleAdmin(g.now, lease.AdminRequest{ID: 5, Operation: lease.AdminMove, Job: testJob, Target: "n2"})
+	group := newTestGroup(t, 1)
+	group.runUntilLeader()
+	group.run(ttl, group.keepAlive(holder1))
+	require.Equal(t, "n1/7", group.jobStatus().Holder)
+	group.run(ttl, group.keepAlive(holder1, holder2))
+	group.call(group.leader(), func(r *Replica) {
+		r.HandleAdmin(group.now, lease.AdminRequest{ID: 5, Operation: lease.AdminMove, Job: testJob, Target: "n2"})
 	})
-	require.Equal(t, "n2", g.adminResults[0].Response.Status.Jobs[0].Preferred)
-	g.responses = nil
-	g.keepAlive(holder1)()
-	require.True(t, g.responses[0].Grants[0].Reclaim)
-	g.call(g.leader(), func(r *Replica) {
-		r.HandleKeepAlive(g.now, lease.KeepAliveRequest{Holder: holder1, SentAt: g.now, Capacity: 1, Jobs: []string{testJob}, Released: []lease.GrantID{{Job: testJob, Fence: 1}}})
+	require.Equal(t, "n2", group.adminResults[0].Response.Status.Jobs[0].Preferred)
+	group.responses = nil
+	group.keepAlive(holder1)()
+	require.True(t, group.responses[0].Grants[0].Reclaim)
+	group.call(group.leader(), func(r *Replica) {
+		r.HandleKeepAlive(group.now, lease.KeepAliveRequest{Holder: holder1, SentAt: group.now, Capacity: 1, Jobs: []string{testJob}, Released: []lease.GrantID{{Job: testJob, Fence: 1}}})
 	})
-	require.Equal(t, "n2/8", g.jobStatus().Holder)
+	require.Equal(t, "n2/8", group.jobStatus().Holder)
 }
 
 func TestReplicaStopsOnceItsDiskHasRegressed(t *testing.T) {
-	g := newTestGroup(t, 3)
-	g.runUntilLeader()
-	follower := g.names[0]
-	if follower == g.leader() {
-		follower = g.names[1]
+	group := newTestGroup(t, 3)
+	group.runUntilLeader()
+	follower := group.names[0]
+	if follower == group.leader() {
+		follower = group.names[1]
 	}
-	oldDisk := g.disks[follower]
-	g.run(3*lease.DefaultTiming().LeaseTTL, g.keepAlive(holder1)) // entries that the follower acknowledges
-	require.Greater(t, len(g.disks[follower].Entries), len(oldDisk.Entries))
-	g.disks[follower] = oldDisk
-	g.start(follower)
-	g.run(lease.DefaultTiming().LeaseTTL, nil)
-	require.True(t, g.stopped[follower].DiskRegressed)
-	require.NotEmpty(t, g.leader())
+	oldDisk := group.disks[follower]
+	group.run(3*lease.DefaultTiming().LeaseTTL, group.keepAlive(holder1)) // entries that the follower acknowledges
+	require.Greater(t, len(group.disks[follower].Entries), len(oldDisk.Entries))
+	group.disks[follower] = oldDisk
+	group.start(follower)
+	group.run(lease.DefaultTiming().LeaseTTL, nil)
+	require.True(t, group.stoppedReady[follower].DiskRegressed)
+	require.NotEmpty(t, group.leader())
 }
 
 func TestNewReplicaRejectsInvalidConfigurations(t *testing.T) {
-	valid := Config{Name: "r0", ReplicaID: 1, Replicas: []string{"r0"}, Timing: lease.DefaultTiming(), Rand: rand.New(rand.NewPCG(1, 1))}
-	for name, change := range map[string]func(*Config){
-		"no replica ID":   func(c *Config) { c.ReplicaID = 0 },
-		"no name":         func(c *Config) { c.Name = "" },
-		"not a replica":   func(c *Config) { c.Name = "r9" },
-		"an even number":  func(c *Config) { c.Replicas = []string{"r0", "r1"} },
-		"seven replicas":  func(c *Config) { c.Replicas = []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6"} },
-		"no replica name": func(c *Config) { c.Replicas = nil },
+	validConfig := Config{Name: "r0", ReplicaID: 1, Replicas: []string{"r0"}, Timing: lease.DefaultTiming(), Rand: rand.New(rand.NewPCG(1, 1))}
+	for name, modify := range map[string]func(*Config){
+		"no replica ID":   func(config *Config) { config.ReplicaID = 0 },
+		"no name":         func(config *Config) { config.Name = "" },
+		"not a replica":   func(config *Config) { config.Name = "r9" },
+		"an even number":  func(config *Config) { config.Replicas = []string{"r0", "r1"} },
+		"seven replicas":  func(config *Config) { config.Replicas = []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6"} },
+		"no replica name": func(config *Config) { config.Replicas = nil },
 	} {
-		c := valid
-		change(&c)
-		_, err := NewReplica(c)
+		config := validConfig
+		modify(&config)
+		_, err := NewReplica(config)
 		require.ErrorIs(t, err, ErrInvalidConfig, name)
 	}
-	_, err := NewReplica(valid)
+	_, err := NewReplica(validConfig)
 	require.NoError(t, err)
 }
 
@@ -257,20 +259,20 @@
 // the leader must grant the job under a higher fence and not go on renewing the lease. It ignores the same report from
 // another client.
 func TestJobIsGrantedAboveAFenceThatItsHolderReportsAsRefused(t *testing.T) {
-	g := newTestGroup(t, 3)
-	g.runUntilLeader()
+	group := newTestGroup(t, 3)
+	group.runUntilLeader()
 	holder := lease.Holder{Name: "c0", Incarnation: 1}
-	g.run(lease.DefaultTiming().LeaseTTL, g.keepAlive(holder))
-	statusBefore := g.jobStatus()
+	group.run(lease.DefaultTiming().LeaseTTL, group.keepAlive(holder))
+	statusBefore := group.jobStatus()
 	require.Equal(t, holder.String(), statusBefore.Holder)
-	holderReport := lease.KeepAliveRequest{Holder: holder, SentAt: g.now, Capacity: 1, Jobs: []string{testJob},
+	holderReport := lease.KeepAliveRequest{Holder: holder, SentAt: group.now, Capacity: 1, Jobs: []string{testJob},
 		HigherFences: []lease.GrantID{{Job: testJob, Fence: statusBefore.Fence}}}
 	otherReport := holderReport
 	otherReport.Holder = lease.Holder{Name: "c1", Incarnation: 1}
-	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, otherReport) })
-	g.run(lease.DefaultTiming().Tick, nil)
-	require.Equal(t, statusBefore.Holder, g.jobStatus().Holder, "a report of the current fence by another client changes nothing")
-	g.call(g.leader(), func(r *Replica) { r.HandleKeepAlive(g.now, holderReport) })
-	g.run(lease.DefaultTiming().LeaseTTL/4, nil)
-	require.Greater(t, g.jobStatus().Fence, statusBefore.Fence)
+	group.call(group.leader(), func(r *Replica) { r.HandleKeepAlive(group.now, otherReport) })
+	group.run(lease.DefaultTiming().Tick, nil)
+	require.Equal(t, statusBefore.Holder, group.jobStatus().Holder, "a report of the current fence by another client changes nothing")
+	group.call(group.leader(), func(r *Replica) { r.HandleKeepAlive(group.now, holderReport) })
+	group.run(lease.DefaultTiming().LeaseTTL/4, nil)
+	require.Greater(t, group.jobStatus().Fence, statusBefore.Fence)
 }
--- a/internal/consensus/keepalive.go
+++ b/internal/consensus/keepalive.go
@@ -17,42 +17,42 @@
 // HandleKeepAlive handles a client's keep-alive request. A leader responds once a quorum has confirmed that it still
 // leads; any other replica redirects the client to the leader if it knows one.
 func (r *Replica) HandleKeepAlive(now lease.Millis, request lease.KeepAliveRequest) {
-	if r.now = now; !r.leader.serving || r.stopped {
+	if r.now = now; !r.leaderState.serving || r.stopped {
 		r.redirect(request)
 		return
 	}
 	if r.nameInUse(request.Holder) {
-		r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses, lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt,
+		r.pendingReady.KeepAliveResponses = append(r.pendingReady.KeepAliveResponses, lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt,
 			Error: fmt.Sprintf("the name %s is in use; it is free once nothing was heard of it for %.0f ms", request.Holder.Name, r.config.Timing.LeaseTTL)})
 		return
 	}
-	r.leader.waitingRequests = append(r.leader.waitingRequests, pendingKeepAlive{request, now})
+	r.leaderState.waitingRequests = append(r.leaderState.waitingRequests, pendingKeepAlive{request, now})
 	r.confirmLeadership()
 	r.advance()
 }
 
 // nameInUse reports whether another incarnation of the client has sent a keep-alive request within a lease duration.
-func (r *Replica) nameInUse(h lease.Holder) bool {
-	c := r.leader.clients[h.Name]
-	return c != nil && c.request.Holder != h && r.now-c.receivedAt < r.config.Timing.LeaseTTL
+func (r *Replica) nameInUse(holder lease.Holder) bool {
+	client := r.leaderState.clients[holder.Name]
+	return client != nil && client.request.Holder != holder && r.now-client.receivedAt < r.config.Timing.LeaseTTL
 }
 
 // redirect sends the client the name of the leader, or nothing if no leader is known.
 func (r *Replica) redirect(request lease.KeepAliveRequest) {
-	if leader := r.leaderName(); leader != "" {
-		r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses,
-			lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt, RedirectTo: leader})
+	if leaderName := r.leaderName(); leaderName != "" {
+		r.pendingReady.KeepAliveResponses = append(r.pendingReady.KeepAliveResponses,
+			lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt, RedirectTo: leaderName})
 	}
 }
 
 // confirmLeadership sends a read index request, by which a quorum confirms that this replica still leads. Without it, a
 // leader that was partitioned away would renew leases that the next leader has granted to others.
 func (r *Replica) confirmLeadership() {
-	inFlight := len(r.leader.confirmingRequests) > 0 && r.now-r.confirmationStartedAt < r.config.Timing.LeaseTTL/4
-	if len(r.leader.waitingRequests) == 0 || inFlight {
+	confirmationInFlight := len(r.leaderState.confirmingRequests) > 0 && r.now-r.confirmationStartedAt < r.config.Timing.LeaseTTL/4
+	if len(r.leaderState.waitingRequests) == 0 || confirmationInFlight {
 		return
 	}
-	r.leader.confirmingRequests, r.leader.waitingRequests = append(r.leader.confirmingRequests, r.leader.waitingRequests...), nil
+	r.leaderState.confirmingRequests, r.leaderState.waitingRequests = append(r.leaderState.confirmingRequests, r.leaderState.waitingRequests...), nil
 	r.readIndexID++
 	r.confirmationStartedAt = r.now
 	r.node.ReadIndex([]byte(strconv.FormatUint(r.readIndexID, 10)))
@@ -60,33 +60,33 @@
 
 // handleLeadershipConfirmed processes the keep-alive requests that waited for the confirmation, and responds to them.
 func (r *Replica) handleLeadershipConfirmed() {
-	confirmedRequests := r.leader.confirmingRequests
-	r.leader.confirmingRequests = nil
-	for _, p := range confirmedRequests {
-		c := r.recordClient(p)
-		r.renewLeases(p)
-		r.raiseFences(p.request)
-		r.releaseLeases(p.request)
-		r.respond(c)
+	confirmedRequests := r.leaderState.confirmingRequests
+	r.leaderState.confirmingRequests = nil
+	for _, pending := range confirmedRequests {
+		client := r.recordClient(pending)
+		r.renewLeases(pending)
+		r.raiseFences(pending.request)
+		r.releaseLeases(pending.request)
+		r.respond(client)
 	}
 	r.confirmLeadership()
 }
 
-func (r *Replica) recordClient(p pendingKeepAlive) *clientState {
-	name := p.request.Holder.Name
-	c := r.leader.clients[name]
-	if c == nil {
-		c = &clientState{}
-		r.leader.clients[name] = c
+func (r *Replica) recordClient(pending pendingKeepAlive) *clientState {
+	name := pending.request.Holder.Name
+	client := r.leaderState.clients[name]
+	if client == nil {
+		client = &clientState{}
+		r.leaderState.clients[name] = client
 	}
-	c.request, c.receivedAt = p.request, p.receivedAt
-	return c
+	client.request, client.receivedAt = pending.request, pending.receivedAt
+	return client
 }
 
-func (r *Replica) renewLeases(p pendingKeepAlive) {
+func (r *Replica) renewLeases(pending pendingKeepAlive) {
 	for _, job := range r.config.Jobs {
-		if r.state.jobLease(job).isHolder(p.request.Holder) {
-			r.leader.renewedAt[job] = max(r.leader.renewedAt[job], p.receivedAt)
+		if r.state.jobLease(job).isHolder(pending.request.Holder) {
+			r.leaderState.renewedAt[job] = max(r.leaderState.renewedAt[job], pending.receivedAt)
 		}
 	}
 }
@@ -95,64 +95,64 @@
 // grant. If the reported fence is the client's own, the target has accepted that fence from another holder, to which a
 // former consensus group had granted it. Freeing the job is then enough, as the fence of the next grant is higher by one.
 func (r *Replica) raiseFences(request lease.KeepAliveRequest) {
-	for _, id := range request.HigherFences {
-		if !slices.Contains(r.config.Jobs, id.Job) {
+	for _, reported := range request.HigherFences {
+		if !slices.Contains(r.config.Jobs, reported.Job) {
 			continue
 		}
-		switch l := r.state.jobLease(id.Job); {
-		case l.Fence < id.Fence:
-			r.propose(command{Kind: commandRaiseFence, Job: id.Job, Fence: id.Fence, Reason: reasonHigherFence})
-		case l.Fence == id.Fence && l.isHolder(request.Holder):
-			r.propose(command{Kind: commandRelease, Job: id.Job, Fence: id.Fence, Reason: reasonHigherFence})
+		switch jobLease := r.state.jobLease(reported.Job); {
+		case jobLease.Fence < reported.Fence:
+			r.propose(command{Kind: commandRaiseFence, Job: reported.Job, Fence: reported.Fence, Reason: reasonHigherFence})
+		case jobLease.Fence == reported.Fence && jobLease.isHolder(request.Holder):
+			r.propose(command{Kind: commandRelease, Job: reported.Job, Fence: reported.Fence, Reason: reasonHigherFence})
 		}
 	}
 }
 
 func (r *Replica) releaseLeases(request lease.KeepAliveRequest) {
-	for _, id := range request.Released {
-		l := r.state.jobLease(id.Job)
-		if l.isHolder(request.Holder) && l.Fence == id.Fence {
-			r.propose(command{Kind: commandRelease, Job: id.Job, Fence: id.Fence, Reason: reasonReturned})
+	for _, released := range request.Released {
+		jobLease := r.state.jobLease(released.Job)
+		if jobLease.isHolder(request.Holder) && jobLease.Fence == released.Fence {
+			r.propose(command{Kind: commandRelease, Job: released.Job, Fence: released.Fence, Reason: reasonReturned})
 		}
 	}
 }
 
 // respond answers a client's newest request with the client's leases and the holder of each job.
-func (r *Replica) respond(c *clientState) {
-	response := lease.KeepAliveResponse{Holder: c.request.Holder, SentAt: c.request.SentAt}
+func (r *Replica) respond(client *clientState) {
+	response := lease.KeepAliveResponse{Holder: client.request.Holder, SentAt: client.request.SentAt}
 	for _, job := range r.config.Jobs {
 		if r.state.Jobs[job] == nil {
 			continue
 		}
-		l := r.state.jobLease(job)
-		id := lease.GrantID{Job: job, Fence: l.Fence}
-		assignment := lease.Assignment{GrantID: id}
-		if l.Holder != nil {
-			assignment.HolderName = l.Holder.Name
+		jobLease := r.state.jobLease(job)
+		grantID := lease.GrantID{Job: job, Fence: jobLease.Fence}
+		assignment := lease.Assignment{GrantID: grantID}
+		if jobLease.Holder != nil {
+			assignment.HolderName = jobLease.Holder.Name
 		}
 		// A command in flight may change the holder of the job, so the lease is not renewed.
-		if _, changeInFlight := r.leader.proposedAt[job]; l.isHolder(c.request.Holder) && !changeInFlight {
-			response.Grants = append(response.Grants, lease.Grant{GrantID: id, TTL: r.config.Timing.LeaseTTL, Reclaim: r.isReclaimed(job, l)})
+		if _, changeInFlight := r.leaderState.proposedAt[job]; jobLease.isHolder(client.request.Holder) && !changeInFlight {
+			response.Grants = append(response.Grants, lease.Grant{GrantID: grantID, TTL: r.config.Timing.LeaseTTL, Reclaim: r.isReclaimed(job, jobLease)})
 		}
 		response.Assignments = append(response.Assignments, assignment)
 	}
-	r.ready.KeepAliveResponses = append(r.ready.KeepAliveResponses, response)
+	r.pendingReady.KeepAliveResponses = append(r.pendingReady.KeepAliveResponses, response)
 }
 
 // isReclaimed reports whether the holder is asked to release the job, because an operator prefers another client and
 // that client is eligible.
-func (r *Replica) isReclaimed(job string, l JobLease) bool {
-	return l.Preferred != "" && l.Preferred != l.Holder.Name && r.isEligible(job, r.leader.clients[l.Preferred])
+func (r *Replica) isReclaimed(job string, jobLease JobLease) bool {
+	return jobLease.Preferred != "" && jobLease.Preferred != jobLease.Holder.Name && r.isEligible(job, r.leaderState.clients[jobLease.Preferred])
 }
 
 // notifyGranted responds to the new holder at once. On both sides the lease counts from the holder's newest request:
 // for the holder from when it sent the request, for the leader from when it received the request.
 func (r *Replica) notifyGranted(c command) {
-	client := r.leader.clients[c.Holder.Name]
+	client := r.leaderState.clients[c.Holder.Name]
 	if client == nil || client.request.Holder != *c.Holder {
-		r.leader.renewedAt[c.Job] = r.now
+		r.leaderState.renewedAt[c.Job] = r.now
 		return
 	}
-	r.leader.renewedAt[c.Job] = client.receivedAt
+	r.leaderState.renewedAt[c.Job] = client.receivedAt
 	r.respond(client)
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -15,13 +15,13 @@
 // reconcileMembership takes one step from the group's current members towards the configured ones. Only one change is
 // in flight at a time; a change that has not been applied is proposed again after the duration of a lease.
 func (r *Replica) reconcileMembership() {
-	changeAt := r.leader.membershipChangeAt
-	if changeAt > 0 && r.now-changeAt < r.config.Timing.LeaseTTL || r.config.Generation < r.state.Generation {
+	changeProposedAt := r.leaderState.membershipChangeAt
+	if changeProposedAt > 0 && r.now-changeProposedAt < r.config.Timing.LeaseTTL || r.config.Generation < r.state.Generation {
 		return
 	}
 	if r.config.Generation > r.state.Generation {
 		r.propose(command{Kind: commandSetGeneration, Generation: r.config.Generation})
-		r.leader.membershipChangeAt = r.now
+		r.leaderState.membershipChangeAt = r.now
 		return
 	}
 	if r.removeReplica() || r.addReplica() {
@@ -35,15 +35,15 @@
 // removeReplica proposes to remove a voter that is no longer configured, or whose replica has returned under another
 // ID.
 func (r *Replica) removeReplica() (proposed bool) {
-	for _, id := range r.confState.GetVoters() {
-		name := r.state.Replicas[id]
-		if slices.Contains(r.config.Replicas, name) && !r.hasLostDisk(id, name) {
+	for _, replicaID := range r.confState.GetVoters() {
+		name := r.state.Replicas[replicaID]
+		if slices.Contains(r.config.Replicas, name) && !r.hasLostDisk(replicaID, name) {
 			continue
 		}
-		if id == r.config.ReplicaID {
+		if replicaID == r.config.ReplicaID {
 			continue // the leader does not remove itself, it transfers leadership first
 		}
-		r.proposeMembershipChange(raftpb.ConfChangeRemoveNode, id, name)
+		r.proposeMembershipChange(raftpb.ConfChangeRemoveNode, replicaID, name)
 		return true
 	}
 	return false
@@ -51,17 +51,17 @@
 
 // hasLostDisk reports whether the replica of that name now announces an ID other than the voter's, as it does after it
 // has lost its disk.
-func (r *Replica) hasLostDisk(id uint64, name string) bool {
-	a, isFresh := r.freshAnnouncement(name)
-	return isFresh && name != r.config.Name && a.ReplicaID != id
+func (r *Replica) hasLostDisk(replicaID uint64, name string) bool {
+	announcement, isFresh := r.freshAnnouncement(name)
+	return isFresh && name != r.config.Name && announcement.ReplicaID != replicaID
 }
 
 // addReplica proposes to add a configured replica that announces itself and is not a voter yet.
 func (r *Replica) addReplica() (proposed bool) {
 	for _, name := range r.config.Replicas {
-		a, isFresh := r.freshAnnouncement(name)
-		if isFresh && !r.isVoter(a.ReplicaID) {
-			r.proposeMembershipChange(raftpb.ConfChangeAddNode, a.ReplicaID, name)
+		announcement, isFresh := r.freshAnnouncement(name)
+		if isFresh && !r.isVoter(announcement.ReplicaID) {
+			r.proposeMembershipChange(raftpb.ConfChangeAddNode, announcement.ReplicaID, name)
 			return true
 		}
 	}
@@ -69,29 +69,29 @@
 }
 
 func (r *Replica) transferToAnyVoter() {
-	for _, id := range r.confState.GetVoters() {
-		if id != r.config.ReplicaID {
-			r.node.TransferLeader(id)
+	for _, replicaID := range r.confState.GetVoters() {
+		if replicaID != r.config.ReplicaID {
+			r.node.TransferLeader(replicaID)
 			return
 		}
 	}
 }
 
-func (r *Replica) proposeMembershipChange(kind raftpb.ConfChangeType, id uint64, name string) {
-	change := &raftpb.ConfChange{Type: kind.Enum(), NodeId: new(id), Context: []byte(name)}
+func (r *Replica) proposeMembershipChange(kind raftpb.ConfChangeType, replicaID uint64, name string) {
+	change := &raftpb.ConfChange{Type: kind.Enum(), NodeId: new(replicaID), Context: []byte(name)}
 	if r.node.ProposeConfChange(change) == nil {
-		r.leader.membershipChangeAt = r.now
+		r.leaderState.membershipChangeAt = r.now
 	}
 }
 
 // applyConfChange applies a committed membership change.
-func (r *Replica) applyConfChange(e *raftpb.Entry) error {
+func (r *Replica) applyConfChange(entry *raftpb.Entry) error {
 	var change raftpb.ConfChange
-	if err := unmarshal(e.GetData(), &change); err != nil {
+	if err := unmarshal(entry.GetData(), &change); err != nil {
 		return err
 	}
 	r.confState = r.node.ApplyConfChange(&change)
-	r.leader.membershipChangeAt = 0
+	r.leaderState.membershipChangeAt = 0
 	name := string(change.GetContext())
 	if change.GetType() == raftpb.ConfChangeRemoveNode {
 		delete(r.state.Replicas, change.GetNodeId())
--- a/internal/consensus/persist.go
+++ b/internal/consensus/persist.go
@@ -39,27 +39,27 @@
 
 // entriesBefore returns the entries below an index. New entries from that index on replace the rest of the log.
 func entriesBefore(entries []*raftpb.Entry, index uint64) []*raftpb.Entry {
-	end := slices.IndexFunc(entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= index })
-	if end < 0 {
-		end = len(entries)
+	endIndex := slices.IndexFunc(entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= index })
+	if endIndex < 0 {
+		endIndex = len(entries)
 	}
-	return entries[:end]
+	return entries[:endIndex]
 }
 
 // EncodeMessage encodes a raft message.
 func EncodeMessage(m *raftpb.Message) []byte {
-	raw, _ := proto.Marshal(m) // cannot fail: the message was made by the library
-	return raw
+	encoded, _ := proto.Marshal(m) // cannot fail: the message was made by the library
+	return encoded
 }
 
 // DecodeMessage decodes a raft message that EncodeMessage has encoded.
-func DecodeMessage(raw []byte) (*raftpb.Message, error) {
+func DecodeMessage(encoded []byte) (*raftpb.Message, error) {
 	m := &raftpb.Message{}
-	return m, unmarshal(raw, m)
+	return m, unmarshal(encoded, m)
 }
 
-func unmarshal(raw []byte, m proto.Message) error {
-	if err := proto.Unmarshal(raw, m); err != nil {
+func unmarshal(encoded []byte, m proto.Message) error {
+	if err := proto.Unmarshal(encoded, m); err != nil {
 		return fmt.Errorf("consensus: decode raft message: %w", err)
 	}
 	return nil
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -37,8 +37,8 @@
 
 // Ready returns the work that has accumulated since the last call.
 func (r *Replica) Ready() Ready {
-	ready := r.ready
-	r.ready = Ready{}
+	ready := r.pendingReady
+	r.pendingReady = Ready{}
 	return ready
 }
 
@@ -46,58 +46,58 @@
 // entries.
 func (r *Replica) processReady() {
 	for r.node.HasReady() {
-		rd := r.node.Ready()
-		r.persist(rd)
-		for _, m := range rd.Messages {
-			r.send(m)
+		raftReady := r.node.Ready()
+		r.persist(raftReady)
+		for _, message := range raftReady.Messages {
+			r.send(message)
 		}
 		r.trackLeadership()
-		for _, e := range rd.CommittedEntries {
-			r.applyEntry(e)
+		for _, entry := range raftReady.CommittedEntries {
+			r.applyEntry(entry)
 		}
-		for _, s := range rd.ReadStates {
+		for _, s := range raftReady.ReadStates {
 			r.handleReadState(s)
 		}
-		r.node.Advance(rd)
+		r.node.Advance(raftReady)
 	}
 	r.compact()
 }
 
 // pendingPersist returns the changes that the next Ready asks the caller to persist.
 func (r *Replica) pendingPersist() *PersistentState {
-	if r.ready.Persist == nil {
-		r.ready.Persist = &PersistentState{}
+	if r.pendingReady.Persist == nil {
+		r.pendingReady.Persist = &PersistentState{}
 	}
-	return r.ready.Persist
+	return r.pendingReady.Persist
 }
 
-func (r *Replica) persist(rd raft.Ready) {
-	if rd.Snapshot == nil && rd.HardState == nil && len(rd.Entries) == 0 {
+func (r *Replica) persist(raftReady raft.Ready) {
+	if raftReady.Snapshot == nil && raftReady.HardState == nil && len(raftReady.Entries) == 0 {
 		return
 	}
-	pending := r.pendingPersist()
-	if s := rd.Snapshot; s != nil && !raft.IsEmptySnap(s) {
+	pendingState := r.pendingPersist()
+	if s := raftReady.Snapshot; s != nil && !raft.IsEmptySnap(s) {
 		if r.storage.ApplySnapshot(s) == nil && r.restore(s) == nil {
-			pending.Snapshot, pending.Entries = s, nil
+			pendingState.Snapshot, pendingState.Entries = s, nil
 		}
 	}
-	if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-		_ = r.storage.SetHardState(rd.HardState)
-		pending.HardState = rd.HardState
+	if raftReady.HardState != nil && !raft.IsEmptyHardState(raftReady.HardState) {
+		_ = r.storage.SetHardState(raftReady.HardState)
+		pendingState.HardState = raftReady.HardState
 	}
-	_ = r.storage.Append(rd.Entries)
-	pending.Entries = append(pending.Entries, rd.Entries...)
+	_ = r.storage.Append(raftReady.Entries)
+	pendingState.Entries = append(pendingState.Entries, raftReady.Entries...)
 }
 
-func (r *Replica) send(m *raftpb.Message) {
-	if m.GetType() == raftpb.MsgVoteResp && !m.GetReject() {
+func (r *Replica) send(message *raftpb.Message) {
+	if message.GetType() == raftpb.MsgVoteResp && !message.GetReject() {
 		r.resetElectionTimeout() // gives the candidate that receives the vote time to become leader
 	}
-	if name, known := r.replicaName(m.GetTo()); known {
-		r.ready.Messages = append(r.ready.Messages, Message{GroupID: r.groupID(), Recipient: name, Raft: m})
+	if name, known := r.replicaName(message.GetTo()); known {
+		r.pendingReady.Messages = append(r.pendingReady.Messages, Message{GroupID: r.groupID(), Recipient: name, Raft: message})
 	}
-	if m.GetType() == raftpb.MsgSnap { // a snapshot is one message, so the end of its transfer is not reported later
-		r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+	if message.GetType() == raftpb.MsgSnap { // a snapshot is one message, so the end of its transfer is not reported later
+		r.node.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 }
 
@@ -115,40 +115,40 @@
 	return name, known
 }
 
-func (r *Replica) applyEntry(e *raftpb.Entry) {
-	r.appliedIndex = e.GetIndex()
-	switch e.GetType() {
+func (r *Replica) applyEntry(entry *raftpb.Entry) {
+	r.appliedIndex = entry.GetIndex()
+	switch entry.GetType() {
 	case raftpb.EntryConfChange:
-		if r.applyConfChange(e) != nil {
+		if r.applyConfChange(entry) != nil {
 			return
 		}
 	case raftpb.EntryNormal:
-		if len(e.GetData()) > 0 { // the first entry of a new leader is empty
-			r.applyCommand(e)
+		if len(entry.GetData()) > 0 { // the first entry of a new leader is empty
+			r.applyCommand(entry)
 		}
 	}
-	r.startServing(e)
+	r.startServing(entry)
 }
 
-func (r *Replica) applyCommand(e *raftpb.Entry) {
+func (r *Replica) applyCommand(entry *raftpb.Entry) {
 	var c command
-	if json.Unmarshal(e.GetData(), &c) != nil {
+	if json.Unmarshal(entry.GetData(), &c) != nil {
 		return
 	}
-	err := r.state.apply(e.GetIndex(), c)
-	delete(r.leader.proposedAt, c.Job)
+	err := r.state.apply(entry.GetIndex(), c)
+	delete(r.leaderState.proposedAt, c.Job)
 	if c.Kind == commandSetGeneration {
-		r.leader.membershipChangeAt = 0
+		r.leaderState.membershipChangeAt = 0
 	}
-	if !r.leader.serving {
+	if !r.leaderState.serving {
 		return
 	}
 	r.completeMoves(c)
 	if err != nil || c.Job == "" {
 		return
 	}
-	l := r.state.jobLease(c.Job)
-	r.emit(Event{Kind: commandEvents[c.Kind], Job: c.Job, Fence: l.Fence, Holder: l.holderName(), Reason: string(c.Reason)})
+	jobLease := r.state.jobLease(c.Job)
+	r.emit(Event{Kind: commandEvents[c.Kind], Job: c.Job, Fence: jobLease.Fence, Holder: jobLease.holderName(), Reason: string(c.Reason)})
 	if c.Kind == commandGrant {
 		r.notifyGranted(c)
 	}
@@ -162,14 +162,14 @@
 		return false
 	}
 	if c.Job != "" {
-		r.leader.proposedAt[c.Job] = r.now
+		r.leaderState.proposedAt[c.Job] = r.now
 	}
 	return true
 }
 
 func (r *Replica) handleReadState(s raft.ReadState) {
 	id, _ := strconv.ParseUint(string(s.RequestCtx), 10, 64)
-	if id == r.readIndexID && r.leader.serving {
+	if id == r.readIndexID && r.leaderState.serving {
 		r.handleLeadershipConfirmed()
 	}
 }
@@ -179,15 +179,15 @@
 
 // compact replaces the applied part of the log with a snapshot once it has compactionThreshold entries.
 func (r *Replica) compact() {
-	first, _ := r.storage.FirstIndex()
-	if r.appliedIndex < first+compactionThreshold {
+	firstIndex, _ := r.storage.FirstIndex()
+	if r.appliedIndex < firstIndex+compactionThreshold {
 		return
 	}
 	snapshot, err := r.storage.CreateSnapshot(r.appliedIndex, r.confState, r.state.encode())
 	if err != nil || r.storage.Compact(r.appliedIndex) != nil {
 		return
 	}
-	pending := r.pendingPersist()
-	pending.Snapshot, r.ready.CompactIndex = snapshot, r.appliedIndex
-	pending.Entries = slices.DeleteFunc(pending.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= r.appliedIndex })
+	pendingState := r.pendingPersist()
+	pendingState.Snapshot, r.pendingReady.CompactIndex = snapshot, r.appliedIndex
+	pendingState.Entries = slices.DeleteFunc(pendingState.Entries, func(entry *raftpb.Entry) bool { return entry.GetIndex() <= r.appliedIndex })
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -42,27 +42,27 @@
 type Replica struct {
 	config       Config
 	now          lease.Millis // time of the caller's latest call
-	lastTick     lease.Millis // time of the latest tick
+	lastTickAt   lease.Millis // time of the latest tick
 	node         *raft.RawNode
 	storage      *raft.MemoryStorage // in-memory copy of the state that the caller persists as Ready requests
 	state        *StateMachine
 	confState    *raftpb.ConfState
 	appliedIndex uint64 // index of the last applied log entry
-	ready        Ready
+	pendingReady Ready
 	stopped      bool // the disk regressed or raft panicked, and the replica does nothing further
 
 	ticksWithoutLeader int
-	campaignAfter      int // number of ticks without a leader after which this replica starts an election
+	campaignAfterTicks int // number of ticks without a leader after which this replica starts an election
 
-	acceptedGroupID  uint64                          // ID of the group that the last accepted raft message came from; 0: none yet
-	announcements    map[string]receivedAnnouncement // newest announcement of each other replica, by name
-	nextAnnouncement lease.Millis                    // when the next announcement is due
+	acceptedGroupID    uint64                          // ID of the group that the last accepted raft message came from; 0: none yet
+	announcements      map[string]receivedAnnouncement // newest announcement of each other replica, by name
+	nextAnnouncementAt lease.Millis                    // when the next announcement is due
 
-	term                  uint64 // raft term that the leader state belongs to
-	leader                leaderState
+	leaderStateTerm       uint64 // raft term that the leader state belongs to
+	leaderState           leaderState
 	readIndexID           uint64       // ID of the newest read index request, which confirms leadership
 	confirmationStartedAt lease.Millis // when the newest read index request was sent
-	lastAdminID           uint64       // key of the newest request in leader.adminRequests
+	lastAdminID           uint64       // key of the newest request in leaderState.adminRequests
 }
 
 // leaderState is state that only the leader has. It is not replicated and starts empty in each term.
@@ -107,7 +107,7 @@
 	}
 	r := &Replica{
 		config:        c,
-		lastTick:      math.Inf(-1),
+		lastTickAt:    math.Inf(-1),
 		storage:       raft.NewMemoryStorage(),
 		state:         newStateMachine(),
 		confState:     &raftpb.ConfState{},
@@ -166,11 +166,11 @@
 
 // restore replaces the state machine with that of a snapshot.
 func (r *Replica) restore(s *raftpb.Snapshot) error {
-	m, err := decodeStateMachine(s.GetData())
+	machine, err := decodeStateMachine(s.GetData())
 	if err != nil {
 		return err
 	}
-	r.state, r.appliedIndex, r.confState = m, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	r.state, r.appliedIndex, r.confState = machine, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	return nil
 }
 
@@ -178,16 +178,16 @@
 // raft library, so that a seed determines a simulated run: followers call TickQuiesced, which never starts an election.
 func (r *Replica) resetElectionTimeout() {
 	r.ticksWithoutLeader = 0
-	r.campaignAfter = r.config.Timing.ElectionTicks + r.config.Rand.IntN(r.config.Timing.ElectionTicks)
+	r.campaignAfterTicks = r.config.Timing.ElectionTicks + r.config.Rand.IntN(r.config.Timing.ElectionTicks)
 }
 
 // Tick advances the replica's timers. The caller calls it at least once per Timing.Tick; calls that come earlier only
 // set the clock.
 func (r *Replica) Tick(now lease.Millis) {
-	if r.now = now; now-r.lastTick < r.config.Timing.Tick || r.stopped {
+	if r.now = now; now-r.lastTickAt < r.config.Timing.Tick || r.stopped {
 		return
 	}
-	r.lastTick = now
+	r.lastTickAt = now
 	r.scheduleAnnouncement()
 	r.bootstrap()
 	switch {
@@ -205,41 +205,41 @@
 		return
 	}
 	r.ticksWithoutLeader++
-	if r.ticksWithoutLeader >= r.campaignAfter {
+	if r.ticksWithoutLeader >= r.campaignAfterTicks {
 		r.resetElectionTimeout()
 		_ = r.node.Campaign()
 	}
 }
 
 // Step handles a raft message from another replica. Messages for another replica ID or of another group are ignored.
-func (r *Replica) Step(now lease.Millis, groupID uint64, m *raftpb.Message) {
+func (r *Replica) Step(now lease.Millis, groupID uint64, message *raftpb.Message) {
 	r.now = now
-	if m.GetTo() != r.config.ReplicaID || groupID == 0 || r.groupID() != 0 && groupID != r.groupID() {
+	if message.GetTo() != r.config.ReplicaID || groupID == 0 || r.groupID() != 0 && groupID != r.groupID() {
 		return
 	}
 	r.acceptedGroupID = groupID
-	switch m.GetType() {
+	switch message.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		r.resetElectionTimeout()
 	}
-	if r.diskRegressed(m) {
+	if r.diskRegressed(message) {
 		return
 	}
-	r.guard(func() { _ = r.node.Step(m) }) // the library rejects messages from removed replicas
+	r.guard(func() { _ = r.node.Step(message) }) // the library rejects messages from removed replicas
 	r.advance()
 }
 
 // diskRegressed stops the replica if a heartbeat's commit index is above the last index of the log, and reports whether
 // it did. A leader sends no commit index above the entries that this replica has acknowledged, so the disk must have
 // lost entries, and may have lost votes.
-func (r *Replica) diskRegressed(m *raftpb.Message) bool {
-	last, _ := r.storage.LastIndex()
-	if m.GetType() != raftpb.MsgHeartbeat || m.GetCommit() <= last {
+func (r *Replica) diskRegressed(message *raftpb.Message) bool {
+	lastIndex, _ := r.storage.LastIndex()
+	if message.GetType() != raftpb.MsgHeartbeat || message.GetCommit() <= lastIndex {
 		return false
 	}
-	r.ready.DiskRegressed, r.stopped = true, true
+	r.pendingReady.DiskRegressed, r.stopped = true, true
 	r.emit(Event{Kind: EventDiskRegressed, Replica: r.config.Name,
-		Reason: fmt.Sprintf("the log ends at index %d, but entries up to index %d were acknowledged", last, m.GetCommit())})
+		Reason: fmt.Sprintf("the log ends at index %d, but entries up to index %d were acknowledged", lastIndex, message.GetCommit())})
 	return true
 }
 
@@ -248,7 +248,7 @@
 func (r *Replica) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.stopped, r.ready.Failure = true, fmt.Errorf("%w: %v", ErrRaftPanic, p)
+			r.stopped, r.pendingReady.Failure = true, fmt.Errorf("%w: %v", ErrRaftPanic, p)
 		}
 	}()
 	if !r.stopped {
@@ -261,7 +261,7 @@
 func (r *Replica) advance() {
 	r.guard(func() {
 		r.processReady()
-		if !r.leader.serving {
+		if !r.leaderState.serving {
 			return
 		}
 		r.manageLeases()
@@ -272,7 +272,7 @@
 }
 
 // IsLeader reports whether this replica believes that it leads and has an up-to-date state machine.
-func (r *Replica) IsLeader() bool { return r.leader.serving }
+func (r *Replica) IsLeader() bool { return r.leaderState.serving }
 
 // leaderName returns the name of the leader that this replica knows of, or an empty string.
 func (r *Replica) leaderName() string {
@@ -289,33 +289,33 @@
 // trackLeadership resets the leader state when its term has ended or this replica no longer leads.
 func (r *Replica) trackLeadership() {
 	term := r.node.BasicStatus().GetTerm()
-	if r.isRaftLeader() && term == r.term {
+	if r.isRaftLeader() && term == r.leaderStateTerm {
 		return
 	}
-	if r.leader.serving || term != r.term {
+	if r.leaderState.serving || term != r.leaderStateTerm {
 		r.resetLeaderState()
 	}
-	r.term = term
+	r.leaderStateTerm = term
 }
 
 // resetLeaderState clears the leader state, redirects the keep-alive requests that wait for a response, and rejects the
 // admin requests in flight.
 func (r *Replica) resetLeaderState() {
-	old := r.leader
-	r.leader = newLeaderState()
-	for _, pending := range append(old.confirmingRequests, old.waitingRequests...) {
+	oldState := r.leaderState
+	r.leaderState = newLeaderState()
+	for _, pending := range append(oldState.confirmingRequests, oldState.waitingRequests...) {
 		r.redirect(pending.request)
 	}
-	for _, id := range slices.Sorted(maps.Keys(old.adminRequests)) {
-		r.rejectAdmin(old.adminRequests[id], ErrLeadershipLost)
+	for _, id := range slices.Sorted(maps.Keys(oldState.adminRequests)) {
+		r.rejectAdmin(oldState.adminRequests[id], ErrLeadershipLost)
 	}
 }
 
 // startServing marks the leader as serving once an entry of its own term has been applied.
 func (r *Replica) startServing(e *raftpb.Entry) {
-	if r.leader.serving || !r.isRaftLeader() || e.GetTerm() != r.node.BasicStatus().GetTerm() {
+	if r.leaderState.serving || !r.isRaftLeader() || e.GetTerm() != r.node.BasicStatus().GetTerm() {
 		return
 	}
-	r.leader.serving, r.leader.servingSince = true, r.now
+	r.leaderState.serving, r.leaderState.servingSince = true, r.now
 	r.emit(Event{Kind: EventLeaderElected, Replica: r.config.Name, Term: e.GetTerm()})
 }
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -90,33 +90,33 @@
 		m.Generation = max(m.Generation, c.Generation)
 		return nil
 	}
-	l := m.Jobs[c.Job]
-	if l == nil {
-		l = &JobLease{}
-		m.Jobs[c.Job] = l
+	jobLease := m.Jobs[c.Job]
+	if jobLease == nil {
+		jobLease = &JobLease{}
+		m.Jobs[c.Job] = jobLease
 	}
 	var historyHolder string
 	var err error
 	switch c.Kind {
 	case commandGrant:
-		historyHolder, err = l.grant(c)
+		historyHolder, err = jobLease.grant(c)
 	case commandRelease:
-		historyHolder, err = l.release(c)
+		historyHolder, err = jobLease.release(c)
 	case commandRaiseFence:
-		err = l.raiseFence(c)
+		err = jobLease.raiseFence(c)
 	case commandPrefer:
-		l.Preferred, historyHolder = c.Preferred, c.Preferred
+		jobLease.Preferred, historyHolder = c.Preferred, c.Preferred
 	default:
 		err = fmt.Errorf("%w %q", errUnknownCommand, c.Kind)
 	}
 	if err != nil {
 		return err
 	}
-	m.appendHistory(lease.HistoryEntry{Index: index, Job: c.Job, Fence: l.Fence, Holder: historyHolder, Event: string(c.Kind), Reason: c.Reason})
+	m.appendHistory(lease.HistoryEntry{Index: index, Job: c.Job, Fence: jobLease.Fence, Holder: historyHolder, Event: string(c.Kind), Reason: c.Reason})
 	return nil
 }
 
-func (l *JobLease) grant(c command) (holder string, err error) {
+func (l *JobLease) grant(c command) (historyHolder string, err error) {
 	if l.Holder != nil || l.Fence != c.Fence || c.Holder == nil {
 		return "", errOutdatedCommand
 	}
@@ -125,13 +125,13 @@
 	return l.Holder.String(), nil
 }
 
-func (l *JobLease) release(c command) (holder string, err error) {
+func (l *JobLease) release(c command) (historyHolder string, err error) {
 	if l.Holder == nil || l.Fence != c.Fence {
 		return "", errOutdatedCommand
 	}
-	holder = l.Holder.String()
+	historyHolder = l.Holder.String()
 	l.Holder = nil
-	return holder, nil
+	return historyHolder, nil
 }
 
 // raiseFence also frees the job, because the target refuses every fence up to the new one.
@@ -145,8 +145,8 @@
 
 func (m *StateMachine) appendHistory(e lease.HistoryEntry) {
 	m.History = append(m.History, e)
-	if excess := len(m.History) - historyLimit; excess > 0 {
-		m.History = slices.Delete(m.History, 0, excess)
+	if excessEntries := len(m.History) - historyLimit; excessEntries > 0 {
+		m.History = slices.Delete(m.History, 0, excessEntries)
 	}
 }
 
--- a/internal/consensus/statemachine_test.go
+++ b/internal/consensus/statemachine_test.go
@@ -17,11 +17,11 @@
 
 func TestApplyRejectsOutdatedAndUnknownCommands(t *testing.T) {
 	freeLease, heldLease := JobLease{Fence: 3}, JobLease{Fence: 3, Holder: &holder1}
-	for name, c := range map[string]struct {
-		before  JobLease
-		command command
-		after   JobLease
-		err     error
+	for name, testCase := range map[string]struct {
+		leaseBefore JobLease
+		command     command
+		leaseAfter  JobLease
+		wantErr     error
 	}{
 		"grant":                        {freeLease, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, JobLease{Fence: 4, Holder: &holder2}, nil},
 		"grant of a held job":          {heldLease, command{Kind: commandGrant, Fence: 3, Holder: &holder2}, heldLease, errOutdatedCommand},
@@ -36,32 +36,32 @@
 		"a command of a later release": {heldLease, command{Kind: "split"}, heldLease, errUnknownCommand},
 		"a command without a kind":     {freeLease, command{Kind: ""}, freeLease, errUnknownCommand},
 	} {
-		m := newStateMachine()
-		m.Jobs[testJob] = &c.before
-		c.command.Job = testJob
-		require.ErrorIs(t, m.apply(10, c.command), c.err, name)
-		require.Equal(t, c.after, m.jobLease(testJob), name)
-		if c.err != nil {
-			require.Empty(t, m.History, name)
+		machine := newStateMachine()
+		machine.Jobs[testJob] = &testCase.leaseBefore
+		testCase.command.Job = testJob
+		require.ErrorIs(t, machine.apply(10, testCase.command), testCase.wantErr, name)
+		require.Equal(t, testCase.leaseAfter, machine.jobLease(testJob), name)
+		if testCase.wantErr != nil {
+			require.Empty(t, machine.History, name)
 		} else {
-			require.Len(t, m.History, 1, name)
+			require.Len(t, machine.History, 1, name)
 		}
 	}
 }
 
 func TestHistoryKeepsTheNewestEntries(t *testing.T) {
-	m := newStateMachine()
+	machine := newStateMachine()
 	for index := range uint64(historyLimit + 10) {
-		require.NoError(t, m.apply(index, command{Kind: commandPrefer, Job: testJob}))
+		require.NoError(t, machine.apply(index, command{Kind: commandPrefer, Job: testJob}))
 	}
-	require.Len(t, m.History, historyLimit)
-	require.EqualValues(t, 10, m.History[0].Index)
+	require.Len(t, machine.History, historyLimit)
+	require.EqualValues(t, 10, machine.History[0].Index)
 }
 
 func TestGenerationNeverDecreases(t *testing.T) {
-	m := newStateMachine()
+	machine := newStateMachine()
 	for _, generation := range []uint64{2, 5, 3} {
-		require.NoError(t, m.apply(1, command{Kind: commandSetGeneration, Generation: generation}))
+		require.NoError(t, machine.apply(1, command{Kind: commandSetGeneration, Generation: generation}))
 	}
-	require.EqualValues(t, 5, m.Generation)
+	require.EqualValues(t, 5, machine.Generation)
 }
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -15,21 +15,21 @@
 // written with
 //
 //	go test ./internal/consensus -run TestLogAndSnapshot -update
-var update = flag.Bool("update", false, "overwrite the fixtures with the current encoding")
+var updateFixtures = flag.Bool("update", false, "overwrite the fixtures with the current encoding")
 
-// requireRecordedJSON requires that v is encoded as the file at path records, and returns the file's content.
-func requireRecordedJSON(t *testing.T, path string, v any) []byte {
+// requireRecordedJSON requires that value is encoded as the file at path records, and returns the file's content.
+func requireRecordedJSON(t *testing.T, path string, value any) []byte {
 	t.Helper()
-	got, err := json.Marshal(v)
+	encoded, err := json.Marshal(value)
 	require.NoError(t, err)
-	got = append(got, '\n')
-	if *update {
-		require.NoError(t, os.WriteFile(path, got, 0o644))
+	encoded = append(encoded, '\n')
+	if *updateFixtures {
+		require.NoError(t, os.WriteFile(path, encoded, 0o644))
 	}
-	recorded, err := os.ReadFile(path)
+	fixture, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(recorded), string(got))
-	return recorded
+	require.Equal(t, string(fixture), string(encoded))
+	return fixture
 }
 
 // Log entries and snapshots of an earlier release are decoded without loss and encoded to the same bytes.
@@ -39,9 +39,9 @@
 	for _, kind := range []commandKind{commandGrant, commandRelease, commandRaiseFence, commandPrefer, commandSetGeneration} {
 		commands = append(commands, command{Kind: kind, Job: "prune-record", Fence: 7, Holder: holder, Preferred: "n2", Reason: "by hand", Generation: 3})
 	}
-	var read []command
-	require.NoError(t, json.Unmarshal(requireRecordedJSON(t, "testdata/commands.json", commands), &read))
-	require.Equal(t, commands, read)
+	var decodedCommands []command
+	require.NoError(t, json.Unmarshal(requireRecordedJSON(t, "testdata/commands.json", commands), &decodedCommands))
+	require.Equal(t, commands, decodedCommands)
 
 	machine := newStateMachine()
 	machine.GroupID, machine.Replicas = 12, map[uint64]string{12: "n0"}
