--- a/internal/consensus/admin.go
+++ b/internal/consensus/admin.go
@@ -37,10 +37,10 @@
 
 // handleAdminChange handles requests that only a leader can carry out.
 func (r *Replica) handleAdminChange(request lease.AdminRequest) {
-	leaderName := r.leaderName()
+	knownLeader := r.leaderName()
 	switch {
-	case !r.leaderState.serving && leaderName != "" && leaderName != r.config.Name:
-		r.respondAdmin(lease.AdminResponse{ID: request.ID, RedirectTo: leaderName})
+	case !r.leaderState.serving && knownLeader != "" && knownLeader != r.config.Name:
+		r.respondAdmin(lease.AdminResponse{ID: request.ID, RedirectTo: knownLeader})
 	case !r.leaderState.serving:
 		r.rejectAdmin(request, ErrNoLeader)
 	case request.Operation == lease.AdminStepDown:
@@ -135,9 +135,9 @@
 }
 
 func (r *Replica) jobStatus(job string) lease.JobStatus {
-	jobLease := r.state.jobLease(job)
-	status := lease.JobStatus{Job: job, Fence: jobLease.Fence, Holder: jobLease.holderName(), Preferred: jobLease.Preferred}
-	if renewedAt, isKnown := r.leaderState.renewedAt[job]; isKnown && r.leaderState.serving && jobLease.Holder != nil {
+	currentLease := r.state.jobLease(job)
+	status := lease.JobStatus{Job: job, Fence: currentLease.Fence, Holder: currentLease.holderName(), Preferred: currentLease.Preferred}
+	if renewedAt, isKnown := r.leaderState.renewedAt[job]; isKnown && r.leaderState.serving && currentLease.Holder != nil {
 		status.AgeMS = r.now - renewedAt
 	}
 	return status
--- a/internal/consensus/expiry.go
+++ b/internal/consensus/expiry.go
@@ -14,10 +14,10 @@
 		if proposedAt, isInFlight := r.leaderState.proposedAt[job]; isInFlight && r.now-proposedAt < r.config.Timing.LeaseTTL {
 			continue // a lost command is proposed again after the duration of a lease
 		}
-		if jobLease := r.state.jobLease(job); jobLease.Holder != nil {
-			r.expireLease(job, jobLease)
+		if currentLease := r.state.jobLease(job); currentLease.Holder != nil {
+			r.expireLease(job, currentLease)
 		} else {
-			r.grantLease(job, jobLease)
+			r.grantLease(job, currentLease)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 
 // expireLease proposes to free a job whose holder has not renewed its lease for the duration of a lease by this
 // replica's clock.
-func (r *Replica) expireLease(job string, jobLease JobLease) {
+func (r *Replica) expireLease(job string, currentLease JobLease) {
 	renewedAt, isKnown := r.leaderState.renewedAt[job]
 	if !isKnown { // a new leader does not know when the old leader last renewed the lease
 		r.leaderState.renewedAt[job] = r.now
@@ -47,20 +47,20 @@
 	if r.now-renewedAt < r.config.Timing.LeaseTTL {
 		return
 	}
-	if client := r.leaderState.clients[jobLease.Holder.Name]; client != nil && client.request.Holder == *jobLease.Holder {
+	if client := r.leaderState.clients[currentLease.Holder.Name]; client != nil && client.request.Holder == *currentLease.Holder {
 		client.lapseCount, client.lastLapseAt = client.lapseCount+1, r.now
 	}
-	r.propose(command{Kind: commandRelease, Job: job, Fence: jobLease.Fence, Reason: reasonExpired})
+	r.propose(command{Kind: commandRelease, Job: job, Fence: currentLease.Fence, Reason: reasonExpired})
 }
 
 // grantLease proposes a holder for a free job. A new leader first waits until all clients have had time to send it a
 // keep-alive request.
-func (r *Replica) grantLease(job string, jobLease JobLease) {
+func (r *Replica) grantLease(job string, currentLease JobLease) {
 	if r.now-r.leaderState.servingSince < 2*r.config.Timing.LeaseTTL/lease.KeepAlivesPerLease {
 		return
 	}
-	if client := r.chooseHolder(job, jobLease); client != nil {
+	if client := r.chooseHolder(job, currentLease); client != nil {
 		holder := client.request.Holder
-		r.propose(command{Kind: commandGrant, Job: job, Fence: jobLease.Fence, Holder: &holder})
+		r.propose(command{Kind: commandGrant, Job: job, Fence: currentLease.Fence, Holder: &holder})
 	}
 }
--- a/internal/consensus/keepalive.go
+++ b/internal/consensus/keepalive.go
@@ -39,9 +39,9 @@
 
 // redirect sends the client the name of the leader, or nothing if no leader is known.
 func (r *Replica) redirect(request lease.KeepAliveRequest) {
-	if leaderName := r.leaderName(); leaderName != "" {
+	if knownLeader := r.leaderName(); knownLeader != "" {
 		r.pendingReady.KeepAliveResponses = append(r.pendingReady.KeepAliveResponses,
-			lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt, RedirectTo: leaderName})
+			lease.KeepAliveResponse{Holder: request.Holder, SentAt: request.SentAt, RedirectTo: knownLeader})
 	}
 }
 
@@ -99,10 +99,10 @@
 		if !slices.Contains(r.config.Jobs, reported.Job) {
 			continue
 		}
-		switch jobLease := r.state.jobLease(reported.Job); {
-		case jobLease.Fence < reported.Fence:
+		switch currentLease := r.state.jobLease(reported.Job); {
+		case currentLease.Fence < reported.Fence:
 			r.propose(command{Kind: commandRaiseFence, Job: reported.Job, Fence: reported.Fence, Reason: reasonHigherFence})
-		case jobLease.Fence == reported.Fence && jobLease.isHolder(request.Holder):
+		case currentLease.Fence == reported.Fence && currentLease.isHolder(request.Holder):
 			r.propose(command{Kind: commandRelease, Job: reported.Job, Fence: reported.Fence, Reason: reasonHigherFence})
 		}
 	}
@@ -110,8 +110,8 @@
 
 func (r *Replica) releaseLeases(request lease.KeepAliveRequest) {
 	for _, released := range request.Released {
-		jobLease := r.state.jobLease(released.Job)
-		if jobLease.isHolder(request.Holder) && jobLease.Fence == released.Fence {
+		currentLease := r.state.jobLease(released.Job)
+		if currentLease.isHolder(request.Holder) && currentLease.Fence == released.Fence {
 			r.propose(command{Kind: commandRelease, Job: released.Job, Fence: released.Fence, Reason: reasonReturned})
 		}
 	}
@@ -124,15 +124,15 @@
 		if r.state.Jobs[job] == nil {
 			continue
 		}
-		jobLease := r.state.jobLease(job)
-		grantID := lease.GrantID{Job: job, Fence: jobLease.Fence}
+		currentLease := r.state.jobLease(job)
+		grantID := lease.GrantID{Job: job, Fence: currentLease.Fence}
 		assignment := lease.Assignment{GrantID: grantID}
-		if jobLease.Holder != nil {
-			assignment.HolderName = jobLease.Holder.Name
+		if currentLease.Holder != nil {
+			assignment.HolderName = currentLease.Holder.Name
 		}
 		// A command in flight may change the holder of the job, so the lease is not renewed.
-		if _, changeInFlight := r.leaderState.proposedAt[job]; jobLease.isHolder(client.request.Holder) && !changeInFlight {
-			response.Grants = append(response.Grants, lease.Grant{GrantID: grantID, TTL: r.config.Timing.LeaseTTL, Reclaim: r.isReclaimed(job, jobLease)})
+		if _, changeInFlight := r.leaderState.proposedAt[job]; currentLease.isHolder(client.request.Holder) && !changeInFlight {
+			response.Grants = append(response.Grants, lease.Grant{GrantID: grantID, TTL: r.config.Timing.LeaseTTL, Reclaim: r.isReclaimed(job, currentLease)})
 		}
 		response.Assignments = append(response.Assignments, assignment)
 	}
@@ -141,8 +141,8 @@
 
 // isReclaimed reports whether the holder is asked to release the job, because an operator prefers another client and
 // that client is eligible.
-func (r *Replica) isReclaimed(job string, jobLease JobLease) bool {
-	return jobLease.Preferred != "" && jobLease.Preferred != jobLease.Holder.Name && r.isEligible(job, r.leaderState.clients[jobLease.Preferred])
+func (r *Replica) isReclaimed(job string, currentLease JobLease) bool {
+	return currentLease.Preferred != "" && currentLease.Preferred != currentLease.Holder.Name && r.isEligible(job, r.leaderState.clients[currentLease.Preferred])
 }
 
 // notifyGranted responds to the new holder at once. On both sides the lease counts from the holder's newest request:
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -147,8 +147,8 @@
 	if err != nil || c.Job == "" {
 		return
 	}
-	jobLease := r.state.jobLease(c.Job)
-	r.emit(Event{Kind: commandEvents[c.Kind], Job: c.Job, Fence: jobLease.Fence, Holder: jobLease.holderName(), Reason: string(c.Reason)})
+	currentLease := r.state.jobLease(c.Job)
+	r.emit(Event{Kind: commandEvents[c.Kind], Job: c.Job, Fence: currentLease.Fence, Holder: currentLease.holderName(), Reason: string(c.Reason)})
 	if c.Kind == commandGrant {
 		r.notifyGranted(c)
 	}
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -90,29 +90,29 @@
 		m.Generation = max(m.Generation, c.Generation)
 		return nil
 	}
-	jobLease := m.Jobs[c.Job]
-	if jobLease == nil {
-		jobLease = &JobLease{}
-		m.Jobs[c.Job] = jobLease
+	currentLease := m.Jobs[c.Job]
+	if currentLease == nil {
+		currentLease = &JobLease{}
+		m.Jobs[c.Job] = currentLease
 	}
 	var historyHolder string
 	var err error
 	switch c.Kind {
 	case commandGrant:
-		historyHolder, err = jobLease.grant(c)
+		historyHolder, err = currentLease.grant(c)
 	case commandRelease:
-		historyHolder, err = jobLease.release(c)
+		historyHolder, err = currentLease.release(c)
 	case commandRaiseFence:
-		err = jobLease.raiseFence(c)
+		err = currentLease.raiseFence(c)
 	case commandPrefer:
-		jobLease.Preferred, historyHolder = c.Preferred, c.Preferred
+		currentLease.Preferred, historyHolder = c.Preferred, c.Preferred
 	default:
 		err = fmt.Errorf("%w %q", errUnknownCommand, c.Kind)
 	}
 	if err != nil {
 		return err
 	}
-	m.appendHistory(lease.HistoryEntry{Index: index, Job: c.Job, Fence: jobLease.Fence, Holder: historyHolder, Event: string(c.Kind), Reason: c.Reason})
+	m.appendHistory(lease.HistoryEntry{Index: index, Job: c.Job, Fence: currentLease.Fence, Holder: historyHolder, Event: string(c.Kind), Reason: c.Reason})
 	return nil
 }
 
