--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -15,7 +15,7 @@
 	settings          Settings
 	capacities        []float64                            // work that each zone can do
 	usableRatio       func(entry, destination int) float64 // part of the destination's capacity that the link from entry may use
-	classes           []int                                // class indexes by descending weight per work
+	classOrder        []int                                // class indexes by descending weight per work
 	routes            []route                              // pairs of different zones, by ascending latency
 	remainingCapacity []float64                            // capacity that no work is assigned to, by zone
 	unplacedWork      [][]float64                          // offered work that is not assigned to a zone, by entry and class
@@ -28,7 +28,7 @@
 func (s Settings) allocate(offered [][]float64, capacities []float64, usableRatio func(entry, destination int) float64) Split {
 	a := &allocation{
 		settings: s, capacities: capacities, usableRatio: usableRatio,
-		classes: s.classesByWeight(), routes: s.routesByLatency(),
+		classOrder: s.classesByWeight(), routes: s.routesByLatency(),
 		remainingCapacity: slices.Clone(capacities), assignedWork: s.newSplit(),
 	}
 	for _, byClass := range offered {
@@ -43,7 +43,7 @@
 // assignLocally assigns work to its zone of entry, by descending weight per work.
 func (a *allocation) assignLocally() {
 	for zone := range a.settings.Zones {
-		for _, class := range a.classes {
+		for _, class := range a.classOrder {
 			a.assign(class, route{zone, zone}, 0)
 		}
 	}
@@ -52,7 +52,7 @@
 // assignRemotely assigns the remaining work to other zones, by descending weight per work and ascending latency. It
 // leaves each zone's local reserve free.
 func (a *allocation) assignRemotely() {
-	for _, class := range a.classes {
+	for _, class := range a.classOrder {
 		for _, r := range a.routes {
 			a.assign(class, r, localReserveRatio*a.capacities[r.destination])
 		}
@@ -61,7 +61,7 @@
 
 // assign assigns unplaced work of a class to a route's destination, as much as the link's usable ratio and the
 // destination's remaining capacity above the reserve allow.
-func (a *allocation) assign(class int, r route, reserve float64) {
+func (a *allocation) assign(class int, r route, reservedCapacity float64) {
 	if !a.settings.permitted(a.settings.Classes[class], r.entry, r.destination) {
 		return
 	}
@@ -70,8 +70,8 @@
 		linkWork += byZone[r.destination]
 	}
 	linkLimit := a.usableRatio(r.entry, r.destination)*a.capacities[r.destination] - linkWork
-	available := math.Max(math.Min(a.remainingCapacity[r.destination]-reserve, linkLimit), 0)
-	work := math.Min(a.unplacedWork[r.entry][class], available)
+	availableCapacity := math.Max(math.Min(a.remainingCapacity[r.destination]-reservedCapacity, linkLimit), 0)
+	work := math.Min(a.unplacedWork[r.entry][class], availableCapacity)
 	a.assignedWork[r.entry][class][r.destination] += work
 	a.unplacedWork[r.entry][class] -= work
 	a.remainingCapacity[r.destination] -= work
@@ -79,7 +79,7 @@
 
 // displace assigns the remaining work, by descending weight per work, in place of local work with less weight per work.
 func (a *allocation) displace() {
-	for _, class := range a.classes {
+	for _, class := range a.classOrder {
 		for _, r := range a.routes {
 			a.displaceLighter(class, r)
 		}
@@ -96,36 +96,36 @@
 	if !a.settings.permitted(a.settings.Classes[class], r.entry, r.destination) {
 		return
 	}
-	limit := math.Max((1-localReserveRatio)*a.capacities[r.destination]-a.remoteWork(r.destination), 0)
-	for _, lighterClass := range slices.Backward(a.classes) {
-		if limit <= 0 || a.unplacedWork[r.entry][class] <= 0 {
+	remoteLimit := math.Max((1-localReserveRatio)*a.capacities[r.destination]-a.remoteWork(r.destination), 0)
+	for _, lighterClass := range slices.Backward(a.classOrder) {
+		if remoteLimit <= 0 || a.unplacedWork[r.entry][class] <= 0 {
 			return
 		}
 		if a.settings.Classes[lighterClass].weightPerWork() >= a.settings.Classes[class].weightPerWork() {
 			return
 		}
-		local := a.assignedWork[r.destination][lighterClass][r.destination]
-		work := math.Min(math.Min(local, a.unplacedWork[r.entry][class]), limit)
-		a.assignedWork[r.destination][lighterClass][r.destination] -= work
-		a.unplacedWork[r.destination][lighterClass] += work
-		a.assignedWork[r.entry][class][r.destination] += work
-		a.unplacedWork[r.entry][class] -= work
-		limit -= work
+		localWork := a.assignedWork[r.destination][lighterClass][r.destination]
+		movedWork := math.Min(math.Min(localWork, a.unplacedWork[r.entry][class]), remoteLimit)
+		a.assignedWork[r.destination][lighterClass][r.destination] -= movedWork
+		a.unplacedWork[r.destination][lighterClass] += movedWork
+		a.assignedWork[r.entry][class][r.destination] += movedWork
+		a.unplacedWork[r.entry][class] -= movedWork
+		remoteLimit -= movedWork
 	}
 }
 
 // remoteWork returns the work that is assigned to a zone from other zones.
 func (a *allocation) remoteWork(zone int) float64 {
-	total := 0.0
+	totalWork := 0.0
 	for entry, byClass := range a.assignedWork {
 		if entry == zone {
 			continue
 		}
 		for _, byZone := range byClass {
-			total += byZone[zone]
+			totalWork += byZone[zone]
 		}
 	}
-	return total
+	return totalWork
 }
 
 // split returns the assigned work as ratios of the offered work. A class without offered work is assigned locally if
--- a/internal/failover/allocation_test.go
+++ b/internal/failover/allocation_test.go
@@ -11,9 +11,9 @@
 func TestWorkStaysLocalWhileThereIsCapacity(t *testing.T) {
 	f := newFleet(t, 6, 0.9)
 	for range 20 {
-		_, remote, rejected := f.assignedWork(f.step())
-		require.Zero(t, remote)
-		require.InDelta(t, 0, rejected, 1e-9)
+		_, remoteRatio, rejectedRatio := f.assignedWork(f.step())
+		require.Zero(t, remoteRatio)
+		require.InDelta(t, 0, rejectedRatio, 1e-9)
 	}
 }
 
--- a/internal/failover/capacity.go
+++ b/internal/failover/capacity.go
@@ -40,9 +40,9 @@
 	capacities := make([]float64, len(d.settings.Zones))
 	for zone := range capacities {
 		capacities[zone] = d.settings.capacity(d.listedCapacities[zone])
-		excess := medianLatencyLogRatio(zone, reports) - math.Log(slowLatencyRatio)
-		if excess > 0 {
-			capacities[zone] *= math.Exp(-excess)
+		excessLogRatio := medianLatencyLogRatio(zone, reports) - math.Log(slowLatencyRatio)
+		if excessLogRatio > 0 {
+			capacities[zone] *= math.Exp(-excessLogRatio)
 		}
 		capacities[zone] *= d.overrides.capacityRatio(now, zone)
 	}
--- a/internal/failover/decider.go
+++ b/internal/failover/decider.go
@@ -28,42 +28,42 @@
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	zones := len(settings.Zones)
+	zoneCount := len(settings.Zones)
 	d := &Decider{
 		settings: settings, fence: fence, votesCountedAt: -1,
 		reports:          map[string]receivedReport{},
-		listedCapacities: make([]ListedCapacity, zones),
+		listedCapacities: make([]ListedCapacity, zoneCount),
 	}
-	for range zones {
-		row := make([]link, zones)
-		for zone := range row {
-			row[zone].recoveredRatio = 1
+	for range zoneCount {
+		linkRow := make([]link, zoneCount)
+		for zone := range linkRow {
+			linkRow[zone].recoveredRatio = 1
 		}
-		d.links = append(d.links, row)
+		d.links = append(d.links, linkRow)
 	}
 	return d, nil
 }
 
 // AdoptPlacement continues from the placement of an earlier lease, so that a frozen split stays in effect when the
 // lease holder changes. It ignores a placement that is invalid or not from an earlier lease.
-func (d *Decider) AdoptPlacement(p Placement) {
-	if p.Fence < d.fence && d.settings.ValidatePlacement(p) == nil {
-		d.lastPlacement = p
+func (d *Decider) AdoptPlacement(placement Placement) {
+	if placement.Fence < d.fence && d.settings.ValidatePlacement(placement) == nil {
+		d.lastPlacement = placement
 	}
 }
 
 // ReceiveReport stores a coordinator's report. For an invalid report it returns an error of kind ErrInvalidReport and
 // keeps the coordinator's last report. A report that is not newer than the last one is ignored unless the last one has
 // expired, because a restarted coordinator starts its sequence numbers again.
-func (d *Decider) ReceiveReport(now Millis, r Report) error {
-	if err := d.settings.validateReport(r); err != nil {
+func (d *Decider) ReceiveReport(now Millis, report Report) error {
+	if err := d.settings.validateReport(report); err != nil {
 		return err
 	}
-	last, ok := d.reports[r.Coordinator]
-	if ok && r.Sequence <= last.Sequence && now-last.receivedAt < d.settings.PlacementTTL {
+	lastReport, ok := d.reports[report.Coordinator]
+	if ok && report.Sequence <= lastReport.Sequence && now-lastReport.receivedAt < d.settings.PlacementTTL {
 		return nil
 	}
-	d.reports[r.Coordinator] = receivedReport{r, now}
+	d.reports[report.Coordinator] = receivedReport{report, now}
 	return nil
 }
 
@@ -71,14 +71,14 @@
 func (d *Decider) UpdateEndpoints(byZone []ListedCapacity) { d.listedCapacities = slices.Clone(byZone) }
 
 // SetOverride applies an operator's override. The error is of kind ErrInvalidOverride.
-func (d *Decider) SetOverride(now Millis, o Override) error {
-	if err := d.settings.validateOverride(o); err != nil {
+func (d *Decider) SetOverride(now Millis, override Override) error {
+	if err := d.settings.validateOverride(override); err != nil {
 		return err
 	}
-	d.overrides.set(now, o)
-	if o.Kind == Return {
+	d.overrides.set(now, override)
+	if override.Kind == Return {
 		for entry := range d.links {
-			d.links[entry][o.Zone].recoveredRatio = 0
+			d.links[entry][override.Zone].recoveredRatio = 0
 		}
 	}
 	return nil
@@ -162,32 +162,32 @@
 // freshReports deletes expired reports and returns the others, ordered by the coordinators' names so that
 // floating-point sums do not depend on the iteration order of the map.
 func (d *Decider) freshReports(now Millis) []receivedReport {
-	var unexpired []receivedReport
+	var unexpiredReports []receivedReport
 	for coordinator, report := range d.reports {
 		if now-report.receivedAt > d.settings.PlacementTTL {
 			delete(d.reports, coordinator)
 			continue
 		}
-		unexpired = append(unexpired, report)
+		unexpiredReports = append(unexpiredReports, report)
 	}
-	slices.SortFunc(unexpired, func(a, b receivedReport) int { return cmp.Compare(a.Coordinator, b.Coordinator) })
-	return unexpired
+	slices.SortFunc(unexpiredReports, func(a, b receivedReport) int { return cmp.Compare(a.Coordinator, b.Coordinator) })
+	return unexpiredReports
 }
 
 // rejectedWeightRatio returns the part of the offered priority weight that a split rejects.
 func (s Settings) rejectedWeightRatio(split Split, offered [][]float64) float64 {
-	total, served := 0.0, 0.0
+	totalWeight, servedWeight := 0.0, 0.0
 	for entry, byClass := range split {
 		for class, ratios := range byClass {
 			weight := offered[entry][class] * s.Classes[class].weightPerWork()
-			total += weight
+			totalWeight += weight
 			for _, ratio := range ratios {
-				served += weight * ratio
+				servedWeight += weight * ratio
 			}
 		}
 	}
-	if total <= 0 {
+	if totalWeight <= 0 {
 		return 0
 	}
-	return 1 - served/total
+	return 1 - servedWeight/totalWeight
 }
--- a/internal/failover/decider_test.go
+++ b/internal/failover/decider_test.go
@@ -18,39 +18,39 @@
 	var placement Placement
 	for i := range 30 {
 		placement = f.step()
-		work, _, _ := f.assignedWork(placement)
-		for zone, assigned := range work {
+		zoneWork, _, _ := f.assignedWork(placement)
+		for zone, assigned := range zoneWork {
 			if zone != 1 || i >= failoverPeriods {
 				require.LessOrEqual(t, assigned, f.settings.capacity(f.listed[zone])*(1+1e-9), "zone %d after %d periods", zone, i)
 			}
 		}
 		if i >= failoverPeriods {
-			require.LessOrEqual(t, work[1], 0.02*f.settings.capacity(f.listed[1]), "only trial traffic remains")
+			require.LessOrEqual(t, zoneWork[1], 0.02*f.settings.capacity(f.listed[1]), "only trial traffic remains")
 		}
 	}
 	require.Equal(t, Unreachable, f.decider.Health(f.now)[1])
-	_, _, rejected := f.assignedWork(placement)
-	require.Greater(t, rejected, 0.05, "two zones cannot serve the work of three")
-	require.Less(t, rejected, 0.25, "usable capacity was left unused")
+	_, _, rejectedRatio := f.assignedWork(placement)
+	require.Greater(t, rejectedRatio, 0.05, "two zones cannot serve the work of three")
+	require.Less(t, rejectedRatio, 0.25, "usable capacity was left unused")
 	for entry := range placement.Split {
-		lookup, bulk := 0.0, 0.0
+		lookupRatio, bulkRatio := 0.0, 0.0
 		for zone := range placement.Split[entry][0] {
-			lookup, bulk = lookup+placement.Split[entry][0][zone], bulk+placement.Split[entry][2][zone]
+			lookupRatio, bulkRatio = lookupRatio+placement.Split[entry][0][zone], bulkRatio+placement.Split[entry][2][zone]
 		}
-		require.GreaterOrEqual(t, lookup, bulk, "work with more weight is served first")
+		require.GreaterOrEqual(t, lookupRatio, bulkRatio, "work with more weight is served first")
 	}
 	f.reachable = nil // the zone returns
 	previousWork := 0.0
 	for i := range initialReturnPeriods + rampPeriods + 4 {
-		work, _, _ := f.assignedWork(f.step())
+		zoneWork, _, _ := f.assignedWork(f.step())
 		if i > 0 {
-			require.LessOrEqual(t, work[1]-previousWork, 0.2*f.settings.capacity(f.listed[1]), "the recovery ramp limits the increase per period")
+			require.LessOrEqual(t, zoneWork[1]-previousWork, 0.2*f.settings.capacity(f.listed[1]), "the recovery ramp limits the increase per period")
 		}
-		previousWork = work[1]
+		previousWork = zoneWork[1]
 	}
-	_, remote, rejected := f.assignedWork(f.step())
-	require.Zero(t, remote)
-	require.InDelta(t, 0, rejected, 1e-9)
+	_, remoteRatio, rejectedRatio := f.assignedWork(f.step())
+	require.Zero(t, remoteRatio)
+	require.InDelta(t, 0, rejectedRatio, 1e-9)
 }
 
 // If a link fails in one direction, only the zone that cannot reach the other fails over.
@@ -66,11 +66,11 @@
 	for class := range placement.Split[0] {
 		require.LessOrEqual(t, placement.Split[0][class][2], trialRatio)
 	}
-	remote := 0.0
+	remoteRatioSum := 0.0
 	for class := range placement.Split[1] {
-		remote += placement.Split[1][class][2]
+		remoteRatioSum += placement.Split[1][class][2]
 	}
-	require.Greater(t, remote, 0.05, "other zones use the capacity of zone 2")
+	require.Greater(t, remoteRatioSum, 0.05, "other zones use the capacity of zone 2")
 }
 
 func BenchmarkDecide40Zones300Coordinators(b *testing.B) {
--- a/internal/failover/decisions_test.go
+++ b/internal/failover/decisions_test.go
@@ -24,13 +24,13 @@
 	for seed := range uint64(8) {
 		lines = append(lines, seededDecisions(t, seed)...)
 	}
-	got := strings.Join(lines, "\n") + "\n"
+	decisionText := strings.Join(lines, "\n") + "\n"
 	if *recordDecisions {
-		require.NoError(t, os.WriteFile(recording, []byte(got), 0o600))
+		require.NoError(t, os.WriteFile(recording, []byte(decisionText), 0o600))
 	}
-	want, err := os.ReadFile(recording)
+	recordedText, err := os.ReadFile(recording)
 	require.NoError(t, err)
-	require.Equal(t, string(want), got)
+	require.Equal(t, string(recordedText), decisionText)
 }
 
 // seededDecisions simulates 250 periods and returns a line for each: the zones' health states and a checksum of
@@ -49,8 +49,8 @@
 	require.NoError(t, err)
 	faults := newZoneFaults(zones)
 	f.reachable = func(entry, zone int) bool {
-		flappedDown := faults.flappingZone == zone && f.sequence/9%2 == 1
-		return !faults.cut[entry][zone] && !flappedDown
+		isFlappedDown := faults.flappingZone == zone && f.sequence/9%2 == 1
+		return !faults.isCut[entry][zone] && !isFlappedDown
 	}
 	f.distort = func(_ int, report Report) *Report {
 		if zone := faults.lossyZone; zone >= 0 {
@@ -77,9 +77,9 @@
 			_ = follower.Apply(f.now, placement)
 		}
 		offered := []float64{1000 * rng.Float64(), 5000 * rng.Float64(), 0}
-		followed, decided := follower.Split(f.now+3000*rng.Float64(), f.listed, offered, 1+rng.IntN(20))
-		planned, rejected := f.decider.PlanWithoutZone(f.now, rng.IntN(zones+1)-1)
-		decisions, err := json.Marshal([]any{placement, followed, decided, planned, rejected})
+		followedSplit, isDecided := follower.Split(f.now+3000*rng.Float64(), f.listed, offered, 1+rng.IntN(20))
+		plannedSplit, rejectedRatio := f.decider.PlanWithoutZone(f.now, rng.IntN(zones+1)-1)
+		decisions, err := json.Marshal([]any{placement, followedSplit, isDecided, plannedSplit, rejectedRatio})
 		require.NoError(t, err)
 		checksum := sha256.Sum256(decisions)
 		lines = append(lines, fmt.Sprintf("seed %d step %d %v panic=%v %x", seed, step, f.decider.Health(f.now), placement.Panic, checksum[:8]))
@@ -89,7 +89,7 @@
 
 // zoneFaults holds the faults that are active in a seeded run; a zone index of -1 means no such fault.
 type zoneFaults struct {
-	cut              [][]bool // true for each pair of a zone of entry and a zone that it cannot reach
+	isCut            [][]bool // true for each pair of a zone of entry and a zone that it cannot reach
 	flappingZone     int
 	lossyZone        int
 	lossyObservation Observation // observation that all reports contain for the lossy zone
@@ -100,7 +100,7 @@
 func newZoneFaults(zones int) *zoneFaults {
 	faults := &zoneFaults{flappingZone: -1, lossyZone: -1, slowZone: -1}
 	for range zones {
-		faults.cut = append(faults.cut, make([]bool, zones))
+		faults.isCut = append(faults.isCut, make([]bool, zones))
 	}
 	return faults
 }
@@ -108,16 +108,16 @@
 // changeAtRandom randomly changes the faults, the endpoint list, the offered work, the overrides or the decider, or
 // nothing.
 func (faults *zoneFaults) changeAtRandom(f *fleet, rng *rand.Rand) {
-	zones := len(faults.cut)
+	zones := len(faults.isCut)
 	switch rng.IntN(45) {
 	case 0:
-		zone, down := rng.IntN(zones), rng.IntN(2) == 0
-		for entry := range faults.cut {
-			faults.cut[entry][zone] = down
+		zone, isDown := rng.IntN(zones), rng.IntN(2) == 0
+		for entry := range faults.isCut {
+			faults.isCut[entry][zone] = isDown
 		}
 	case 1:
 		entry, zone := rng.IntN(zones), rng.IntN(zones)
-		faults.cut[entry][zone] = !faults.cut[entry][zone]
+		faults.isCut[entry][zone] = !faults.isCut[entry][zone]
 	case 2:
 		f.listed[rng.IntN(zones)] = ListedCapacity{WarmCores: float64(10 * rng.IntN(16)), WarmingUp: []WarmingEndpoint{{Cores: 20, Age: 12000 * rng.Float64()}}}
 	case 3, 4, 5:
@@ -130,10 +130,10 @@
 		kind := []OverrideKind{Evacuate, Evacuate, Return, Freeze, Thaw}[rng.IntN(5)]
 		_ = f.decider.SetOverride(f.now, Override{Kind: kind, Zone: rng.IntN(zones), RampDown: 5000 * float64(rng.IntN(3)), TTL: 3000 + 10000*rng.Float64()})
 	case 9:
-		next, err := NewDecider(f.settings, f.decider.fence+1)
+		nextDecider, err := NewDecider(f.settings, f.decider.fence+1)
 		if err == nil && rng.IntN(4) == 0 {
-			next.AdoptPlacement(f.decider.lastPlacement)
-			f.decider = next
+			nextDecider.AdoptPlacement(f.decider.lastPlacement)
+			f.decider = nextDecider
 		}
 	case 10:
 		faults.flappingZone = rng.IntN(zones+1) - 1
--- a/internal/failover/demand.go
+++ b/internal/failover/demand.go
@@ -19,19 +19,19 @@
 // offeredWork returns the sum of the reports' offered work by zone of entry and class, in core-ms per second. It scales
 // down reports above maxReportMultiple times the median.
 func (d *Decider) offeredWork(reports []receivedReport) [][]float64 {
-	totals := make([]float64, len(reports))
+	workByReport := make([]float64, len(reports))
 	for i, report := range reports {
-		totals[i] = report.totalOfferedWork()
+		workByReport[i] = report.totalOfferedWork()
 	}
-	limit := maxReportMultiple * median(slices.Clone(totals))
+	workLimit := maxReportMultiple * median(slices.Clone(workByReport))
 	offered := make([][]float64, len(d.settings.Zones))
 	for entry := range offered {
 		offered[entry] = make([]float64, len(d.settings.Classes))
 	}
 	for i, report := range reports {
 		ratio := 1.0
-		if len(reports) >= minReportsForLimit && totals[i] > limit {
-			ratio = limit / totals[i]
+		if len(reports) >= minReportsForLimit && workByReport[i] > workLimit {
+			ratio = workLimit / workByReport[i]
 		}
 		for class, work := range report.OfferedWork {
 			offered[report.Zone][class] += work * ratio
@@ -45,12 +45,12 @@
 // zones.
 func limitUnconfirmedOverload(offered [][]float64, capacities []float64, reports []receivedReport) {
 	for entry, byClass := range offered {
-		total := sum(byClass)
-		if total <= capacities[entry] || capacities[entry] <= 0 || overloadConfirmed(entry, reports) {
+		totalWork := sum(byClass)
+		if totalWork <= capacities[entry] || capacities[entry] <= 0 || overloadConfirmed(entry, reports) {
 			continue
 		}
 		for class := range byClass {
-			byClass[class] *= capacities[entry] / total
+			byClass[class] *= capacities[entry] / totalWork
 		}
 	}
 }
@@ -58,16 +58,16 @@
 // overloadConfirmed reports whether a majority of the coordinators with answers from a zone observed capacity
 // rejections or increased latency there.
 func overloadConfirmed(zone int, reports []receivedReport) bool {
-	confirming, withAnswers := 0, 0
+	confirmingCount, answeredCount := 0, 0
 	for _, report := range reports {
 		observation := report.Observations[zone]
 		if observation.Answers == 0 {
 			continue
 		}
-		withAnswers++
+		answeredCount++
 		if observation.CapacityRejections > 0 || observation.LatencyLogRatio > math.Log(overloadLatencyRatio) {
-			confirming++
+			confirmingCount++
 		}
 	}
-	return 2*confirming > withAnswers
+	return 2*confirmingCount > answeredCount
 }
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -12,65 +12,65 @@
 type vote int
 
 const (
-	abstain vote = iota // too few attempts for a verdict
-	reachable
-	unreachable
+	voteAbstain vote = iota // too few attempts for a verdict
+	voteReachable
+	voteUnreachable
 )
 
 // vote returns the vote that follows from an observation.
 func (o Observation) vote() vote {
 	if o.Failures >= minFailures && float64(o.Failures) >= minFailuresPerAnswer*float64(o.Answers) {
-		return unreachable
+		return voteUnreachable
 	}
 	if o.Answers > 0 {
-		return reachable
+		return voteReachable
 	}
-	return abstain
+	return voteAbstain
 }
 
 // isolated reports whether the coordinator itself is probably disconnected: it has a verdict on at least two zones and
 // reaches none of them.
 func (r Report) isolated() bool {
-	tried, failed := 0, 0
+	verdictCount, unreachableCount := 0, 0
 	for _, observation := range r.Observations {
 		switch observation.vote() {
-		case unreachable:
-			tried++
-			failed++
-		case reachable:
-			tried++
-		case abstain:
+		case voteUnreachable:
+			verdictCount++
+			unreachableCount++
+		case voteReachable:
+			verdictCount++
+		case voteAbstain:
 		}
 	}
-	return tried >= 2 && failed == tried
+	return verdictCount >= 2 && unreachableCount == verdictCount
 }
 
 // tally counts the votes of a zone's coordinators on another zone.
 type tally struct {
-	reachable, unreachable int
+	reachableVotes, unreachableVotes int
 }
 
 func (t *tally) add(v vote) {
 	switch v {
-	case reachable:
-		t.reachable++
-	case unreachable:
-		t.unreachable++
-	case abstain:
+	case voteReachable:
+		t.reachableVotes++
+	case voteUnreachable:
+		t.unreachableVotes++
+	case voteAbstain:
 	}
 }
 
-func (t tally) empty() bool { return t.reachable+t.unreachable == 0 }
+func (t tally) empty() bool { return t.reachableVotes+t.unreachableVotes == 0 }
 
 // countVotes returns the votes by zone of the voters and zone voted on. Each coordinator has one vote, so that a single
 // wrong report does not decide. Isolated coordinators have no vote while others of their zone are not isolated.
 func (s Settings) countVotes(reports []receivedReport) [][]tally {
-	hasConnected := make([]bool, len(s.Zones)) // by zone: whether any coordinator of the zone is not isolated
-	isolated := make([]bool, len(reports))     // by report: whether the report's coordinator is isolated
+	zoneHasConnected := make([]bool, len(s.Zones)) // by zone: whether any coordinator of the zone is not isolated
+	isIsolated := make([]bool, len(reports))       // by report: whether the report's coordinator is isolated
 	for i, report := range reports {
-		isolated[i] = report.isolated()
-		if !isolated[i] {
-			hasConnected[report.Zone] = true
+		isIsolated[i] = report.isolated()
+		if !isIsolated[i] {
+			zoneHasConnected[report.Zone] = true
 		}
 	}
 	votes := make([][]tally, len(s.Zones))
@@ -78,7 +78,7 @@
 		votes[zone] = make([]tally, len(s.Zones))
 	}
 	for i, report := range reports {
-		if isolated[i] && hasConnected[report.Zone] {
+		if isIsolated[i] && zoneHasConnected[report.Zone] {
 			continue
 		}
 		for zone, observation := range report.Observations {
--- a/internal/failover/evidence_test.go
+++ b/internal/failover/evidence_test.go
@@ -46,9 +46,9 @@
 		for zone, state := range f.decider.Health(f.now) {
 			require.Equal(t, Healthy, state, "%s: zone %d", name, zone)
 		}
-		_, remote, rejected := f.assignedWork(placement)
-		require.Zero(t, remote, name)
-		require.InDelta(t, 0, rejected, 1e-9, name)
+		_, remoteRatio, rejectedRatio := f.assignedWork(placement)
+		require.Zero(t, remoteRatio, name)
+		require.InDelta(t, 0, rejectedRatio, 1e-9, name)
 	}
 }
 
@@ -64,8 +64,8 @@
 		return &report
 	}
 	for range 10 {
-		_, remote, rejected := f.assignedWork(f.step())
-		require.Zero(t, remote)
-		require.InDelta(t, 0, rejected, 1e-9)
+		_, remoteRatio, rejectedRatio := f.assignedWork(f.step())
+		require.Zero(t, remoteRatio)
+		require.InDelta(t, 0, rejectedRatio, 1e-9)
 	}
 }
--- a/internal/failover/fleet_test.go
+++ b/internal/failover/fleet_test.go
@@ -49,15 +49,15 @@
 	distort             func(coordinator int, report Report) *Report // changes reports, if set; a nil result is not sent
 }
 
-// newFleet returns a fleet whose zones each are offered the ratio load of their capacity.
-func newFleet(t *testing.T, zones int, load float64) *fleet {
+// newFleet returns a fleet whose zones each are offered the ratio loadRatio of their capacity.
+func newFleet(t *testing.T, zones int, loadRatio float64) *fleet {
 	t.Helper()
 	f := &fleet{t: t, settings: testSettings(zones), coordinatorsPerZone: 3, listed: make([]ListedCapacity, zones)}
 	for zone := range f.listed {
 		f.listed[zone].WarmCores = 100
 	}
 	capacity := f.settings.capacity(f.listed[0])
-	f.offered = []float64{0.3 * load * capacity / 3, 0.5 * load * capacity / 3, 0.2 * load * capacity / 3}
+	f.offered = []float64{0.3 * loadRatio * capacity / 3, 0.5 * loadRatio * capacity / 3, 0.2 * loadRatio * capacity / 3}
 	var err error
 	f.decider, err = NewDecider(f.settings, 7)
 	require.NoError(t, err)
@@ -114,23 +114,23 @@
 
 // assignedWork returns the work that a placement sends to each zone, in core-ms per second, and the ratios of the
 // offered work that leave their zone of entry and that are rejected.
-func (f *fleet) assignedWork(placement Placement) (work []float64, remote, rejected float64) {
-	work = make([]float64, len(f.settings.Zones))
+func (f *fleet) assignedWork(placement Placement) (zoneWork []float64, remoteRatio, rejectedRatio float64) {
+	zoneWork = make([]float64, len(f.settings.Zones))
 	offered := 0.0
 	for entry, byClass := range placement.Split {
 		for class, ratios := range byClass {
 			classWork := f.offered[class] * float64(f.coordinatorsPerZone)
 			offered += classWork
-			rejected += classWork * (1 - sum(ratios))
+			rejectedRatio += classWork * (1 - sum(ratios))
 			for zone, ratio := range ratios {
-				work[zone] += classWork * ratio
+				zoneWork[zone] += classWork * ratio
 				if zone != entry {
-					remote += classWork * ratio
+					remoteRatio += classWork * ratio
 				}
 			}
 		}
 	}
-	return work, remote / offered, rejected / offered
+	return zoneWork, remoteRatio / offered, rejectedRatio / offered
 }
 
 // unreachableZone returns a function for fleet.reachable with which no zone, not even the zone itself, reaches the
--- a/internal/failover/follower.go
+++ b/internal/failover/follower.go
@@ -8,10 +8,10 @@
 // Follower runs in each coordinator. It applies the newest placement until the placement's TTL ends, and a local rule
 // while no placement is in effect.
 type Follower struct {
-	settings  Settings
-	entryZone int
-	placement Placement // newest applied placement; after a restart only its fence and epoch
-	expiresAt Millis    // when the placement's TTL ends; below 0: no placement was applied in this run
+	settings        Settings
+	entryZone       int
+	newestPlacement Placement // newest applied placement; after a restart only its fence and epoch
+	expiresAt       Millis    // when the placement's TTL ends; below 0: no placement was applied in this run
 }
 
 // NewFollower returns a follower for the zone where a coordinator's clients enter. The parameter lastApplied is the
@@ -26,48 +26,50 @@
 	}
 	return &Follower{
 		settings: settings, entryZone: entryZone, expiresAt: -1,
-		placement: Placement{Fence: lastApplied.Fence, Epoch: lastApplied.Epoch},
+		newestPlacement: Placement{Fence: lastApplied.Fence, Epoch: lastApplied.Epoch},
 	}, nil
 }
 
 // Apply puts a placement into effect. It returns an error if the placement is invalid (ErrInvalidPlacement) or not
 // newer than the last one (ErrStalePlacement), and the last one stays in effect. The caller stores fence and epoch
 // durably before it acts on the placement.
-func (f *Follower) Apply(now Millis, p Placement) error {
-	if err := f.settings.ValidatePlacement(p); err != nil {
+func (f *Follower) Apply(now Millis, placement Placement) error {
+	if err := f.settings.ValidatePlacement(placement); err != nil {
 		return err
 	}
-	if !p.NewerThan(f.placement) {
+	if !placement.NewerThan(f.newestPlacement) {
 		return fmt.Errorf("failover: %w: fence %d epoch %d is not newer than fence %d epoch %d",
-			ErrStalePlacement, p.Fence, p.Epoch, f.placement.Fence, f.placement.Epoch)
+			ErrStalePlacement, placement.Fence, placement.Epoch, f.newestPlacement.Fence, f.newestPlacement.Epoch)
 	}
-	f.placement = p
-	f.expiresAt = now + p.TTL
+	f.newestPlacement = placement
+	f.expiresAt = now + placement.TTL
 	return nil
 }
 
 // Applied returns the fencing token and epoch of the newest placement that was applied.
-func (f *Follower) Applied() (fence, epoch uint64) { return f.placement.Fence, f.placement.Epoch }
+func (f *Follower) Applied() (fence, epoch uint64) {
+	return f.newestPlacement.Fence, f.newestPlacement.Epoch
+}
 
 // Split returns, by class, the ratios of the destination zones for work that enters at this coordinator. The result
 // isDecided reports whether they come from a placement. While no placement is in effect they come from the local rule,
 // for which the caller passes the endpoint list, the work offered to this coordinator by class in core-ms per second,
 // and the number of coordinators.
-func (f *Follower) Split(now Millis, listed []ListedCapacity, offered []float64, coordinators int) (byClass [][]float64, isDecided bool) {
+func (f *Follower) Split(now Millis, listed []ListedCapacity, offered []float64, coordinatorCount int) (byClass [][]float64, isDecided bool) {
 	if now < f.expiresAt {
-		return f.placement.Split[f.entryZone], true
+		return f.newestPlacement.Split[f.entryZone], true
 	}
-	return f.localSplit(listed, sum(offered), coordinators), false
+	return f.localSplit(listed, sum(offered), coordinatorCount), false
 }
 
 // localSplit keeps work in the zone of entry. If that zone has no capacity, it admits this coordinator's equal part of
 // the reserve of the other zones, so that all coordinators together stay within the reserve even without communication.
-func (f *Follower) localSplit(listed []ListedCapacity, offered float64, coordinators int) [][]float64 {
+func (f *Follower) localSplit(listed []ListedCapacity, offeredWork float64, coordinatorCount int) [][]float64 {
 	capacities := f.capacities(listed)
-	total := sum(capacities)
+	totalCapacity := sum(capacities)
 	admittedRatio := 1.0
-	if offered > 0 {
-		admittedRatio = math.Min(localReserveRatio*total/float64(max(coordinators, 1))/offered, 1)
+	if offeredWork > 0 {
+		admittedRatio = math.Min(localReserveRatio*totalCapacity/float64(max(coordinatorCount, 1))/offeredWork, 1)
 	}
 	byClass := make([][]float64, len(f.settings.Classes))
 	for i, class := range f.settings.Classes {
@@ -77,8 +79,8 @@
 			continue
 		}
 		for zone, capacity := range capacities {
-			if total > 0 && f.settings.permitted(class, f.entryZone, zone) {
-				byClass[i][zone] = admittedRatio * capacity / total
+			if totalCapacity > 0 && f.settings.permitted(class, f.entryZone, zone) {
+				byClass[i][zone] = admittedRatio * capacity / totalCapacity
 			}
 		}
 	}
--- a/internal/failover/health.go
+++ b/internal/failover/health.go
@@ -39,21 +39,21 @@
 	if d.settings.capacity(d.listedCapacities[zone]) <= 0 {
 		return NoEndpoints
 	}
-	zonesWithEvidence, failedOver := 0, 0
+	evidenceZoneCount, failedOverCount := 0, 0
 	for entry := range d.links {
 		linkFailedOver := d.links[entry][zone].failedOver
 		if votes[entry][zone].empty() && !linkFailedOver {
 			continue
 		}
-		zonesWithEvidence++
+		evidenceZoneCount++
 		if linkFailedOver {
-			failedOver++
+			failedOverCount++
 		}
 	}
 	switch {
-	case zonesWithEvidence == 0:
+	case evidenceZoneCount == 0:
 		return Unknown
-	case failedOver == zonesWithEvidence:
+	case failedOverCount == evidenceZoneCount:
 		return Unreachable
 	case medianLatencyLogRatio(zone, reports) > math.Log(slowLatencyRatio):
 		return Slow
--- a/internal/failover/link.go
+++ b/internal/failover/link.go
@@ -17,7 +17,7 @@
 	unreachablePeriods int     // consecutive periods in which most votes were unreachable
 	reachablePeriods   int     // consecutive periods in which most votes were reachable
 	failedOver         bool    // the link carries no work except trial traffic (see trialRatio)
-	failures           int     // number of recent failovers; each after the first doubles the wait for the return
+	failoverCount      int     // number of recent failovers; each after the first doubles the wait for the return
 	lastFailureAt      Millis  // time of the latest period in which most votes were unreachable
 	recoveredRatio     float64 // part of the destination's capacity that the recovery ramp allows; 1: all
 }
@@ -25,13 +25,13 @@
 // update counts the votes of one period and updates the link's state.
 func (l *link) update(now Millis, votes tally, period Millis) {
 	l.countPeriod(now, votes)
-	if l.failures > 0 && now-l.lastFailureAt > failureMemoryPeriods*period {
-		l.failures = 0
+	if l.failoverCount > 0 && now-l.lastFailureAt > failureMemoryPeriods*period {
+		l.failoverCount = 0
 	}
 	if !l.failedOver && l.unreachablePeriods >= failoverPeriods {
 		l.failedOver = true
 		l.recoveredRatio = 0
-		l.failures++
+		l.failoverCount++
 	}
 	if l.failedOver && float64(l.reachablePeriods) >= l.returnPeriods() {
 		l.failedOver = false
@@ -44,11 +44,11 @@
 // countPeriod counts the period as reachable or unreachable by the majority of the votes, and as neither on a tie.
 func (l *link) countPeriod(now Millis, votes tally) {
 	switch {
-	case votes.unreachable > votes.reachable:
+	case votes.unreachableVotes > votes.reachableVotes:
 		l.unreachablePeriods++
 		l.reachablePeriods = 0
 		l.lastFailureAt = now // earlier failures keep counting while failures continue
-	case votes.reachable > votes.unreachable:
+	case votes.reachableVotes > votes.unreachableVotes:
 		l.unreachablePeriods = 0
 		l.reachablePeriods++
 	}
@@ -57,7 +57,7 @@
 // returnPeriods returns how many consecutive reachable periods end the failover. The number doubles with each failure,
 // so that work rarely returns to a flapping zone.
 func (l *link) returnPeriods() float64 {
-	doublings := min(max(l.failures-1, 0), maxReturnDoublings)
+	doublings := min(max(l.failoverCount-1, 0), maxReturnDoublings)
 	return initialReturnPeriods * math.Exp2(float64(doublings))
 }
 
--- a/internal/failover/link_test.go
+++ b/internal/failover/link_test.go
@@ -10,8 +10,8 @@
 func TestFlappingZoneFailsOverRarely(t *testing.T) {
 	f := newFleet(t, 3, 0.6)
 	failoverChanges, wasFailedOver := 0, false
-	const periods = 400
-	for i := range periods {
+	const periodCount = 400
+	for i := range periodCount {
 		f.reachable = nil
 		if i/8%2 == 1 { // four seconds reachable, four seconds unreachable
 			f.reachable = unreachableZone(1)
@@ -21,7 +21,7 @@
 			failoverChanges, wasFailedOver = failoverChanges+1, isFailedOver
 		}
 	}
-	require.LessOrEqual(t, failoverChanges, 6, "the zone flapped 25 times in %d periods", periods)
+	require.LessOrEqual(t, failoverChanges, 6, "the zone flapped 25 times in %d periods", periodCount)
 }
 
 // The return after a failure takes twice as long as after the one before, until earlier failures no longer count.
--- a/internal/failover/message_test.go
+++ b/internal/failover/message_test.go
@@ -12,19 +12,19 @@
 
 // requireSameMessage strictly decodes a recorded message, compares it with the wanted value and requires that encoding
 // it gives the same bytes.
-func requireSameMessage[T any](t *testing.T, name string, want T) {
+func requireSameMessage[T any](t *testing.T, fileName string, wantMessage T) {
 	t.Helper()
-	recorded, err := os.ReadFile(filepath.Join("testdata", name))
+	fixture, err := os.ReadFile(filepath.Join("testdata", fileName))
 	require.NoError(t, err)
-	recorded = bytes.TrimSpace(recorded)
-	var got T
-	strict := json.NewDecoder(bytes.NewReader(recorded))
-	strict.DisallowUnknownFields()
-	require.NoError(t, strict.Decode(&got))
-	require.Equal(t, want, got)
-	written, err := json.Marshal(got)
+	fixture = bytes.TrimSpace(fixture)
+	var decodedMessage T
+	decoder := json.NewDecoder(bytes.NewReader(fixture))
+	decoder.DisallowUnknownFields()
+	require.NoError(t, decoder.Decode(&decodedMessage))
+	require.Equal(t, wantMessage, decodedMessage)
+	encoded, err := json.Marshal(decodedMessage)
 	require.NoError(t, err)
-	require.Equal(t, string(recorded), string(written))
+	require.Equal(t, string(fixture), string(encoded))
 }
 
 func TestMessagesKeepTheirBytes(t *testing.T) {
--- a/internal/failover/override_test.go
+++ b/internal/failover/override_test.go
@@ -9,34 +9,34 @@
 // An override takes precedence over evidence and ends with its TTL.
 func TestOverridesPrecedeEvidenceAndExpire(t *testing.T) {
 	f := newFleet(t, 3, 0.6)
-	before, _, _ := f.assignedWork(f.step())
+	zoneWorkBefore, _, _ := f.assignedWork(f.step())
 	require.NoError(t, f.decider.SetOverride(f.now, Override{Kind: Evacuate, Zone: 1, RampDown: 10 * period, TTL: 30 * period}))
-	previousWork := before[1]
+	previousWork := zoneWorkBefore[1]
 	for i := range 12 {
-		work, _, rejected := f.assignedWork(f.step())
-		require.LessOrEqual(t, work[1], previousWork+1e-6, "period %d", i)
-		require.InDelta(t, 0, rejected, 1e-9)
-		previousWork = work[1]
+		zoneWork, _, rejectedRatio := f.assignedWork(f.step())
+		require.LessOrEqual(t, zoneWork[1], previousWork+1e-6, "period %d", i)
+		require.InDelta(t, 0, rejectedRatio, 1e-9)
+		previousWork = zoneWork[1]
 	}
 	require.Zero(t, previousWork)
 	for range 25 {
 		f.step()
 	}
-	work, remote, _ := f.assignedWork(f.step())
-	require.Zero(t, remote, "the evacuation has expired")
-	require.InDelta(t, before[1], work[1], 1)
+	zoneWork, remoteRatio, _ := f.assignedWork(f.step())
+	require.Zero(t, remoteRatio, "the evacuation has expired")
+	require.InDelta(t, zoneWorkBefore[1], zoneWork[1], 1)
 	require.NoError(t, f.decider.SetOverride(f.now, Override{Kind: Freeze}))
 	f.reachable = unreachableZone(2)
 	for range 10 {
 		placement := f.step()
-		require.Equal(t, work, workByZone(f.assignedWork(placement)), "the split is frozen")
+		require.Equal(t, zoneWork, workByZone(f.assignedWork(placement)), "the split is frozen")
 	}
 	require.NoError(t, f.decider.SetOverride(f.now, Override{Kind: Thaw}))
-	require.Less(t, workByZone(f.assignedWork(f.step()))[2], 0.05*work[2])
+	require.Less(t, workByZone(f.assignedWork(f.step()))[2], 0.05*zoneWork[2])
 	require.ErrorIs(t, f.decider.SetOverride(f.now, Override{Kind: "dance"}), ErrInvalidOverride)
 	require.ErrorIs(t, f.decider.SetOverride(f.now, Override{Kind: Evacuate, Zone: 9}), ErrInvalidOverride)
-	split, rejected := f.decider.PlanWithoutZone(f.now, 0)
-	require.Greater(t, rejected, 0.2, "two zones cannot serve the work of three")
+	split, rejectedRatio := f.decider.PlanWithoutZone(f.now, 0)
+	require.Greater(t, rejectedRatio, 0.2, "two zones cannot serve the work of three")
 	require.Zero(t, split[0][0][0])
 }
 
--- a/internal/failover/panic_test.go
+++ b/internal/failover/panic_test.go
@@ -14,9 +14,9 @@
 	f.reachable = func(int, int) bool { return false }
 	for range 10 {
 		placement := f.step()
-		work, _, rejected := f.assignedWork(placement)
-		require.InDelta(t, 0, rejected, 1e-9, "no work is rejected in panic")
-		for zone, assigned := range work {
+		zoneWork, _, rejectedRatio := f.assignedWork(placement)
+		require.InDelta(t, 0, rejectedRatio, 1e-9, "no work is rejected in panic")
+		for zone, assigned := range zoneWork {
 			require.Greater(t, assigned, 0.2*f.settings.capacity(f.listed[zone]), "zone %d is not used", zone)
 		}
 	}
--- a/internal/failover/trial.go
+++ b/internal/failover/trial.go
@@ -35,11 +35,11 @@
 // lightestClass returns the class whose lost queries cost least: the one with the lowest product of weight and mean
 // work.
 func (s Settings) lightestClass() int {
-	lightest := 0
+	lightestIndex := 0
 	for i, class := range s.Classes {
-		if class.Weight*class.MeanWork < s.Classes[lightest].Weight*s.Classes[lightest].MeanWork {
-			lightest = i
+		if class.Weight*class.MeanWork < s.Classes[lightestIndex].Weight*s.Classes[lightestIndex].MeanWork {
+			lightestIndex = i
 		}
 	}
-	return lightest
+	return lightestIndex
 }
