--- a/decide/admission.go
+++ b/decide/admission.go
@@ -64,9 +64,9 @@
 	return int(min(max(math.Round(priority), 0), maxPriority))
 }
 
-// full reports whether MaxInFlight attempts are in flight. A further attempt would get no file descriptor,
-// fail unsent and still count against the request's MaxAttempts.
-func (a *admission) full() bool {
+// inFlightLimitReached reports whether MaxInFlight attempts are in flight. A further attempt would get no
+// file descriptor, fail unsent and still count against the request's MaxAttempts.
+func (a *admission) inFlightLimitReached() bool {
 	return a.settings.MaxInFlight > 0 && a.endpoints.attemptsInFlight >= a.settings.MaxInFlight
 }
 
@@ -78,8 +78,8 @@
 
 // missesObjective reports whether a waiting request can no longer meet its latency objective.
 func (a *admission) missesObjective(r *request) bool {
-	late := a.clock.now+a.estimates.unloadedLatency(r) > a.estimates.objectiveAt(r)
-	return late && a.clock.now > r.arrivedAt
+	objectiveUnreachable := a.clock.now+a.estimates.unloadedLatency(r) > a.estimates.objectiveAt(r)
+	return objectiveUnreachable && a.clock.now > r.arrivedAt
 }
 
 // enqueue adds a request to the pending queue.
@@ -89,18 +89,18 @@
 // whose group is locked at all endpoints stay queued. byOccupancy ranks by weight per ms that a request
 // occupies a file descriptor, for times at which descriptors are the scarce resource.
 func (a *admission) takeSorted(byOccupancy bool) []*request {
-	sorted, waiting := make([]*request, 0, len(a.pending)), a.pending[:0:0]
+	sorted, stillQueued := make([]*request, 0, len(a.pending)), a.pending[:0:0]
 	for _, r := range a.pending {
 		if a.endpoints.lockedEverywhere(r, a.estimates.class(r)) {
-			waiting = append(waiting, r)
+			stillQueued = append(stillQueued, r)
 			continue
 		}
-		if r.weight = a.value(r); byOccupancy {
-			r.weight *= float64(a.estimates.class(r).Threads)
+		if r.sortWeight = a.value(r); byOccupancy {
+			r.sortWeight *= float64(a.estimates.class(r).Threads)
 		}
 		sorted = append(sorted, r)
 	}
-	slices.SortStableFunc(sorted, func(x, y *request) int { return cmp.Compare(y.weight, x.weight) })
-	a.pending = waiting
+	slices.SortStableFunc(sorted, func(x, y *request) int { return cmp.Compare(y.sortWeight, x.sortWeight) })
+	a.pending = stillQueued
 	return sorted
 }
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -57,12 +57,12 @@
 // need is not available to other queries. The grant is 0 while the class's need is unknown.
 func (b *Balancer) resources(r *request, e *endpoint) SetAttemptResources {
 	c := b.estimates.class(r)
-	needKnown := c.samples > 0 && (b.settings.ActualCostReported || c.spillNotices > 0)
-	grant := 0.0
+	needKnown := c.sampleCount > 0 && (b.settings.ActualCostReported || c.spillNoticeCount > 0)
+	grantMB := 0.0
 	if b.settings.MemoryGrantsEnabled && r.current.memoryMB > 0 && needKnown {
-		grant = min(r.current.memoryMB*grantMargin, b.settings.MaxGrantRatio*e.memoryMB)
+		grantMB = min(r.current.memoryMB*grantMargin, b.settings.MaxGrantRatio*e.memoryMB)
 	}
-	return SetAttemptResources{r.ID, grant, b.admission.priority(r)}
+	return SetAttemptResources{r.ID, grantMB, b.admission.priority(r)}
 }
 
 // progressed handles a progress notice of a running attempt. An attempt far slower than the other work of
@@ -84,16 +84,16 @@
 	if ev.Kind != ProgressRatio || a.cancelled || b.clock.justResumed() {
 		return
 	}
-	unloaded := b.estimates.unloadedLatency(r)
-	projected := (b.clock.now - a.startedAt) / max(ev.Value, minProgress)
-	usual := unloaded * max(1, math.Exp(b.estimates.pressure(a.endpoint)))
+	unloadedLatency := b.estimates.unloadedLatency(r)
+	projectedDuration := (b.clock.now - a.startedAt) / max(ev.Value, minProgress)
+	usualDuration := unloadedLatency * max(1, math.Exp(b.estimates.pressure(a.endpoint)))
 	if firstNotice { // running attempts show overload long before completed ones
-		b.estimates.observePressure(a.endpoint, math.Log(min(projected, maxSampleRatio*usual)/unloaded))
+		b.estimates.observePressure(a.endpoint, math.Log(min(projectedDuration, maxSampleRatio*usualDuration)/unloadedLatency))
 	}
-	if projected > slowPlanRatio*usual && !r.replanned && b.retries.takeReplan() {
+	if projectedDuration > slowPlanRatio*usualDuration && !r.replanned && b.retries.takeReplan() {
 		b.tryElsewhere(r)
 	}
-	if !a.cancelled && projected > r.deadline-a.startedAt && ev.Value < maxGiveUpProgress {
+	if !a.cancelled && projectedDuration > r.deadline-a.startedAt && ev.Value < maxGiveUpProgress {
 		b.giveUp(r)
 	}
 }
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -21,7 +21,7 @@
 	placement    *placement
 	admission    *admission
 	quota        *tenantQuota
-	arrivals     arrivalRate
+	arrivalRate  arrivalRate
 	retries      *retryPolicy
 	keyOrder     *keyOrder
 	outliers     *outlierDetector
@@ -53,44 +53,44 @@
 // createComponents creates the components. Each gets references to the state that it reads and owns all its
 // other state.
 func (b *Balancer) createComponents() {
-	set, c := &b.settings, b.clock
+	settings, c := &b.settings, b.clock
 	b.subscription = &subscription{
 		clock: c, rng: b.rng, outbox: b.outbox,
-		required: set.SubscriptionRequired, interval: set.Rules.SubscribeInterval, retryAt: never,
+		isRequired: settings.SubscriptionRequired, subscribeInterval: settings.Rules.SubscribeInterval, retryAt: never,
 	}
-	b.estimates = newEstimator(c, set)
-	b.slowStart = &slowStart{clock: c, settings: set}
+	b.estimates = newEstimator(c, settings)
+	b.slowStart = &slowStart{clock: c, settings: settings}
 	b.gossip = &gossip{
-		clock: c, settings: set, rng: b.rng, outbox: b.outbox, endpoints: b.endpoints,
-		peers: map[int]peerMessage{},
+		clock: c, settings: settings, rng: b.rng, outbox: b.outbox, endpoints: b.endpoints,
+		peerMessages: map[int]peerMessage{},
 	}
 	b.capacity = &capacity{
-		clock: c, settings: set, estimates: b.estimates, slowStart: b.slowStart, gossip: b.gossip,
+		clock: c, settings: settings, estimates: b.estimates, slowStart: b.slowStart, gossip: b.gossip,
 		fleet: fleetLoad{observedAt: never},
 	}
-	b.retries = &retryPolicy{clock: c, settings: set, estimates: b.estimates, replanBudget: maxReplanBudget}
+	b.retries = &retryPolicy{clock: c, settings: settings, estimates: b.estimates, replanBudget: maxReplanBudget}
 	b.outliers = &outlierDetector{
-		clock: c, settings: set, rng: b.rng, endpoints: b.endpoints, estimates: b.estimates,
-		log:       &rateLimitedLog{clock: c, outbox: b.outbox, lastAt: never},
-		lastTrial: -requestsPerTrial,
+		clock: c, settings: settings, rng: b.rng, endpoints: b.endpoints, estimates: b.estimates,
+		log:                 &rateLimitedLog{clock: c, outbox: b.outbox, lastAt: never},
+		attemptsAtLastTrial: -attemptsPerTrial,
 	}
 	b.placement = &placement{
-		clock: c, balancer: set.BalancerIndex, endpoints: b.endpoints, subscription: b.subscription,
+		clock: c, balancerIndex: settings.BalancerIndex, endpoints: b.endpoints, subscription: b.subscription,
 		estimates: b.estimates, slowStart: b.slowStart, capacity: b.capacity, retries: b.retries,
 		outliers: b.outliers,
 	}
-	b.admission = &admission{clock: c, settings: set, estimates: b.estimates, endpoints: b.endpoints}
+	b.admission = &admission{clock: c, settings: settings, estimates: b.estimates, endpoints: b.endpoints}
 	b.quota = &tenantQuota{
-		clock: c, settings: set,
-		tokens: make([]float64, len(set.Tenants)), updatedAt: never,
+		clock: c, settings: settings,
+		tokens: make([]float64, len(settings.Tenants)), updatedAt: never,
 	}
-	b.arrivals = arrivalRate{updatedAt: never}
+	b.arrivalRate = arrivalRate{updatedAt: never}
 	b.keyOrder = &keyOrder{
-		clock: c, estimates: b.estimates, delay: set.Rules.KeyOrderDelay,
+		clock: c, estimates: b.estimates, blockDuration: settings.Rules.KeyOrderDelay,
 		queues: map[uint64]*keyQueue{},
 	}
 	b.prober = &prober{
-		clock: c, settings: set, outbox: b.outbox, endpoints: b.endpoints, estimates: b.estimates,
+		clock: c, settings: settings, outbox: b.outbox, endpoints: b.endpoints, estimates: b.estimates,
 	}
 }
 
@@ -188,14 +188,14 @@
 	wasAtLimit := b.admission.atLimit
 	b.admission.atLimit = false
 	b.dispatchPending(wasAtLimit)
-	b.gossip.send(b.arrivals.perSecond)
+	b.gossip.send(b.arrivalRate.perSecond)
 }
 
 // checkOverdue retries an endpoint's overdue attempts elsewhere and ejects an endpoint that is unresponsive.
 func (b *Balancer) checkOverdue(e *endpoint) {
-	overdue, unresponsive := b.outliers.overdueAttempts(e)
+	overdue, unresponsiveCount := b.outliers.overdueAttempts(e)
 	for _, r := range overdue {
 		b.tryElsewhere(r)
 	}
-	b.outliers.ejectUnresponsive(e, unresponsive)
+	b.outliers.ejectUnresponsive(e, unresponsiveCount)
 }
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -65,7 +65,7 @@
 func (c *capacity) saturated(e *endpoint) bool {
 	threads := e.inFlight.threads[shortClass] + e.inFlight.threads[longClass]
 	if c.gossip.hasPeers() {
-		threads += e.peers.threads
+		threads += e.peerLoad.threads
 	} else {
 		threads *= float64(c.settings.Balancers)
 	}
@@ -79,51 +79,51 @@
 // endpoint ever has more free for one request.
 func (c *capacity) memoryNeed(r *request, e *endpoint) float64 {
 	class := c.estimates.class(r)
-	need := r.EstimatedMemoryMB * class.memoryBias
+	needMB := r.EstimatedMemoryMB * class.memoryBias
 	if !c.settings.MemoryGrantsEnabled {
-		need = r.EstimatedMemoryMB * defaultGrantRatio * (1 + class.spillRatio) / 2
+		needMB = r.EstimatedMemoryMB * defaultGrantRatio * (1 + class.spillRatio) / 2
 	}
 	if limit := c.settings.MaxGrantRatio * e.memoryMB; limit > 0 {
-		need = min(need, limit)
+		needMB = min(needMB, limit)
 	}
-	return need
+	return needMB
 }
 
 // admits reports whether the endpoint has capacity for the request. The share of a queue bound always leaves
 // room for one request.
 func (c *capacity) admits(e *endpoint, r *request, sparse bool) bool {
-	class, need := c.estimates.class(r), c.memoryNeed(r, e)
+	class, needMB := c.estimates.class(r), c.memoryNeed(r, e)
 	if class.LocksGroup && e.inFlight.locksByGroup[r.Group] > 0 {
 		return false // the request would hold its grant while it waits for the lock
 	}
 	if c.clock.now-e.overloadedAt < c.clock.ticks(overloadedPause*housekeepingTicks) {
 		return false
 	}
-	if e.memoryMB > 0 && need > 0 && e.inFlight.memoryMB > 0 &&
-		e.peers.memoryMB+e.inFlight.memoryMB+need > e.memoryMB {
+	if e.memoryMB > 0 && needMB > 0 && e.inFlight.memoryMB > 0 &&
+		e.peerLoad.memoryMB+e.inFlight.memoryMB+needMB > e.memoryMB {
 		return false
 	}
 	if sparse {
-		return c.admitsSparse(e, r, class, need)
+		return c.admitsSparse(e, r, class, needMB)
 	}
 	return !c.saturated(e) || c.withinQueueBound(e, class)
 }
 
 // queueBound is the bound of the class's queue at an endpoint over all balancers, in threads.
 func queueBound(e *endpoint, c *classStats) float64 {
-	return e.cores * [classSizes]float64{shortThreadsPerCore, longThreadsPerCore}[c.size()]
+	return e.cores * [classSizeCount]float64{shortThreadsPerCore, longThreadsPerCore}[c.size()]
 }
 
 // withinQueueBound reports whether a request of the class keeps to this balancer's share of the queue bound
 // or, for long classes whose load the balancers report to each other, to the complete bound.
 func (c *capacity) withinQueueBound(e *endpoint, class *classStats) bool {
-	bound, share, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
-	if (c.settings.Balancers == 1 || c.gossip.hasPeers()) && class.long {
-		own := e.inFlight.threads[longClass]
+	bound, balancerShare, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
+	if (c.settings.Balancers == 1 || c.gossip.hasPeers()) && class.isLong {
+		ownThreads := e.inFlight.threads[longClass]
 		// The request counts twice because another balancer may see the same free capacity now.
-		return own == 0 || e.peers.threads+own+2*threads <= bound || own+threads <= bound*share
+		return ownThreads == 0 || e.peerLoad.threads+ownThreads+2*threads <= bound || ownThreads+threads <= bound*balancerShare
 	}
-	return e.inFlight.threads[class.size()]+threads <= max(bound*share, threads)
+	return e.inFlight.threads[class.size()]+threads <= max(bound*balancerShare, threads)
 }
 
 // admitsSparse reports whether the endpoint has capacity where too little is in flight to infer load. Above
@@ -133,9 +133,9 @@
 	if e.memoryMB > 0 && needMB > 0 && c.expectedMemory(e, r)+needMB > e.memoryMB {
 		return false // overcommitted memory slows or stops all queries at the endpoint
 	}
-	bound, share, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
-	ramp := (1 + r.draw*(admissionRamp-1)) / admissionRamp
-	return ramp*c.expectedThreads(e, threads) <= bound || threads <= bound*share
+	bound, balancerShare, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
+	rampFactor := (1 + r.draw*(admissionRamp-1)) / admissionRamp
+	return rampFactor*c.expectedThreads(e, threads) <= bound || threads <= bound*balancerShare
 }
 
 // expectedThreads estimates the threads in use at an endpoint from its latency, the fleet's mean load and its
@@ -154,13 +154,13 @@
 
 // expectedMemory estimates the memory in MB that is granted at an endpoint.
 func (c *capacity) expectedMemory(e *endpoint, r *request) float64 {
-	ratio := c.fleet.memoryRatio * fleetMeanWeight
-	if e.report.Memory > ratio {
+	grantedRatio := c.fleet.memoryRatio * fleetMeanWeight
+	if e.report.Memory > grantedRatio {
 		// An endpoint that pages does so for long and answers seldom, so its report fades out gradually.
-		fade := math.Exp((e.report.receivedAt - c.clock.now) / c.clock.objectives(fleetMeanTimeConstant))
-		ratio = max(ratio, e.report.Memory*fade)
+		reportDecay := math.Exp((e.report.receivedAt - c.clock.now) / c.clock.objectives(fleetMeanTimeConstant))
+		grantedRatio = max(grantedRatio, e.report.Memory*reportDecay)
 	}
-	return ratio * (e.memoryMB / grantMargin * (1 + memoryJitter*(r.draw-0.5)))
+	return grantedRatio * (e.memoryMB / grantMargin * (1 + memoryJitter*(r.draw-0.5)))
 }
 
 // observeFleet updates the fleet's mean load with the fresh load reports of a request's candidates. It
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -31,7 +31,7 @@
 		s := newScript(t, settings, 10)
 		now := s.completeInSequence(10, 30, 5, class, 100)
 		for _, e := range s.balancer.endpoints.sorted {
-			e.latency = decayingMean{}
+			e.latencyPressure = decayingMean{}
 		}
 		for range 30 {
 			s.balancer.estimates.observePressure(s.balancer.endpoints.sorted[0], math.Log(4)) // four times the best latency; the pooled mean counts at endpoints without samples
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -15,7 +15,7 @@
 	b.requests[ev.ID] = r
 	b.prober.recordArrival()
 	b.retries.recordArrival()
-	b.arrivals.recordArrival(b.clock.now)
+	b.arrivalRate.recordArrival(b.clock.now)
 	r.withinQuota = b.quota.take(r.Tenant)
 	b.admission.observeArrival(r)
 	b.estimates.observeArrival(r)
@@ -40,8 +40,8 @@
 		firstRun:       firstRun{startedAt: never},
 		draw:           b.rng.Float64(),
 	}
-	if run := ev.EarlierRun; run != nil {
-		r.firstRun = firstRun{run.StartedAt, EndpointInfo{Zone: run.Zone, Cell: run.Cell}}
+	if earlierRun := ev.EarlierRun; earlierRun != nil {
+		r.firstRun = firstRun{earlierRun.StartedAt, EndpointInfo{Zone: earlierRun.Zone, Cell: earlierRun.Cell}}
 	}
 	return r
 }
@@ -52,7 +52,7 @@
 	if !b.keyOrder.mayRun(r) || r.attemptsStarted > 0 && !b.retries.mayRetry(r) {
 		return false
 	}
-	if b.prober.awaitsAnswer(r) || b.admission.full() {
+	if b.prober.awaitsAnswer(r) || b.admission.inFlightLimitReached() {
 		return false
 	}
 	accepted := b.placement.inBand(r)
@@ -76,10 +76,10 @@
 	}
 	sorted := b.admission.takeSorted(byOccupancy)
 	// 1 minus the lowest draw at which a request of the class found no capacity, by class; 0: none yet.
-	blockedDraw := make([]float64, len(b.estimates.classes))
+	blockedDrawComplement := make([]float64, len(b.estimates.classes))
 	blockedGroups := map[uint64]bool{}
 	for i, r := range sorted {
-		if b.admission.atLimit = b.admission.full(); b.admission.atLimit {
+		if b.admission.atLimit = b.admission.inFlightLimitReached(); b.admission.atLimit {
 			b.admission.pending = append(b.admission.pending, sorted[i:]...)
 			return
 		}
@@ -87,7 +87,7 @@
 			continue
 		}
 		locksGroup := b.estimates.class(r).LocksGroup
-		blocked := 1-r.draw <= blockedDraw[r.Class] || locksGroup && blockedGroups[r.Group]
+		blocked := 1-r.draw <= blockedDrawComplement[r.Class] || locksGroup && blockedGroups[r.Group]
 		if b.keyOrder.mayRun(r) && !blocked {
 			if b.dispatch(r) {
 				continue
@@ -95,7 +95,7 @@
 			if locksGroup {
 				blockedGroups[r.Group] = true // requests of other groups may still find capacity
 			} else if r.attemptsStarted == 0 && !b.prober.awaitsAnswer(r) {
-				blockedDraw[r.Class] = 1 - r.draw
+				blockedDrawComplement[r.Class] = 1 - r.draw
 			}
 		}
 		b.admission.enqueue(r)
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -9,27 +9,27 @@
 	memoryMB float64
 	listed   bool // the endpoint is in the current endpoint list
 
-	inFlight inFlight
-	recent   recentSends
-	// latency is the mean log ratio of latency to unloaded latency of attempts at this endpoint.
-	latency      decayingMean
-	overloadedAt Millis // time of the endpoint's last rejection for overload; never: none
-	health       health
-	report       loadReport
-	probe        probeState
+	inFlight    inFlight
+	recentSends recentSends
+	// latencyPressure is the mean log ratio of latency to unloaded latency of attempts at this endpoint.
+	latencyPressure decayingMean
+	overloadedAt    Millis // time of the endpoint's last rejection for overload; never: none
+	health          health
+	report          loadReport
+	probe           probeState
 	// slowStartSends are the attempts that count against the endpoint's slow-start budget.
 	slowStartSends []sentWork
-	peers          peerLoad
+	peerLoad       peerLoad
 	score          float64 // scratch space for sorting and selection
 }
 
 // inFlight holds this balancer's attempts at an endpoint that have not ended, and their load.
 type inFlight struct {
-	attempts     map[*request]struct{} // the requests whose attempt is in flight there
-	locksByGroup map[uint64]int        // number of attempts that lock their group, by group
-	work         float64               // expected work of the attempts, ms on one core
-	threads      [classSizes]float64   // threads in use, by class size
-	memoryMB     float64               // expected memory of the attempts
+	attempts     map[*request]struct{}   // the requests whose attempt is in flight there
+	locksByGroup map[uint64]int          // number of attempts that lock their group, by group
+	work         float64                 // expected work of the attempts, ms on one core
+	threads      [classSizeCount]float64 // threads in use, by class size
+	memoryMB     float64                 // expected memory of the attempts
 }
 
 // recentSends counts the recent attempts at an endpoint. The count decays with each attempt that this
@@ -46,12 +46,12 @@
 	consecutiveFailures   int    // failed attempts since the last success
 	connectFailureAt      Millis // the last refused or lost connection, at this balancer or a peer
 	localConnectFailureAt Millis // the last refused or lost connection at this balancer
-	ejected               bool   // out of rotation except for single trial requests
+	isEjected             bool   // out of rotation except for single trial requests
 	trialAfter            Millis // the earliest time of the next trial request, while the endpoint is ejected
 	failedTrials          int    // consecutive failed trial requests
 	processDown           bool   // the endpoint is ejected on proof that its process is down
 	// ejectedWith marks the failure domains that were ejected as a whole with this endpoint.
-	ejectedWith [failureDomains]bool
+	ejectedWith [failureDomainTypes]bool
 }
 
 // loadReport is an endpoint's last known load report, with the attempts that this balancer has started there
@@ -85,7 +85,7 @@
 func newEndpoint(attemptsStarted int) *endpoint {
 	return &endpoint{
 		inFlight:     inFlight{attempts: map[*request]struct{}{}, locksByGroup: map[uint64]int{}},
-		recent:       recentSends{countedAt: attemptsStarted},
+		recentSends:  recentSends{countedAt: attemptsStarted},
 		overloadedAt: never,
 		health: health{lastActivityAt: never, connectFailureAt: never, localConnectFailureAt: never,
 			trialAfter: never},
--- a/decide/endpointset.go
+++ b/decide/endpointset.go
@@ -51,7 +51,7 @@
 	}
 	s.reindex()
 	for _, e := range s.sorted {
-		if !e.recent.initialized { // otherwise all balancers would send to a new endpoint at once
+		if !e.recentSends.initialized { // otherwise all balancers would send to a new endpoint at once
 			s.creditFairShare(e)
 		}
 	}
@@ -184,21 +184,21 @@
 
 // recentLoad estimates an endpoint's load where traffic is sparse: attempts in flight plus recent attempts.
 func (s *endpointSet) recentLoad(e *endpoint) float64 {
-	age := float64(s.attemptsStarted-e.recent.countedAt) / (recentSendsPerEndpoint * float64(len(s.sorted)))
-	return float64(len(e.inFlight.attempts)) + e.recent.count*math.Exp(-age)
+	age := float64(s.attemptsStarted-e.recentSends.countedAt) / (recentSendsPerEndpoint * float64(len(s.sorted)))
+	return float64(len(e.inFlight.attempts)) + e.recentSends.count*math.Exp(-age)
 }
 
 // creditFairShare counts the endpoint as if it had recently received its share of the traffic.
 func (s *endpointSet) creditFairShare(e *endpoint) {
-	e.recent.initialized = true
-	e.recent.count = recentSendsPerEndpoint * e.cores * float64(len(s.sorted)) / s.cores
-	e.recent.countedAt = s.attemptsStarted
+	e.recentSends.initialized = true
+	e.recentSends.count = recentSendsPerEndpoint * e.cores * float64(len(s.sorted)) / s.cores
+	e.recentSends.countedAt = s.attemptsStarted
 }
 
 // countSend adds an attempt that has just been attached to the endpoint's recent attempts.
 func (s *endpointSet) countSend(e *endpoint) {
-	e.recent.count = s.recentLoad(e) - float64(len(e.inFlight.attempts)) + 1
-	e.recent.countedAt = s.attemptsStarted
+	e.recentSends.count = s.recentLoad(e) - float64(len(e.inFlight.attempts)) + 1
+	e.recentSends.countedAt = s.attemptsStarted
 }
 
 // allowsIndex reports whether a list of allowed indexes contains index; nil allows any index.
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -12,7 +12,7 @@
 const (
 	shortClass classSize = iota
 	longClass
-	classSizes = 2
+	classSizeCount = 2
 )
 
 const (
@@ -34,21 +34,21 @@
 // classStats is a class with its learned statistics.
 type classStats struct {
 	Class
-	samples        int     // number of attempts that succeeded
-	estimates      float64 // number of requests with an estimate of work
-	work           float64 // mean work, ms on one core
-	usualWork      float64 // mean expected work of the class's requests, ms on one core
-	workBias       float64 // ratio of actual to estimated work
-	memoryBias     float64 // ratio of actual to estimated memory
-	spillNotices   float64 // number of notices of a spill
-	spillRatio     float64 // ratio of attempts that spilled, among those long enough to report a spill
-	logLatency     float64 // mean log of latency (relative to the estimate, if there is one)
-	bestLogLatency float64 // lowest logLatency so far, slowly forgotten
-	long           bool    // the class's queries need much more work than the shortest; see classifySizes
+	sampleCount      int     // number of attempts that succeeded
+	estimateCount    float64 // number of requests with an estimate of work
+	work             float64 // mean work, ms on one core
+	usualWork        float64 // mean expected work of the class's requests, ms on one core
+	workBias         float64 // ratio of actual to estimated work
+	memoryBias       float64 // ratio of actual to estimated memory
+	spillNoticeCount float64 // number of notices of a spill
+	spillRatio       float64 // ratio of attempts that spilled, among those long enough to report a spill
+	logLatency       float64 // mean log of latency (relative to the estimate, if there is one)
+	bestLogLatency   float64 // lowest logLatency so far, slowly forgotten
+	isLong           bool    // the class's queries need much more work than the shortest; see classifySizes
 }
 
 func (c *classStats) size() classSize {
-	if c.long {
+	if c.isLong {
 		return longClass
 	}
 	return shortClass
@@ -60,8 +60,8 @@
 	clock    *clock
 	settings *Settings
 	classes  []*classStats
-	// fleetLatency is the mean log ratio of latency to unloaded latency over all endpoints.
-	fleetLatency decayingMean
+	// fleetPressure is the mean log ratio of latency to unloaded latency over all endpoints.
+	fleetPressure decayingMean
 	// Decaying sums of latency and of latency times threads. Their ratio is meanThreads.
 	latencySum, threadLatencySum float64
 	meanThreads                  float64 // mean threads of the queries running at one time
@@ -93,7 +93,7 @@
 // unloadedLatency is the time in ms that a request takes at an idle endpoint.
 func (m *estimator) unloadedLatency(r *request) Millis {
 	c := m.class(r)
-	if r.EstimatedWork <= 0 && c.samples > 0 && !m.settings.ActualCostReported {
+	if r.EstimatedWork <= 0 && c.sampleCount > 0 && !m.settings.ActualCostReported {
 		return math.Exp(c.bestLogLatency)
 	}
 	return m.expectedWork(r) / float64(c.Threads)
@@ -110,22 +110,22 @@
 // latency objectives, because a short objective may grow with the work.
 func (m *estimator) classifySizes() {
 	byUsualWork := func(a, b *classStats) int { return cmp.Compare(a.usualWork, b.usualWork) }
-	smallest := slices.MinFunc(m.classes, byUsualWork).usualWork
+	smallestWork := slices.MinFunc(m.classes, byUsualWork).usualWork
 	for _, c := range m.classes {
-		c.long = c.usualWork > longWorkRatio*smallest
+		c.isLong = c.usualWork > longWorkRatio*smallestWork
 	}
 }
 
 // cheapestLongWork is the mean work of the cheapest long class or, if no class is long, of the most
 // expensive.
 func (m *estimator) cheapestLongWork() float64 {
-	smallest, largest := math.Inf(1), 0.0
+	smallestLongWork, largestWork := math.Inf(1), 0.0
 	for _, c := range m.classes {
-		if largest = max(largest, c.work); c.long {
-			smallest = min(smallest, c.work)
+		if largestWork = max(largestWork, c.work); c.isLong {
+			smallestLongWork = min(smallestLongWork, c.work)
 		}
 	}
-	return min(smallest, largest)
+	return min(smallestLongWork, largestWork)
 }
 
 // observeArrival updates the class's usual work with the estimate of a new request.
@@ -134,15 +134,15 @@
 		return
 	}
 	c := m.class(r)
-	c.estimates++
-	moveMean(&c.usualWork, m.expectedWork(r), max(learnRate, 1/(c.estimates+priorSamples)))
+	c.estimateCount++
+	moveMean(&c.usualWork, m.expectedWork(r), max(learnRate, 1/(c.estimateCount+priorSamples)))
 	m.classifySizes()
 }
 
 // observeSuccess updates the statistics with an attempt that succeeded at an endpoint.
 func (m *estimator) observeSuccess(r *request, e *endpoint, ev AttemptEnded) {
 	c := m.class(r)
-	c.samples++
+	c.sampleCount++
 	m.learnBias(c, r, ev)
 	logLatency := math.Log(max(ev.Latency, minLatency))
 	m.learnLatency(c, r, logLatency)
@@ -154,7 +154,7 @@
 	} else {
 		work = ev.Latency * threads // too high under load, which is the safe side for slow start
 	}
-	moveMean(&c.work, min(work, maxSampleRatio*c.work), max(learnRate, 1/float64(c.samples+priorSamples)))
+	moveMean(&c.work, min(work, maxSampleRatio*c.work), max(learnRate, 1/float64(c.sampleCount+priorSamples)))
 	m.latencySum = m.latencySum*(1-learnRate) + ev.Latency
 	m.threadLatencySum = m.threadLatencySum*(1-learnRate) + ev.Latency*threads
 	m.meanThreads = m.threadLatencySum / max(m.latencySum, 1)
@@ -166,7 +166,7 @@
 	if ev.ActualWork <= 0 || r.EstimatedWork <= 0 {
 		return
 	}
-	rate := max(learnRate, 1/float64(c.samples))
+	rate := max(learnRate, 1/float64(c.sampleCount))
 	moveMean(&c.workBias, min(ev.ActualWork/r.EstimatedWork, maxSampleRatio*c.workBias), rate)
 	if ev.ActualMemoryMB > 0 && r.EstimatedMemoryMB > 0 {
 		moveMean(&c.memoryBias, min(ev.ActualMemoryMB/r.EstimatedMemoryMB, maxSampleRatio*c.memoryBias), rate)
@@ -181,8 +181,8 @@
 	if relativeToEstimate {
 		logEstimate = math.Log(r.EstimatedWork / float64(c.Threads))
 	}
-	moveMean(&c.logLatency, logLatency-logEstimate, max(latencyRate, 1/float64(c.samples)))
-	if float64(c.samples) < 1/learnRate || c.logLatency < c.bestLogLatency {
+	moveMean(&c.logLatency, logLatency-logEstimate, max(latencyRate, 1/float64(c.sampleCount)))
+	if float64(c.sampleCount) < 1/learnRate || c.logLatency < c.bestLogLatency {
 		c.bestLogLatency = c.logLatency
 	}
 	moveMean(&c.bestLogLatency, c.logLatency, forgetRate)
@@ -196,11 +196,11 @@
 	if m.settings.ProgressInterval <= 0 || ev.Latency < m.settings.ProgressInterval {
 		return
 	}
-	spilled := 0.0
+	spillSample := 0.0
 	if r.current.spilled {
-		spilled = 1
+		spillSample = 1
 	}
-	moveMean(&c.spillRatio, spilled, learnRate)
+	moveMean(&c.spillRatio, spillSample, learnRate)
 }
 
 // learnMemory learns the memory need of a class from a spill notice, which reports the missing memory, where
@@ -210,10 +210,10 @@
 		return
 	}
 	c := m.class(r)
-	c.spillNotices++
-	need := (r.current.memoryMB*grantMargin + missingMB) / r.EstimatedMemoryMB
-	rate := max(learnRate, 1/(c.spillNotices+priorSamples))
-	moveMean(&c.memoryBias, min(need, maxSampleRatio*c.memoryBias), rate)
+	c.spillNoticeCount++
+	needRatio := (r.current.memoryMB*grantMargin + missingMB) / r.EstimatedMemoryMB
+	rate := max(learnRate, 1/(c.spillNoticeCount+priorSamples))
+	moveMean(&c.memoryBias, min(needRatio, maxSampleRatio*c.memoryBias), rate)
 }
 
 // observePressure adds a sample of the log ratio of latency to unloaded latency at an endpoint.
@@ -222,8 +222,8 @@
 		return
 	}
 	timeConstant := m.clock.objectives(pressureTimeConstant)
-	e.latency.add(logRatio, pressureRate, m.clock.now, timeConstant)
-	m.fleetLatency.add(logRatio, pressureRate, m.clock.now, timeConstant)
+	e.latencyPressure.add(logRatio, pressureRate, m.clock.now, timeConstant)
+	m.fleetPressure.add(logRatio, pressureRate, m.clock.now, timeConstant)
 }
 
 // pressure is the mean log ratio of the endpoint's latency to its unloaded latency, decaying with age. The
@@ -231,7 +231,7 @@
 // samples are few.
 func (m *estimator) pressure(e *endpoint) float64 {
 	timeConstant := m.clock.objectives(pressureTimeConstant)
-	fleet, fleetCount := m.fleetLatency.remaining(m.clock.now, timeConstant)
-	own, ownCount := e.latency.remaining(m.clock.now, timeConstant)
-	return (own + fleetPoolWeight*fleet/(fleetCount+fleetPoolWeight)) / (ownCount + fleetPoolWeight)
+	fleetSum, fleetCount := m.fleetPressure.remaining(m.clock.now, timeConstant)
+	ownSum, ownCount := e.latencyPressure.remaining(m.clock.now, timeConstant)
+	return (ownSum + fleetPoolWeight*fleetSum/(fleetCount+fleetPoolWeight)) / (ownCount + fleetPoolWeight)
 }
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -21,14 +21,14 @@
 	settings := plainSettings()
 	settings.Classes[1].LatencyObjective, settings.Classes[1].Threads = 900, 2
 	s := newScript(t, settings, 8)
-	if s.balancer.estimates.classes[1].long {
+	if s.balancer.estimates.classes[1].isLong {
 		t.Fatal("the class is long by its settings alone, so the test checks nothing")
 	}
 	for i := range 40 {
 		s.at(float64(100*i), RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: i % 2, TimeLeft: 3000, EstimatedWork: []float64{200, 4000}[i%2]})
 	}
-	if !s.balancer.estimates.classes[1].long || s.balancer.estimates.classes[0].long {
-		t.Fatalf("classes long: %v, %v; want false, true", s.balancer.estimates.classes[0].long, s.balancer.estimates.classes[1].long)
+	if !s.balancer.estimates.classes[1].isLong || s.balancer.estimates.classes[0].isLong {
+		t.Fatalf("classes long: %v, %v; want false, true", s.balancer.estimates.classes[0].isLong, s.balancer.estimates.classes[1].isLong)
 	}
 	for id, r := range s.balancer.requests {
 		if r.current.endpoint != nil {
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -19,13 +19,13 @@
 // reports of endpoints that it knows to one randomly chosen balancer, and the reports spread from one to the
 // next.
 type gossip struct {
-	clock     *clock
-	settings  *Settings
-	rng       *rand.Rand
-	outbox    *outbox
-	endpoints *endpointSet
-	peers     map[int]peerMessage // the last message of in-flight load, by balancer
-	sentAt    Millis              // time of the last message sent, or of the cached endpoint list if later
+	clock        *clock
+	settings     *Settings
+	rng          *rand.Rand
+	outbox       *outbox
+	endpoints    *endpointSet
+	peerMessages map[int]peerMessage // the last message of in-flight load, by balancer
+	sentAt       Millis              // time of the last message sent, or of the cached endpoint list if later
 }
 
 // peerMessage is a message of in-flight load from another balancer.
@@ -35,7 +35,7 @@
 }
 
 // hasPeers reports whether a recent message of in-flight load from any other balancer is known.
-func (g *gossip) hasPeers() bool { return len(g.peers) > 0 }
+func (g *gossip) hasPeers() bool { return len(g.peerMessages) > 0 }
 
 // send sends a message if one is due. requestsPerSecond is the rate of arrivals, which sets the budget.
 func (g *gossip) send(requestsPerSecond float64) {
@@ -45,19 +45,19 @@
 	}
 	others := g.settings.Balancers - 1
 	bytesPerMillisecond := max(g.affordableBytes(requestsPerSecond), 1e-9)
-	to, data := AllPeers, encodeGossip(gossipInFlight, g.inFlightLines(), maxMessageBytes)
-	wait := float64((messageOverhead+len(data))*others) / bytesPerMillisecond
-	if wait > g.clock.objectives(gossipMaxAge) {
-		to = (g.settings.BalancerIndex + 1 + g.rng.IntN(others)) % g.settings.Balancers
+	receiver, data := AllPeers, encodeGossip(gossipInFlight, g.inFlightLines(), maxMessageBytes)
+	sendInterval := float64((messageOverhead+len(data))*others) / bytesPerMillisecond
+	if sendInterval > g.clock.objectives(gossipMaxAge) {
+		receiver = (g.settings.BalancerIndex + 1 + g.rng.IntN(others)) % g.settings.Balancers
 		data = encodeGossip(gossipReports, g.reportLines(), maxMessageBytes)
-		wait = float64(messageOverhead+len(data)) / bytesPerMillisecond
+		sendInterval = float64(messageOverhead+len(data)) / bytesPerMillisecond
 	}
-	empty := to != AllPeers && len(data) < 2
-	if g.clock.now-g.sentAt < wait || empty {
+	nothingToReport := receiver != AllPeers && len(data) < 2
+	if g.clock.now-g.sentAt < sendInterval || nothingToReport {
 		return
 	}
 	g.sentAt = g.clock.now
-	g.outbox.add(SendGossip{to, data})
+	g.outbox.add(SendGossip{receiver, data})
 }
 
 // affordableBytes is the budget for messages, in bytes per ms.
@@ -98,9 +98,9 @@
 		}
 	}
 	sort.SliceStable(withReport, func(i, j int) bool { return withReport[i].score > withReport[j].score })
-	rest := withReport[min(len(withReport), maxReportLines/2):]
-	newestFirst := func(i, j int) bool { return rest[i].report.receivedAt > rest[j].report.receivedAt }
-	sort.SliceStable(rest, newestFirst)
+	otherReports := withReport[min(len(withReport), maxReportLines/2):]
+	newestFirst := func(i, j int) bool { return otherReports[i].report.receivedAt > otherReports[j].report.receivedAt }
+	sort.SliceStable(otherReports, newestFirst)
 	for _, e := range withReport[:min(len(withReport), maxReportLines-len(lines))] {
 		age := (g.clock.now - e.report.receivedAt) / period
 		memory := 1 + 100*max(e.report.Memory, -0.01)
@@ -117,7 +117,7 @@
 		return nil
 	}
 	if form == gossipInFlight {
-		g.peers[ev.From] = peerMessage{g.clock.now, lines}
+		g.peerMessages[ev.From] = peerMessage{g.clock.now, lines}
 		g.sumPeers()
 		return nil
 	}
@@ -127,17 +127,17 @@
 // sumPeers sums the load in recent messages, by endpoint. An endpoint missing from a message adds nothing.
 func (g *gossip) sumPeers() {
 	for _, e := range g.endpoints.sorted {
-		e.peers = peerLoad{}
+		e.peerLoad = peerLoad{}
 	}
-	for from, message := range g.peers { // values are whole numbers, so the sums don't depend on map order
+	for from, message := range g.peerMessages { // values are whole numbers, so the sums don't depend on map order
 		if g.clock.now-message.receivedAt > g.clock.objectives(gossipMaxAge) {
-			delete(g.peers, from)
+			delete(g.peerMessages, from)
 			continue
 		}
 		for _, line := range message.lines {
 			if e := g.endpoints.byTag[line.tag]; e != nil {
-				e.peers.threads += line.values[0]
-				e.peers.memoryMB += line.values[1]
+				e.peerLoad.threads += line.values[0]
+				e.peerLoad.memoryMB += line.values[1]
 			}
 		}
 	}
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -24,7 +24,7 @@
 	s := newScript(t, settings, 2)
 	s.at(1, GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(1), []float64{12, 300}}, {gossipTag(77), []float64{12, 300}}}, 256)})
 	s.at(2, GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(1), []float64{8, 200}}}, 256)})
-	if peerThreads, peerMemory := s.balancer.endpoints.byID[1].peers.threads, s.balancer.endpoints.byID[1].peers.memoryMB; peerThreads != 8 || peerMemory != 200 {
+	if peerThreads, peerMemory := s.balancer.endpoints.byID[1].peerLoad.threads, s.balancer.endpoints.byID[1].peerLoad.memoryMB; peerThreads != 8 || peerMemory != 200 {
 		t.Fatalf("the peer's last message has 8 threads and 200 MB, got %v, %v", peerThreads, peerMemory)
 	}
 }
--- a/decide/keyorder.go
+++ b/decide/keyorder.go
@@ -9,10 +9,10 @@
 // OrderedByKey. After the end of an attempt that may still be running, the key is blocked for
 // Rules.KeyOrderDelay.
 type keyOrder struct {
-	clock     *clock
-	delay     Millis // Rules.KeyOrderDelay
-	estimates *estimator
-	queues    map[uint64]*keyQueue
+	clock         *clock
+	blockDuration Millis // Rules.KeyOrderDelay
+	estimates     *estimator
+	queues        map[uint64]*keyQueue
 }
 
 // keyQueue holds the open requests of one key, in order of arrival.
@@ -55,14 +55,14 @@
 func (o *keyOrder) mayRun(r *request) bool {
 	q := o.queue(r)
 	return q == nil || q.requests[0] == r && (o.clock.now > q.blockedUntil || q.blockedBy == r ||
-		o.delay == 0)
+		o.blockDuration == 0)
 }
 
 // attemptEnded blocks the key if the attempt may still be running.
 func (o *keyOrder) attemptEnded(r *request, outcome Outcome) {
 	mayBeRunning := outcome == OutcomeTimeout || outcome == OutcomeReset || outcome == OutcomeCancelled
 	if q := o.queue(r); q != nil && mayBeRunning {
-		q.blockedUntil, q.blockedBy = o.clock.now+o.delay, r
+		q.blockedUntil, q.blockedBy = o.clock.now+o.blockDuration, r
 	}
 }
 
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -7,7 +7,7 @@
 
 const (
 	maxConsecutiveErrors = 2 // consecutive failures allowed to an endpoint; an error beyond them ejects it
-	overdueToEject       = 2 // unresponsive attempts that eject an endpoint; see overdueAttempts
+	unresponsiveToEject  = 2 // unresponsive attempts that eject an endpoint; see overdueAttempts
 	// Ratio of healthy cores, among those of healthy and ejected endpoints, that ejections for soft evidence
 	// must leave.
 	minHealthyRatio = 0.2
@@ -18,21 +18,21 @@
 	// short because trial requests cost little.
 	ejectionTime = 3.0
 	// Largest factor on ejectionTime after failed trial requests; bounded, so that recovery is detected.
-	maxEjectionGrowth = 4.0
-	requestsPerTrial  = 20.0 // attempts per trial request, however many endpoints are ejected
-	domainFailures    = 3    // unreachable endpoints of a failure domain that eject the complete domain
+	maxEjectionGrowth     = 4.0
+	attemptsPerTrial      = 20.0 // attempts per trial request, however many endpoints are ejected
+	failuresToEjectDomain = 3    // unreachable endpoints of a failure domain that eject the complete domain
 
-	missedNotices = 1.6 // progress intervals without a notice after which an attempt is overdue
+	overdueNoticeIntervals = 1.6 // progress intervals without a notice after which an attempt is overdue
 	// Ratio of latency to unloaded latency as which a rejection for overload counts.
 	overloadPenalty = maxSampleRatio
 )
 
-// failureDomains is the number of types of failure domains: zone, kind and cell.
-const failureDomains = 3
+// failureDomainTypes is the number of types of failure domains: zone, kind and cell.
+const failureDomainTypes = 3
 
 // sharesDomain reports whether two endpoints are in the same failure domain of the given type.
 func (e *endpoint) sharesDomain(other *endpoint, domain int) bool {
-	return [failureDomains]bool{e.Zone == other.Zone, e.Kind == other.Kind, e.Cell == other.Cell}[domain]
+	return [failureDomainTypes]bool{e.Zone == other.Zone, e.Kind == other.Kind, e.Cell == other.Cell}[domain]
 }
 
 // outlierDetector ejects failing endpoints and returns them to rotation after a successful trial request.
@@ -40,24 +40,24 @@
 // ejects the whole fleet, nor any endpoint when all fail at the same time. Hard evidence (a lost process)
 // always ejects.
 type outlierDetector struct {
-	clock     *clock
-	rng       *rand.Rand
-	log       *rateLimitedLog
-	endpoints *endpointSet
-	estimates *estimator
-	settings  *Settings
-	lastTrial int // endpointSet.attemptsStarted at the last trial request
+	clock               *clock
+	rng                 *rand.Rand
+	log                 *rateLimitedLog
+	endpoints           *endpointSet
+	estimates           *estimator
+	settings            *Settings
+	attemptsAtLastTrial int // endpointSet.attemptsStarted at the last trial request
 }
 
 // trialDue reports whether the next short request may be a trial request to an ejected endpoint.
 func (d *outlierDetector) trialDue() bool {
-	return float64(d.endpoints.attemptsStarted-d.lastTrial) >= requestsPerTrial
+	return float64(d.endpoints.attemptsStarted-d.attemptsAtLastTrial) >= attemptsPerTrial
 }
 
 // attemptStarted records the last attempt as a trial request if its endpoint is ejected.
 func (d *outlierDetector) attemptStarted(e *endpoint) {
-	if e.health.ejected {
-		d.lastTrial = d.endpoints.attemptsStarted
+	if e.health.isEjected {
+		d.attemptsAtLastTrial = d.endpoints.attemptsStarted
 	}
 }
 
@@ -67,7 +67,7 @@
 	switch outcome {
 	case OutcomeSucceeded:
 		h.consecutiveFailures, h.lastActivityAt = 0, now
-		if h.ejected && (now >= h.trialAfter || h.processDown) {
+		if h.isEjected && (now >= h.trialAfter || h.processDown) {
 			d.restore(e, now)
 		}
 	case OutcomeOverloaded:
@@ -80,11 +80,11 @@
 	case OutcomeError:
 		h.consecutiveFailures++
 		// Sparse traffic hardly ever brings two errors in a row.
-		if h.consecutiveFailures > maxConsecutiveErrors || h.ejected || d.endpoints.sparse() {
+		if h.consecutiveFailures > maxConsecutiveErrors || h.isEjected || d.endpoints.sparse() {
 			d.eject(e, EjectedErrors)
 		}
 	case OutcomeTimeout, OutcomeCancelled:
-		if h.ejected {
+		if h.isEjected {
 			d.eject(e, EjectedTrialFailed)
 		}
 	}
@@ -101,9 +101,9 @@
 	}
 	e.health.connectFailureAt = at
 	d.eject(e, EjectedConnectFailed)
-	for domain := range failureDomains {
-		unreachable, othersReady := d.unreachable(e, domain)
-		if !othersReady || unreachable < domainFailures {
+	for domain := range failureDomainTypes {
+		unreachableCount, othersReady := d.countUnreachable(e, domain)
+		if !othersReady || unreachableCount < failuresToEjectDomain {
 			continue
 		}
 		for _, o := range d.endpoints.sorted {
@@ -115,9 +115,9 @@
 	}
 }
 
-// unreachable counts the endpoints of e's failure domain that failed connections after the last activity of
-// any endpoint in the domain. othersReady reports whether there are ready endpoints outside it.
-func (d *outlierDetector) unreachable(e *endpoint, domain int) (count int, othersReady bool) {
+// countUnreachable counts the endpoints of e's failure domain that failed connections after the last activity
+// of any endpoint in the domain. othersReady reports whether there are ready endpoints outside it.
+func (d *outlierDetector) countUnreachable(e *endpoint, domain int) (count int, othersReady bool) {
 	lastActivity := never
 	for _, o := range d.endpoints.sorted {
 		if o.sharesDomain(e, domain) {
@@ -139,15 +139,15 @@
 	if e.health.processDown {
 		e.StartedAt = max(e.StartedAt, at)
 	}
-	domains := e.health.ejectedWith
-	e.health.ejected, e.health.processDown = false, false
+	ejectedDomains := e.health.ejectedWith
+	e.health.isEjected, e.health.processDown = false, false
 	e.health.consecutiveFailures, e.health.failedTrials = 0, 0
-	e.health.ejectedWith = [failureDomains]bool{}
-	e.latency = decayingMean{}
+	e.health.ejectedWith = [failureDomainTypes]bool{}
+	e.latencyPressure = decayingMean{}
 	d.log.add(Log{Message: LogEndpointRestored, Endpoint: e.ID})
-	for domain := range failureDomains {
+	for domain := range failureDomainTypes {
 		for _, o := range d.endpoints.sorted {
-			if domains[domain] && o.health.ejectedWith[domain] && o.sharesDomain(e, domain) {
+			if ejectedDomains[domain] && o.health.ejectedWith[domain] && o.sharesDomain(e, domain) {
 				d.restore(o, at)
 			}
 		}
@@ -164,66 +164,66 @@
 // its next trial request has come, this counts as a failed one and delays the next.
 func (d *outlierDetector) eject(e *endpoint, reason EjectionReason) {
 	h, processDown := &e.health, reason.provesProcessDown()
-	if !processDown && !h.ejected && !d.enoughHealthy(e) {
+	if !processDown && !h.isEjected && !d.enoughHealthy(e) {
 		return
 	}
-	if h.ejected && d.clock.now < h.trialAfter {
+	if h.isEjected && d.clock.now < h.trialAfter {
 		h.processDown = h.processDown || processDown
 		return
 	}
-	if h.ejected {
+	if h.isEjected {
 		h.failedTrials++
 	}
-	h.ejected, h.processDown = true, processDown
-	wait := d.clock.objectives(ejectionTime) * min(math.Exp2(float64(h.failedTrials)), maxEjectionGrowth)
-	h.trialAfter = d.clock.now + wait*(0.75+d.rng.Float64()/2)
+	h.isEjected, h.processDown = true, processDown
+	trialDelay := d.clock.objectives(ejectionTime) * min(math.Exp2(float64(h.failedTrials)), maxEjectionGrowth)
+	h.trialAfter = d.clock.now + trialDelay*(0.75+d.rng.Float64()/2)
 	d.log.add(Log{LogEndpointEjected, e.ID, reason})
 }
 
 // enoughHealthy reports whether, with e ejected, healthy endpoints have at least minHealthyRatio of the cores
 // of healthy and ejected endpoints.
 func (d *outlierDetector) enoughHealthy(e *endpoint) bool {
-	ejected, healthy := e.cores, 0.0
+	ejectedCores, healthyCores := e.cores, 0.0
 	for _, o := range d.endpoints.sorted {
 		if !o.ready() || o == e {
 			continue
 		}
 		lastActivityAt := max(o.health.lastActivityAt, o.probe.answeredAt)
-		if o.health.ejected {
-			ejected += o.cores
+		if o.health.isEjected {
+			ejectedCores += o.cores
 		} else if d.clock.now-lastActivityAt < d.clock.objectives(activityMaxAge) {
-			healthy += o.cores
+			healthyCores += o.cores
 		}
 	}
-	return healthy >= minHealthyRatio*(ejected+healthy)
+	return healthyCores >= minHealthyRatio*(ejectedCores+healthyCores)
 }
 
 // overdueAttempts returns the attempts at an endpoint about which nothing was received for too long.
-// unresponsive is the number of those that started no earlier than the endpoint's last activity. If running
-// queries send progress notices, a missing notice decides; otherwise, a multiple of the unloaded latency
+// unresponsiveCount is the number of those that started no earlier than the endpoint's last activity. If
+// running queries send progress notices, a missing notice decides; otherwise, a multiple of the unloaded latency
 // under the endpoint's pressure does.
-func (d *outlierDetector) overdueAttempts(e *endpoint) (overdue []*request, unresponsive int) {
+func (d *outlierDetector) overdueAttempts(e *endpoint) (overdue []*request, unresponsiveCount int) {
 	for _, r := range e.attemptsInOrder() {
 		sinceActivity := d.clock.now - max(r.current.lastActivityAt, d.clock.resumedAt)
-		missed := sinceActivity > missedNotices*d.settings.ProgressInterval
+		noticeMissed := sinceActivity > overdueNoticeIntervals*d.settings.ProgressInterval
 		slowdown := max(1, math.Exp(d.estimates.pressure(e)))
-		late := sinceActivity > maxSampleRatio*d.estimates.unloadedLatency(r)*slowdown
-		if !missed || d.settings.ProgressInterval == 0 && !late {
+		answerLate := sinceActivity > maxSampleRatio*d.estimates.unloadedLatency(r)*slowdown
+		if !noticeMissed || d.settings.ProgressInterval == 0 && !answerLate {
 			continue
 		}
 		if e.health.lastActivityAt <= r.current.startedAt {
-			unresponsive++
+			unresponsiveCount++
 		}
 		overdue = append(overdue, r)
 	}
-	return overdue, unresponsive
+	return overdue, unresponsiveCount
 }
 
 // ejectUnresponsive ejects an endpoint with enough unresponsive attempts. In sparse traffic one is enough,
 // since two attempts hardly ever run at an endpoint at the same time; a wrong ejection costs little, as trial
 // requests are cheap and come soon.
-func (d *outlierDetector) ejectUnresponsive(e *endpoint, unresponsive int) {
-	if unresponsive >= overdueToEject || unresponsive > 0 && (e.health.ejected || d.endpoints.sparse()) {
+func (d *outlierDetector) ejectUnresponsive(e *endpoint, unresponsiveCount int) {
+	if unresponsiveCount >= unresponsiveToEject || unresponsiveCount > 0 && (e.health.isEjected || d.endpoints.sparse()) {
 		d.eject(e, EjectedUnresponsive)
 	}
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -9,16 +9,16 @@
 	s := newScript(t, plainSettings(), 3)
 	now := s.completeInSequence(10, 30, 5, 0, 50)
 	s.at(now, RequestArrived{ID: "stuck", Group: 5, TimeLeft: 3000})
-	first := s.sentTo("stuck")
+	firstEndpoint := s.sentTo("stuck")
 	for ; !s.cancelled("stuck"); now += 50 {
 		if now > 3000+1500 {
 			t.Fatal("overdue attempt is never cancelled")
 		}
 		s.at(now, TimerFired{"tick"})
 	}
-	s.at(now, AttemptEnded{ID: "stuck", Endpoint: first, Outcome: OutcomeCancelled})
-	if e := s.sentTo("stuck"); e == 0 || e == first {
-		t.Fatalf("sent to endpoint %d, retried at %d", first, e)
+	s.at(now, AttemptEnded{ID: "stuck", Endpoint: firstEndpoint, Outcome: OutcomeCancelled})
+	if retryEndpoint := s.sentTo("stuck"); retryEndpoint == 0 || retryEndpoint == firstEndpoint {
+		t.Fatalf("sent to endpoint %d, retried at %d", firstEndpoint, retryEndpoint)
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	s.at(now, TimerFired{"tick"})
 	for _, e := range s.balancer.endpoints.sorted {
-		if e.health.ejected {
+		if e.health.isEjected {
 			t.Fatalf("endpoint %d ejected though all are equally slow", e.ID)
 		}
 	}
@@ -45,7 +45,7 @@
 	deadID := s.sentTo("a")
 	s.at(10, AttemptEnded{ID: "a", Endpoint: deadID, Outcome: OutcomeReset})
 	e := s.balancer.endpoints.byID[deadID]
-	if !e.health.ejected {
+	if !e.health.isEjected {
 		t.Fatal("a lost connection does not eject the endpoint")
 	}
 	s.at(5000, RequestArrived{ID: "b", Group: 5, TimeLeft: 3000})
@@ -53,8 +53,8 @@
 		t.Fatal("no trial request is sent after the ejection")
 	}
 	s.at(5050, AttemptEnded{ID: "b", Endpoint: deadID, Outcome: OutcomeSucceeded, Latency: 50, RequestClosed: true})
-	if e.health.ejected || !s.balancer.slowStart.warming(e) {
-		t.Fatalf("after a successful trial: ejected %v, warming %v", e.health.ejected, s.balancer.slowStart.warming(e))
+	if e.health.isEjected || !s.balancer.slowStart.warming(e) {
+		t.Fatalf("after a successful trial: ejected %v, warming %v", e.health.isEjected, s.balancer.slowStart.warming(e))
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	ejectedCount := 0
 	for _, e := range s.balancer.endpoints.sorted {
-		if e.health.ejected {
+		if e.health.isEjected {
 			ejectedCount++
 		}
 	}
@@ -86,7 +86,7 @@
 		s.at(now, TimerFired{"tick"})
 	}
 	for _, e := range s.balancer.endpoints.sorted {
-		if e.health.ejected {
+		if e.health.isEjected {
 			t.Fatalf("endpoint %d ejected though none answers", e.ID)
 		}
 	}
@@ -110,8 +110,8 @@
 	}
 	other.health.lastActivityAt = now + 800
 	s.at(now+850, TimerFired{"tick"})
-	if !home.health.ejected || !s.cancelled("b") {
-		t.Fatalf("ejected %v, actions %v", home.health.ejected, s.actions)
+	if !home.health.isEjected || !s.cancelled("b") {
+		t.Fatalf("ejected %v, actions %v", home.health.isEjected, s.actions)
 	}
 }
 
@@ -161,22 +161,22 @@
 
 // runTraffic sends five short requests per second between two times. Endpoints for which isDead is true refuse connections,
 // the others succeed. It returns the number of refused attempts.
-func (s *script) runTraffic(from, to Millis, isDead func(EndpointID) bool) (refused int) {
+func (s *script) runTraffic(from, to Millis, isDead func(EndpointID) bool) (refusedCount int) {
 	for now := from; now < to; now += 200 {
 		id := RequestID(fmt.Sprint(now))
 		s.at(now, RequestArrived{ID: id, Group: uint64(now), TimeLeft: 3000})
-		for e, attempt := s.sentTo(id), 0; e != 0; e, attempt = s.sentTo(id), attempt+1 {
+		for e, attemptIndex := s.sentTo(id), 0; e != 0; e, attemptIndex = s.sentTo(id), attemptIndex+1 {
 			if isDead(e) {
-				refused++
-				s.at(now+5, AttemptEnded{ID: id, Endpoint: e, Attempt: attempt, Outcome: OutcomeConnectFailed})
+				refusedCount++
+				s.at(now+5, AttemptEnded{ID: id, Endpoint: e, Attempt: attemptIndex, Outcome: OutcomeConnectFailed})
 				continue
 			}
-			s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Attempt: attempt, Outcome: OutcomeSucceeded, Latency: 95, RequestClosed: true})
+			s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Attempt: attemptIndex, Outcome: OutcomeSucceeded, Latency: 95, RequestClosed: true})
 			break
 		}
 		s.at(now+150, TimerFired{"tick"})
 	}
-	return refused
+	return refusedCount
 }
 
 // TestConnectFailuresEjectTheirFailureDomain checks a zone that refuses connections while the endpoint list has its
@@ -185,14 +185,14 @@
 func TestConnectFailuresEjectTheirFailureDomain(t *testing.T) {
 	for _, balancers := range []int{3, 300} {
 		s := zonedScript(t, balancers, 10)
-		refuses := func(e EndpointID) bool { return int(e-1)%3 == 1 }
+		inRefusingZone := func(e EndpointID) bool { return int(e-1)%3 == 1 }
 		s.runTraffic(1000, 5000, func(EndpointID) bool { return false })
-		if n := s.runTraffic(5000, 25000, refuses); n > 16 {
-			t.Fatalf("%d balancers: %d attempts for 100 queries went to a zone that refuses connections", balancers, n)
+		if refusedCount := s.runTraffic(5000, 25000, inRefusingZone); refusedCount > 16 {
+			t.Fatalf("%d balancers: %d attempts for 100 queries went to a zone that refuses connections", balancers, refusedCount)
 		}
 		s.runTraffic(25000, 37000, func(EndpointID) bool { return false })
 		for _, e := range s.balancer.endpoints.sorted {
-			if e.health.ejected {
+			if e.health.isEjected {
 				t.Fatalf("%d balancers: endpoint %d still ejected 12 s after its zone is back", balancers, e.ID)
 			}
 		}
@@ -206,7 +206,7 @@
 	s.runTraffic(1000, 5000, func(EndpointID) bool { return false })
 	s.runTraffic(5000, 25000, func(e EndpointID) bool { return e == 2 || e == 5 })
 	for _, e := range s.balancer.endpoints.sorted {
-		if e.health.ejected && e.ID != 2 && e.ID != 5 {
+		if e.health.isEjected && e.ID != 2 && e.ID != 5 {
 			t.Fatalf("endpoint %d is ejected though it answers", e.ID)
 		}
 	}
@@ -220,28 +220,28 @@
 	now := Millis(5000)
 	ejectedCount := func() (n int) {
 		for _, e := range s.balancer.endpoints.sorted {
-			if e.health.ejected {
+			if e.health.isEjected {
 				n++
 			}
 		}
 		return n
 	}
-	report := func(id EndpointID, values ...float64) {
+	receiveReport := func(id EndpointID, values ...float64) {
 		s.at(now, GossipReceived{From: 1, Data: encodeGossip(gossipReports, []gossipLine{{gossipTag(id), values}}, maxMessageBytes)})
 	}
-	report(2, 2, 4, 0)
-	report(2, 9, 0, 0)
-	report(999, 1, 0, 0)
+	receiveReport(2, 2, 4, 0)
+	receiveReport(2, 9, 0, 0)
+	receiveReport(999, 1, 0, 0)
 	if ejectedCount() != 0 {
 		t.Fatal("an old report, or one of an unknown endpoint, ejects")
 	}
 	now += 1000
-	report(2, 1, 0, 0)
+	receiveReport(2, 1, 0, 0)
 	if ejectedCount() != 1 {
 		t.Fatalf("%d endpoints ejected after one reported connection failure", ejectedCount())
 	}
 	now += 1000
-	report(2, 1, 4, 0)
+	receiveReport(2, 1, 4, 0)
 	if ejectedCount() != 0 {
 		t.Fatal("still ejected though a peer has reported activity since")
 	}
@@ -269,27 +269,27 @@
 	settings.Balancers = 80
 	s := newScript(t, settings, 10)
 	now := s.completeInSequence(10, 40, 5, 0, 50)
-	sent, start := map[bool]int{}, now // attempts at the unresponsive endpoint, by whether it is still unresponsive
+	sentCounts, start := map[bool]int{}, now // attempts at the unresponsive endpoint, by whether it is still unresponsive
 	for i := 0; now < start+40000; i++ {
 		id, unresponsive := RequestID(fmt.Sprint("q", i)), now < start+20000
 		s.at(now, RequestArrived{ID: id, Group: uint64(i % 72), TimeLeft: 3000})
-		e, attempt := s.sentTo(id), 0
+		e, attemptIndex := s.sentTo(id), 0
 		if e == 3 {
-			sent[unresponsive]++
+			sentCounts[unresponsive]++
 		}
 		for retryUntil := now + 3000; e == 3 && unresponsive && now < retryUntil; now += 50 {
 			s.at(now, TimerFired{"tick"})
 			if s.cancelled(id) {
 				s.at(now, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeCancelled})
-				e, attempt = s.sentTo(id), 1
+				e, attemptIndex = s.sentTo(id), 1
 			}
 		}
-		s.at(now+50, AttemptEnded{ID: id, Endpoint: e, Attempt: attempt, Outcome: OutcomeSucceeded, Latency: 50, RequestClosed: true})
+		s.at(now+50, AttemptEnded{ID: id, Endpoint: e, Attempt: attemptIndex, Outcome: OutcomeSucceeded, Latency: 50, RequestClosed: true})
 		now += 200
 		s.at(now, TimerFired{"tick"})
 	}
-	if sent[true] > 6 || sent[false] < 8 {
-		t.Fatalf("%d of 100 queries to an unresponsive endpoint, %d of 100 once it answers", sent[true], sent[false])
+	if sentCounts[true] > 6 || sentCounts[false] < 8 {
+		t.Fatalf("%d of 100 queries to an unresponsive endpoint, %d of 100 once it answers", sentCounts[true], sentCounts[false])
 	}
 }
 
@@ -305,7 +305,7 @@
 	e := s.sentTo("long")
 	for start := now; now < start+600; now += 50 {
 		s.at(now, TimerFired{"tick"})
-		switch isEjected := s.balancer.endpoints.byID[e].health.ejected; {
+		switch isEjected := s.balancer.endpoints.byID[e].health.isEjected; {
 		case isEjected && now < start+300:
 			t.Fatalf("ejected after %.0f ms, expected latency 50 ms", now-start)
 		case isEjected:
@@ -330,7 +330,7 @@
 	s.at(1050, RequestArrived{ID: "bad", Group: 9, TimeLeft: 3000})
 	failingID := s.sentTo("bad")
 	s.at(1051, AttemptEnded{ID: "bad", Endpoint: failingID, Outcome: OutcomeError})
-	if !s.balancer.endpoints.byID[failingID].health.ejected {
+	if !s.balancer.endpoints.byID[failingID].health.isEjected {
 		t.Fatal("an endpoint that fails while others answer stays in rotation")
 	}
 	for i := range 40 { // when all fail, most stay in rotation
@@ -340,7 +340,7 @@
 	}
 	ejectedCount := 0
 	for _, e := range s.balancer.endpoints.sorted {
-		if e.health.ejected {
+		if e.health.isEjected {
 			ejectedCount++
 		}
 	}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -8,7 +8,7 @@
 const (
 	bandRatio = 1.1 // largest ratio of a home's load to the average: bounded-load rendezvous hashing
 	// Number of rendezvous orders for locking requests: more than endpoints, few enough to cache.
-	lockOrders = 256
+	lockOrderCount = 256
 )
 
 // placement chooses the endpoint of a request: the home of its group, unless the home's load is above the
@@ -18,15 +18,15 @@
 // It has no state of its own. It depends on the endpoint set, slow start, capacity, retry policy and outlier
 // detector; none of them depends on it.
 type placement struct {
-	clock        *clock
-	balancer     int // Settings.BalancerIndex
-	endpoints    *endpointSet
-	subscription *subscription
-	estimates    *estimator
-	slowStart    *slowStart
-	capacity     *capacity
-	retries      *retryPolicy
-	outliers     *outlierDetector
+	clock         *clock
+	balancerIndex int // Settings.BalancerIndex
+	endpoints     *endpointSet
+	subscription  *subscription
+	estimates     *estimator
+	slowStart     *slowStart
+	capacity      *capacity
+	retries       *retryPolicy
+	outliers      *outlierDetector
 }
 
 // permitted reports whether the endpoint's state, the class and the deduplication scope allow an attempt
@@ -42,9 +42,9 @@
 	if p.retries.forbidden(r) {
 		return false
 	}
-	first := r.firstRun.endpoint
-	return c.DedupScope == DedupFleet || c.DedupScope == DedupZone && e.Zone == first.Zone ||
-		c.DedupScope == DedupCell && e.Cell == first.Cell
+	firstEndpoint := r.firstRun.endpoint
+	return c.DedupScope == DedupFleet || c.DedupScope == DedupZone && e.Zone == firstEndpoint.Zone ||
+		c.DedupScope == DedupCell && e.Cell == firstEndpoint.Cell
 }
 
 // candidates returns, in affinity order, the permitted endpoints that are in rotation or due for a trial
@@ -54,7 +54,7 @@
 	n := len(p.endpoints.sorted)
 	permittedEndpoints, healthyEndpoints := make([]*endpoint, 0, n), make([]*endpoint, 0, n)
 	class, cheapestLong := p.estimates.class(r), p.estimates.cheapestLongWork()
-	trialAllowed := !class.long && p.outliers.trialDue() && p.retries.mayRetry(r)
+	trialAllowed := !class.isLong && p.outliers.trialDue() && p.retries.mayRetry(r)
 	for _, e := range p.affinityOrder(r) {
 		if !p.permitted(e, r) {
 			continue
@@ -65,7 +65,7 @@
 		}
 		permittedEndpoints = append(permittedEndpoints, e)
 		isTrial := trialAllowed && p.clock.now >= e.health.trialAfter && len(e.inFlight.attempts) == 0
-		if (!e.health.ejected || isTrial) && e.ID != r.lastAttemptedOn {
+		if (!e.health.isEjected || isTrial) && e.ID != r.lastAttemptedOn {
 			healthyEndpoints = append(healthyEndpoints, e)
 		}
 	}
@@ -84,7 +84,7 @@
 		return order
 	}
 	home := order[0]
-	orderGroup := rendezvousHash(uint64(r.sequence), EndpointID(p.balancer)) % lockOrders
+	orderGroup := rendezvousHash(uint64(r.sequence), EndpointID(p.balancerIndex)) % lockOrderCount
 	order = slices.Clone(p.endpoints.rendezvousOrder(orderGroup))
 	homeIndex := slices.Index(order, home)
 	return append(slices.Delete(order, homeIndex, homeIndex+1), home)
@@ -95,8 +95,8 @@
 func (p *placement) inBand(r *request) []*endpoint {
 	candidates := p.candidates(r)
 	sparse := p.endpoints.sparse()
-	load, cores := p.score(candidates, sparse)
-	margin := p.estimates.expectedWork(r) // one request may exceed the load band
+	totalLoad, totalCores := p.score(candidates, sparse)
+	bandMargin := p.estimates.expectedWork(r) // one request may exceed the load band
 	var leastLoaded *endpoint
 	accepted := make([]*endpoint, 0, len(candidates))
 	for _, e := range candidates {
@@ -104,10 +104,10 @@
 			continue
 		}
 		if sparse { // scores are in requests: the margin is up to one, in proportion to cores
-			margin = r.draw * e.cores * float64(len(candidates)) / cores
+			bandMargin = r.draw * e.cores * float64(len(candidates)) / totalCores
 		}
-		withinBand := e.score <= bandRatio*load*e.cores/cores+margin
-		if e.health.ejected || sparse && p.slowStart.warming(e) || withinBand {
+		withinBand := e.score <= bandRatio*totalLoad*e.cores/totalCores+bandMargin
+		if e.health.isEjected || sparse && p.slowStart.warming(e) || withinBand {
 			accepted = append(accepted, e)
 		} else if leastLoaded == nil || e.score/e.cores < leastLoaded.score/leastLoaded.cores {
 			leastLoaded = e
@@ -124,7 +124,7 @@
 
 // score sets each candidate's score to its load, in ms of work or, in sparse traffic, in recent requests. It
 // returns the sums of loads and cores.
-func (p *placement) score(candidates []*endpoint, sparse bool) (load, cores float64) {
+func (p *placement) score(candidates []*endpoint, sparse bool) (totalLoad, totalCores float64) {
 	reportedMean := p.capacity.observeFleet(candidates)
 	for _, e := range candidates {
 		e.score = e.inFlight.work
@@ -134,10 +134,10 @@
 				e.score *= (e.report.InFlight/e.cores + 1) / (reportedMean + 1)
 			}
 		}
-		load += e.score
-		cores += e.cores
+		totalLoad += e.score
+		totalCores += e.cores
 	}
-	return load, cores
+	return totalLoad, totalCores
 }
 
 func (p *placement) compareWarmingFirst(a, b *endpoint) int {
--- a/decide/probe.go
+++ b/decide/probe.go
@@ -48,11 +48,11 @@
 // request, long requests take precedence, because they are nearly all of the load: a reserve of
 // maxProbesPerRequest is kept for them.
 func (p *prober) allowance(r *request) int {
-	allowed := min(maxProbesPerRequest, p.tokens)
-	if !p.estimates.class(r).long && p.probesPerRequest() < 1 {
-		allowed = min(maxProbesPerRequest, max(p.tokens-maxProbesPerRequest, 0))
+	allowedProbes := min(maxProbesPerRequest, p.tokens)
+	if !p.estimates.class(r).isLong && p.probesPerRequest() < 1 {
+		allowedProbes = min(maxProbesPerRequest, max(p.tokens-maxProbesPerRequest, 0))
 	}
-	return int(allowed)
+	return int(allowedProbes)
 }
 
 func (p *prober) probe(e *endpoint) {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -30,7 +30,7 @@
 	seconds := (q.clock.now - q.updatedAt) / 1000
 	q.updatedAt = q.clock.now
 	for i, t := range q.settings.Tenants {
-		share := t.QuotaPerSecond / float64(q.settings.Balancers)
-		q.tokens[i] = min(q.tokens[i]+seconds*share, bucketSeconds*max(share, 1))
+		balancerQuota := t.QuotaPerSecond / float64(q.settings.Balancers)
+		q.tokens[i] = min(q.tokens[i]+seconds*balancerQuota, bucketSeconds*max(balancerQuota, 1))
 	}
 }
--- a/decide/request.go
+++ b/decide/request.go
@@ -8,7 +8,7 @@
 	deadline    Millis  // time at which the client stops waiting
 	answered    bool    // the request has its final answer, or its client has disconnected
 	withinQuota bool    // the request was within its tenant's quota on arrival
-	weight      float64 // rank when the queue was last sorted; see admission.takeSorted
+	sortWeight  float64 // rank when the queue was last sorted; see admission.takeSorted
 	// draw is a random number from 0 to 1 that selects the requests to admit where only a share of traffic
 	// may be. Requests of low value tend to larger draws, which are admitted last.
 	draw float64
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -33,22 +33,22 @@
 	settings  *Settings
 	estimates *estimator
 	// Times of arrivals and retries within Rules.RetryBudgetWindow.
-	arrivals, retries []Millis
-	replanBudget      float64 // number of attempts that may be cancelled as too slow now
+	arrivalTimes, retryTimes []Millis
+	replanBudget             float64 // number of attempts that may be cancelled as too slow now
 }
 
 // recordArrival adds a new request to the replan budget and the retry budget.
 func (p *retryPolicy) recordArrival() {
 	p.replanBudget = min(p.replanBudget+replanBudgetRatio, maxReplanBudget)
 	if p.settings.Rules.RetryBudgetEnabled {
-		p.arrivals = append(p.arrivals, p.clock.now)
+		p.arrivalTimes = append(p.arrivalTimes, p.clock.now)
 	}
 }
 
 // recordRetry counts a retry against the retry budget.
 func (p *retryPolicy) recordRetry() {
 	if p.settings.Rules.RetryBudgetEnabled {
-		p.retries = append(p.retries, p.clock.now)
+		p.retryTimes = append(p.retryTimes, p.clock.now)
 	}
 }
 
@@ -83,9 +83,9 @@
 	if !rules.RetryBudgetEnabled {
 		return true
 	}
-	p.arrivals = dropBefore(p.arrivals, p.clock.now-rules.RetryBudgetWindow+p.clock.ticks(1))
-	p.retries = dropBefore(p.retries, p.clock.now-rules.RetryBudgetWindow-p.clock.ticks(1))
-	return float64(len(p.retries))+1 <= rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(p.arrivals))
+	p.arrivalTimes = dropBefore(p.arrivalTimes, p.clock.now-rules.RetryBudgetWindow+p.clock.ticks(1))
+	p.retryTimes = dropBefore(p.retryTimes, p.clock.now-rules.RetryBudgetWindow-p.clock.ticks(1))
+	return float64(len(p.retryTimes))+1 <= rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(p.arrivalTimes))
 }
 
 // dropBefore drops the times before t from a sorted list.
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -156,9 +156,9 @@
 		b.checkSend(a)
 	case Reject:
 		r := b.finalAnswer(a.ID)
-		if first := b.firstPossibleRun(r); first != nil {
+		if firstRun := b.firstPossibleRun(r); firstRun != nil {
 			c := b.settings.Classes[r.ev.Class]
-			if c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (c.DedupScope != DedupFleet || b.now >= first.StartedAt+c.DedupWindow) {
+			if c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (c.DedupScope != DedupFleet || b.now >= firstRun.StartedAt+c.DedupWindow) {
 				b.fail("rule 2: %s rejected though it may have run and the client must not retry it", a.ID)
 			}
 		}
@@ -169,8 +169,8 @@
 		if r == nil || a.Attempt >= len(r.attempts) || !b.settings.CancellationEnabled {
 			b.fail("cancelled an attempt that was never started, or cancellation is disabled: %s", a.ID)
 		}
-		if at := r.attempts[a.Attempt]; !at.ended && !at.cancelled {
-			at.cancelled, at.endAt, at.outcome = true, b.now+1, OutcomeCancelled
+		if attempt := r.attempts[a.Attempt]; !attempt.ended && !attempt.cancelled {
+			attempt.cancelled, attempt.endAt, attempt.outcome = true, b.now+1, OutcomeCancelled
 		}
 	case StartTimer:
 		b.timers = append(b.timers, b.now+a.After)
@@ -221,31 +221,31 @@
 	b.checkKeyOrder(r, c)
 	b.checkRetryBudget(r)
 	b.checkSlowStart(r, e)
-	at := &trackedAttempt{endpoint: a.Endpoint, startedAt: b.now, endAt: r.deadline, outcome: OutcomeTimeout}
-	r.attempts = append(r.attempts, at)
+	newAttempt := &trackedAttempt{endpoint: a.Endpoint, startedAt: b.now, endAt: r.deadline, outcome: OutcomeTimeout}
+	r.attempts = append(r.attempts, newAttempt)
 	if b.rng.IntN(12) > 0 { // 1 of 12 attempts gets no answer
-		minimum := 0.0
-		at.outcome = Outcome(b.rng.IntN(8))
+		minLatency := 0.0
+		newAttempt.outcome = Outcome(b.rng.IntN(8))
 		if b.rng.IntN(3) > 0 {
-			at.outcome = OutcomeSucceeded
+			newAttempt.outcome = OutcomeSucceeded
 		}
-		if at.outcome == OutcomeSucceeded { // the latency is at least that of the work alone
-			minimum = b.work[r.ev.Class] / float64(c.Threads)
+		if newAttempt.outcome == OutcomeSucceeded { // the latency is at least that of the work alone
+			minLatency = b.work[r.ev.Class] / float64(c.Threads)
 		}
-		at.endAt = b.now + minimum + b.rng.ExpFloat64()*200
-		if at.endAt >= r.deadline {
-			at.endAt, at.outcome = r.deadline, OutcomeTimeout
+		newAttempt.endAt = b.now + minLatency + b.rng.ExpFloat64()*200
+		if newAttempt.endAt >= r.deadline {
+			newAttempt.endAt, newAttempt.outcome = r.deadline, OutcomeTimeout
 		}
 	}
 }
 
 func (b *ruleChecker) checkDedupScope(r *trackedRequest, c Class, e EndpointInfo) {
-	first := b.firstPossibleRun(r)
-	if first == nil || c.Idempotency == IdempotentAlways {
+	firstRun := b.firstPossibleRun(r)
+	if firstRun == nil || c.Idempotency == IdempotentAlways {
 		return
 	}
-	inScope := c.DedupScope == DedupFleet || c.DedupScope == DedupZone && first.Zone == e.Zone || c.DedupScope == DedupCell && first.Cell == e.Cell
-	if c.Idempotency == NotIdempotent || !inScope || b.now-first.StartedAt > c.DedupWindow {
+	inScope := c.DedupScope == DedupFleet || c.DedupScope == DedupZone && firstRun.Zone == e.Zone || c.DedupScope == DedupCell && firstRun.Cell == e.Cell
+	if c.Idempotency == NotIdempotent || !inScope || b.now-firstRun.StartedAt > c.DedupWindow {
 		b.fail("rule 2: %s sent again outside its deduplication scope or window", r.ev.ID)
 	}
 }
@@ -271,7 +271,7 @@
 		return
 	}
 	b.retryTimes = append(b.retryTimes, b.now)
-	count := func(l []Millis) (n float64) {
+	countInWindow := func(l []Millis) (n float64) {
 		for _, t := range l {
 			if t > b.now-rules.RetryBudgetWindow {
 				n++
@@ -279,7 +279,7 @@
 		}
 		return n
 	}
-	if retries, t := count(b.retryTimes), count(b.arrivalTimes); retries > rules.RetryBudgetMin+rules.RetryBudgetRatio*t {
+	if retries, t := countInWindow(b.retryTimes), countInWindow(b.arrivalTimes); retries > rules.RetryBudgetMin+rules.RetryBudgetRatio*t {
 		b.fail("rule 7: %v retries for %v requests exceed the retry budget", retries, t)
 	}
 }
@@ -290,44 +290,44 @@
 		return
 	}
 	b.slowStartSends[e.ID] = append(b.slowStartSends[e.ID], sentWork{b.now, b.work[r.ev.Class]})
-	sum := 0.0
+	windowWork := 0.0
 	for _, s := range b.slowStartSends[e.ID] {
 		if s.sentAt > b.now-rules.OverloadWindow {
-			sum += s.work
+			windowWork += s.work
 		}
 	}
 	fullCapacity := 0.85 * b.settings.Kinds[e.Kind].Cores * rules.OverloadWindow
 	// One balancer may use half of the capacity that warming endpoints have at the start or have shown since. That all
 	// balancers together stay below the complete budget is checked by
 	// TestWarmingEndpointsOfSparseFleetCarryLongQueries.
-	if allowed := rules.OverloadRatio * fullCapacity / 2 * max(rules.SlowStartCapacityRatio, b.bestThroughput); sum > allowed {
-		b.fail("rule 4: %.0f ms of work sent to warming endpoint %d, %.0f ms allowed", sum, e.ID, allowed)
+	if allowedWork := rules.OverloadRatio * fullCapacity / 2 * max(rules.SlowStartCapacityRatio, b.bestThroughput); windowWork > allowedWork {
+		b.fail("rule 4: %.0f ms of work sent to warming endpoint %d, %.0f ms allowed", windowWork, e.ID, allowedWork)
 	}
 }
 
 // step advances the time to the next event: the end of an attempt, a timer or a random event.
 func (b *ruleChecker) step() {
-	next := b.now + b.rng.ExpFloat64()*20
+	nextAt := b.now + b.rng.ExpFloat64()*20
 	timerDue := false
 	sort.Float64s(b.timers)
-	if len(b.timers) > 0 && b.timers[0] <= next {
-		next, timerDue = b.timers[0], true
+	if len(b.timers) > 0 && b.timers[0] <= nextAt {
+		nextAt, timerDue = b.timers[0], true
 	}
-	var ending *trackedRequest
+	var endingRequest *trackedRequest
 	for _, r := range b.arrivals {
-		if r.inFlight() && r.attempts[len(r.attempts)-1].endAt <= next {
-			ending, timerDue, next = r, false, r.attempts[len(r.attempts)-1].endAt
+		if r.inFlight() && r.attempts[len(r.attempts)-1].endAt <= nextAt {
+			endingRequest, timerDue, nextAt = r, false, r.attempts[len(r.attempts)-1].endAt
 		}
 	}
-	b.now = max(b.now, next)
+	b.now = max(b.now, nextAt)
 	for _, r := range b.arrivals {
 		if !r.closed && b.now > r.deadline+b.settings.Rules.AnswerSlack {
 			b.fail("rule 1: %s has no final answer after its deadline %.1f", r.ev.ID, r.deadline)
 		}
 	}
 	switch {
-	case ending != nil:
-		b.endAttempt(ending)
+	case endingRequest != nil:
+		b.endAttempt(endingRequest)
 	case timerDue:
 		b.timers = b.timers[1:]
 		b.feed(TimerFired{"tick"})
@@ -338,8 +338,8 @@
 
 // endAttempt ends the request's last attempt with its planned outcome.
 func (b *ruleChecker) endAttempt(r *trackedRequest) {
-	n := len(r.attempts) - 1
-	a := r.attempts[n]
+	attemptIndex := len(r.attempts) - 1
+	a := r.attempts[attemptIndex]
 	a.ended = true
 	c := b.settings.Classes[r.ev.Class]
 	if c.OrderedByKey && r.ev.HasKey && (a.outcome == OutcomeTimeout || a.outcome == OutcomeReset || a.outcome == OutcomeCancelled) {
@@ -349,7 +349,7 @@
 		r.closed = true
 		b.answers++
 	}
-	ev := AttemptEnded{ID: r.ev.ID, Attempt: n, Endpoint: a.endpoint, Outcome: a.outcome, Latency: b.now - a.startedAt, RequestClosed: r.closed}
+	ev := AttemptEnded{ID: r.ev.ID, Attempt: attemptIndex, Endpoint: a.endpoint, Outcome: a.outcome, Latency: b.now - a.startedAt, RequestClosed: r.closed}
 	if a.outcome == OutcomeSucceeded && b.settings.ActualCostReported {
 		ev.ActualWork, ev.ActualMemoryMB = b.work[r.ev.Class], 100
 		b.bestThroughput = max(b.bestThroughput, min(ev.ActualWork/float64(c.Threads)/ev.Latency, 1))
@@ -362,29 +362,29 @@
 
 // randomEvent feeds a random event, most often the arrival of a request.
 func (b *ruleChecker) randomEvent() {
-	switch k := b.rng.IntN(40); {
-	case k == 0:
+	switch eventDraw := b.rng.IntN(40); {
+	case eventDraw == 0:
 		b.changeList()
-	case k == 1:
+	case eventDraw == 1:
 		b.feed(GossipReceived{From: b.rng.IntN(8) - 1, Data: []byte{byte(b.rng.IntN(3)), byte(b.rng.IntN(256)), 200, 3}})
-	case k == 2:
+	case eventDraw == 2:
 		b.feed(EndpointUpdate{Kind: UpdateFailed})
-	case k == 3 && len(b.arrivals) > 0:
+	case eventDraw == 3 && len(b.arrivals) > 0:
 		if r := b.arrivals[b.rng.IntN(len(b.arrivals))]; !r.closed {
 			r.closed = true
 			b.feed(ClientDisconnected{r.ev.ID})
 		}
-	case k < 8 && len(b.arrivals) > 0:
+	case eventDraw < 8 && len(b.arrivals) > 0:
 		r := b.arrivals[b.rng.IntN(len(b.arrivals))]
 		b.feed(AttemptProgress{ID: r.ev.ID, Attempt: len(r.attempts) - 1, Kind: ProgressKind(1 + b.rng.IntN(3)), Value: b.rng.Float64()})
-	case k < 14 && k > 8 && len(b.probes) > 0: // some probes never end
+	case eventDraw < 14 && eventDraw > 8 && len(b.probes) > 0: // some probes never end
 		ev := ProbeEnded{Endpoint: b.probes[0], Outcome: Outcome(b.rng.IntN(8)), Latency: 3}
 		if b.rng.IntN(2) == 0 {
 			ev.Load = &LoadReport{InFlight: b.rng.Float64() * 60, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
 		}
 		b.probes = b.probes[1:]
 		b.feed(ev)
-	case k == 8 && b.rng.IntN(20) == 0:
+	case eventDraw == 8 && b.rng.IntN(20) == 0:
 		b.start() // restarted without its state
 	default:
 		b.arrive()
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,7 +5,7 @@
 const (
 	slowStartSafety      = 0.5  // ratio of the overload budget to use, because a window can overlap two turns
 	usableCores          = 0.85 // ratio of busy cores at full capacity
-	warmupAges           = 8    // intervals of the slow start whose throughput is learned separately
+	warmupAgeCount       = 8    // intervals of the slow start whose throughput is learned separately
 	minThroughputSamples = 3.0  // answers needed for a mean: a single one may be from a busy or idle endpoint
 )
 
@@ -21,7 +21,7 @@
 	settings *Settings
 	// throughput sums the observed ratios of speed to full speed of warming endpoints, by
 	// interval of their age.
-	throughput [warmupAges]struct{ sum, samples float64 }
+	throughput [warmupAgeCount]struct{ sum, sampleCount float64 }
 }
 
 // warming reports whether an endpoint is warming up and may not yet have its full capacity.
@@ -48,11 +48,11 @@
 	}
 	cutoff := s.clock.now - rules.OverloadWindow - s.clock.ticks(2)
 	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, func(w sentWork) bool { return w.sentAt < cutoff })
-	sum := work
+	windowWork := work
 	for _, w := range e.slowStartSends {
-		sum += w.work
+		windowWork += w.work
 	}
-	return sum <= budget/float64(balancersPerTurn)
+	return windowWork <= budget/float64(balancersPerTurn)
 }
 
 // budget is the work, in ms on one core, that all balancers together may send to a
@@ -60,8 +60,8 @@
 func (s *slowStart) budget(e *endpoint) float64 {
 	rules := s.settings.Rules
 	limit := rules.OverloadRatio * slowStartSafety // capped at 1 below: endpoints can't exceed full speed
-	ratio := max(limit*rules.SlowStartCapacityRatio, min(limit, 1)*s.meanThroughput(s.clock.now-e.StartedAt))
-	return ratio * usableCores * e.cores * rules.OverloadWindow
+	budgetRatio := max(limit*rules.SlowStartCapacityRatio, min(limit, 1)*s.meanThroughput(s.clock.now-e.StartedAt))
+	return budgetRatio * usableCores * e.cores * rules.OverloadWindow
 }
 
 // rotationPosition is this balancer's position in the rotation for an endpoint. The balancers at the lowest
@@ -70,8 +70,8 @@
 	window := max(s.settings.Rules.OverloadWindow, 1)
 	offset := window * float64(rendezvousHash(rotationPhaseSalt, e.ID)>>11) / (1 << 53)
 	turn := uint64(max(s.clock.now+offset, 0) / window)
-	first := rendezvousHash(turn, e.ID) % uint64(s.settings.Balancers)
-	return (s.settings.BalancerIndex + s.settings.Balancers - int(first)) % s.settings.Balancers
+	firstBalancer := rendezvousHash(turn, e.ID) % uint64(s.settings.Balancers)
+	return (s.settings.BalancerIndex + s.settings.Balancers - int(firstBalancer)) % s.settings.Balancers
 }
 
 // recordSend counts an attempt against the endpoint's budget. work is the mean work of its class.
@@ -87,23 +87,23 @@
 	if ev.ActualWork <= 0 || e.StartedAt <= 0 || age < 0 || age >= 1 {
 		return
 	}
-	t := &s.throughput[int(age*warmupAges)]
+	t := &s.throughput[int(age*warmupAgeCount)]
 	t.sum += min(ev.ActualWork/threads/max(ev.Latency, 1), 1)
-	t.samples++
+	t.sampleCount++
 }
 
 // meanThroughput is the mean observed ratio of speed to full speed of endpoints up to the given age, from
 // the latest ages that together have enough samples; 0 without enough samples. A loaded endpoint shows less
 // than its capacity, never more.
 func (s *slowStart) meanThroughput(age Millis) float64 {
-	var sum, samples float64
-	last := min(int(age/max(s.settings.Rules.SlowStartDuration, 1)*warmupAges), warmupAges-1)
-	for i := last; i >= 0 && samples < minThroughputSamples; i-- {
+	var sum, sampleCount float64
+	lastAge := min(int(age/max(s.settings.Rules.SlowStartDuration, 1)*warmupAgeCount), warmupAgeCount-1)
+	for i := lastAge; i >= 0 && sampleCount < minThroughputSamples; i-- {
 		sum += s.throughput[i].sum
-		samples += s.throughput[i].samples
+		sampleCount += s.throughput[i].sampleCount
 	}
-	if samples < minThroughputSamples {
+	if sampleCount < minThroughputSamples {
 		return 0
 	}
-	return sum / samples
+	return sum / sampleCount
 }
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -223,10 +223,10 @@
 	if r == nil {
 		return
 	}
-	attempt, sentAt := r.attempts, f.now
+	attemptIndex, sentAt := r.attempts, f.now
 	r.attempts++
 	reportEnd := func(outcome Outcome, work float64) {
-		b.handle(AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: outcome, Latency: f.now - sentAt, RequestClosed: outcome == OutcomeSucceeded, ActualWork: work})
+		b.handle(AttemptEnded{ID: a.ID, Attempt: attemptIndex, Endpoint: a.Endpoint, Outcome: outcome, Latency: f.now - sentAt, RequestClosed: outcome == OutcomeSucceeded, ActualWork: work})
 	}
 	r.cancel = func() {}
 	if e == nil || e.removed || f.now < e.downUntil {
@@ -242,17 +242,17 @@
 	e.threads += threads
 	endpointStart := e.startedAt
 	slowdown := max(e.threads/(f.settings.Kinds[0].Cores*usableCores*f.capacityRatio(e)), 1)
-	cancelled, released := false, false
+	isCancelled, threadsReleased := false, false
 	releaseThreads := func() {
-		if !released {
-			released = true
+		if !threadsReleased {
+			threadsReleased = true
 			e.threads -= threads
 		}
 	}
-	r.cancel = func() { cancelled = true; releaseThreads() }
+	r.cancel = func() { isCancelled = true; releaseThreads() }
 	f.schedule(work/threads*slowdown, func() {
 		releaseThreads()
-		if cancelled {
+		if isCancelled {
 			return
 		}
 		scheduleUnlessRestarted(0, func() {
@@ -268,15 +268,15 @@
 // recordAttempt compares the attempts at a warming endpoint within an overload window, in requests of mean work, with
 // its budget.
 func (f *slowStartFleet) recordAttempt(e *warmingEndpoint, class int) {
-	requests := f.meanWork[class] / f.meanRequestWork()
-	e.received = append(slices.DeleteFunc(e.received, func(s sentWork) bool { return s.sentAt <= f.now-f.settings.Rules.OverloadWindow }), sentWork{f.now, requests})
-	sum := 0.0
+	requestEquivalents := f.meanWork[class] / f.meanRequestWork()
+	e.received = append(slices.DeleteFunc(e.received, func(s sentWork) bool { return s.sentAt <= f.now-f.settings.Rules.OverloadWindow }), sentWork{f.now, requestEquivalents})
+	windowWork := 0.0
 	for _, s := range e.received {
-		sum += s.work
+		windowWork += s.work
 	}
-	n := f.budget(e)
-	f.worstExcess = max(f.worstExcess, (sum-n)/randomExcess(n))
-	f.receivedWork += requests
+	budget := f.budget(e)
+	f.worstExcess = max(f.worstExcess, (windowWork-budget)/randomExcess(budget))
+	f.receivedWork += requestEquivalents
 }
 
 // arrive lets a request of a random class arrive.
@@ -297,26 +297,26 @@
 // used. misconfiguration changes the settings of the balancers, but not those of the simulated endpoints.
 func simulateSlowStartFleet(t *testing.T, balancerCount int, seed uint64, misconfiguration func(*Settings)) (excess, usedRatio float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(balancerCount)))
-	uniform := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
+	randomBetween := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
 	f := &slowStartFleet{test: t, rng: rng, endpoints: map[EndpointID]*warmingEndpoint{}, misconfigure: misconfiguration, worstExcess: math.Inf(-1)}
-	f.meanWork = []float64{uniform(50, 230), uniform(2500, 5900), uniform(2800, 7800)}
-	f.trafficRatios = []float64{uniform(10, 18), uniform(2, 2.9), uniform(0.5, 1.3)}
-	sum := f.trafficRatios[0] + f.trafficRatios[1] + f.trafficRatios[2]
+	f.meanWork = []float64{randomBetween(50, 230), randomBetween(2500, 5900), randomBetween(2800, 7800)}
+	f.trafficRatios = []float64{randomBetween(10, 18), randomBetween(2, 2.9), randomBetween(0.5, 1.3)}
+	sumOfRatios := f.trafficRatios[0] + f.trafficRatios[1] + f.trafficRatios[2]
 	for i := range f.trafficRatios {
-		f.trafficRatios[i] /= sum
+		f.trafficRatios[i] /= sumOfRatios
 	}
 	f.settings = Settings{Balancers: balancerCount, TickInterval: 5, MaxAttempts: 3, CancellationEnabled: true, MaxRetryAfter: 500, ActualCostReported: rng.IntN(2) == 0,
 		Kinds: []EndpointKind{{Cores: float64(8 + 4*rng.IntN(3))}}, ProbesEnabled: rng.IntN(2) == 0, LoadReportsEnabled: rng.IntN(2) == 0, ProbeCost: 0.01,
 		Classes: []Class{{LatencyObjective: 500, Deadline: 2500, Threads: 1, PriorityWeight: 1, LateWeightRatio: 0.1, ObjectivePerWork: 1.5},
 			{LatencyObjective: 1500, Deadline: 15000, Threads: 4, PriorityWeight: 20, LateWeightRatio: 0.4, ObjectivePerWork: 2.5},
 			{LatencyObjective: 4000, Deadline: 20000, Threads: 2, PriorityWeight: 25, LateWeightRatio: 0.6, ObjectivePerWork: 3, Idempotency: NotIdempotent, LocksGroup: true}},
-		Rules: Rules{SlowStartCapacityRatio: uniform(0.3, 0.5), SlowStartDuration: uniform(8000, 15000), OverloadRatio: uniform(2, 3), OverloadWindow: uniform(1000, 3000)}}
+		Rules: Rules{SlowStartCapacityRatio: randomBetween(0.3, 0.5), SlowStartDuration: randomBetween(8000, 15000), OverloadRatio: randomBetween(2, 3), OverloadWindow: randomBetween(1000, 3000)}}
 	endpointCount := 6 + rng.IntN(5)
 	for i := range endpointCount {
 		f.endpoints[EndpointID(i+1)] = &warmingEndpoint{id: EndpointID(i + 1)}
 	}
 	for i := range balancerCount {
-		b := &simulatedBalancer{fleet: f, index: i, listDelay: uniform(50, 4000), weight: rng.ExpFloat64() + 0.05}
+		b := &simulatedBalancer{fleet: f, index: i, listDelay: randomBetween(50, 4000), weight: rng.ExpFloat64() + 0.05}
 		f.balancers = append(f.balancers, b)
 		b.start()
 	}
@@ -324,19 +324,19 @@
 	for _, b := range f.balancers {
 		totalWeight += b.weight
 	}
-	requestRate := uniform(0.6, 1.3) * float64(endpointCount) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
+	requestRate := randomBetween(0.6, 1.3) * float64(endpointCount) * f.settings.Kinds[0].Cores * usableCores / f.meanRequestWork() // requests per ms, all balancers together
 	lastID := 0
 	for _, b := range f.balancers {
-		var next func()
-		next = func() {
+		var arriveAndScheduleNext func()
+		arriveAndScheduleNext = func() {
 			lastID++
 			b.arrive(lastID)
-			f.schedule(rng.ExpFloat64()/(requestRate*b.weight/totalWeight), next)
+			f.schedule(rng.ExpFloat64()/(requestRate*b.weight/totalWeight), arriveAndScheduleNext)
 		}
-		f.schedule(rng.ExpFloat64()/(requestRate*b.weight/totalWeight), next)
+		f.schedule(rng.ExpFloat64()/(requestRate*b.weight/totalWeight), arriveAndScheduleNext)
 	}
 	for i := range 1 + rng.IntN(endpointCount*7/10) { // half of them are replaced, the others restart
-		e, at := f.endpoints[EndpointID(i+1)], uniform(3000, 7000)
+		e, at := f.endpoints[EndpointID(i+1)], randomBetween(3000, 7000)
 		if rng.IntN(2) == 0 {
 			f.schedule(at, func() {
 				e.removed = true
@@ -348,7 +348,7 @@
 			continue
 		}
 		f.schedule(at, func() {
-			e.startedAt = f.now + uniform(300, 4000)
+			e.startedAt = f.now + randomBetween(300, 4000)
 			e.downUntil = e.startedAt
 			f.schedule(e.downUntil-f.now, func() {
 				f.notify(e.listEntry())
@@ -357,7 +357,7 @@
 	}
 	for range rng.IntN(balancerCount/2 + 1) { // balancers that restart during slow start
 		b := f.balancers[rng.IntN(balancerCount)]
-		f.schedule(uniform(5000, 15000), b.start)
+		f.schedule(randomBetween(5000, 15000), b.start)
 	}
 	const step = 100
 	var sumBudgets func()
@@ -385,19 +385,19 @@
 	for _, balancers := range []int{3, 20, 30} {
 		t.Run(fmt.Sprint(balancers), func(t *testing.T) {
 			t.Parallel()
-			worst, sum, violations := math.Inf(-1), 0.0, 0
+			worstExcess, sumUsedRatios, violationCount := math.Inf(-1), 0.0, 0
 			for seed := range *slowStartSeeds {
-				excess, used := simulateSlowStartFleet(t, balancers, uint64(seed+1), nil)
+				excess, usedRatio := simulateSlowStartFleet(t, balancers, uint64(seed+1), nil)
 				if excess > 1 {
-					violations++
+					violationCount++
 					t.Errorf("seed %d: a budget was exceeded by %.2f times randomExcess", seed+1, excess)
 				}
-				worst, sum = max(worst, excess), sum+used
+				worstExcess, sumUsedRatios = max(worstExcess, excess), sumUsedRatios+usedRatio
 			}
-			mean := sum / float64(*slowStartSeeds)
-			t.Logf("%d balancers, %d simulations: %d with violations, worst excess %.2f times randomExcess, ratio of the budget used %.2f", balancers, *slowStartSeeds, violations, worst, mean)
-			if mean < 0.05 {
-				t.Errorf("warming endpoints get only %.3f of their budget", mean)
+			meanUsedRatio := sumUsedRatios / float64(*slowStartSeeds)
+			t.Logf("%d balancers, %d simulations: %d with violations, worst excess %.2f times randomExcess, ratio of the budget used %.2f", balancers, *slowStartSeeds, violationCount, worstExcess, meanUsedRatio)
+			if meanUsedRatio < 0.05 {
+				t.Errorf("warming endpoints get only %.3f of their budget", meanUsedRatio)
 			}
 		})
 	}
@@ -410,14 +410,14 @@
 		"no slow start":                       func(s *Settings) { s.Rules.SlowStartDuration = 0 },
 		"each balancer uses the whole budget": func(s *Settings) { s.Balancers, s.BalancerIndex = 1, 0 },
 	} {
-		violations := 0
+		violationCount := 0
 		for seed := range uint64(30) {
 			if excess, _ := simulateSlowStartFleet(t, 20, seed+1, misconfigure); excess > 1 {
-				violations++
+				violationCount++
 			}
 		}
-		if t.Logf("%s: violations in %d of 30 simulations", name, violations); violations < 3 {
-			t.Errorf("%s: violations in only %d of 30 simulations", name, violations)
+		if t.Logf("%s: violations in %d of 30 simulations", name, violationCount); violationCount < 3 {
+			t.Errorf("%s: violations in only %d of 30 simulations", name, violationCount)
 		}
 	}
 }
--- a/decide/status.go
+++ b/decide/status.go
@@ -21,7 +21,7 @@
 		status := EndpointStatus{
 			ID:              e.ID,
 			Ready:           e.ready(),
-			Ejected:         e.health.ejected,
+			Ejected:         e.health.isEjected,
 			ProcessDown:     e.health.processDown,
 			WarmingUp:       b.slowStart.warming(e),
 			InFlight:        len(e.inFlight.attempts),
--- a/decide/subscription.go
+++ b/decide/subscription.go
@@ -5,27 +5,27 @@
 // subscription keeps the subscription to the endpoint list active if discovery requires one, with a backoff
 // after failures.
 type subscription struct {
-	clock    *clock
-	rng      *rand.Rand
-	outbox   *outbox
-	required bool
-	interval Millis // Rules.SubscribeInterval
+	clock             *clock
+	rng               *rand.Rand
+	outbox            *outbox
+	isRequired        bool
+	subscribeInterval Millis // Rules.SubscribeInterval
 
-	isActive  bool   // a subscription is in effect
-	failures  int    // consecutive failures
-	retryAt   Millis // earliest time of the next Subscribe
-	startedAt Millis // time at which this balancer got the cached list at its start
+	isActive            bool   // a subscription is in effect
+	consecutiveFailures int    // consecutive failures
+	retryAt             Millis // earliest time of the next Subscribe
+	startedAt           Millis // time at which this balancer got the cached list at its start
 }
 
 // updated records an update of the endpoint list or the failure to get one.
 func (s *subscription) updated(kind UpdateKind) {
 	if kind == UpdateFailed {
 		s.isActive = false
-		s.failures++
+		s.consecutiveFailures++
 		return
 	}
-	if s.required {
-		s.isActive, s.failures = kind != UpdateCached, 0
+	if s.isRequired {
+		s.isActive, s.consecutiveFailures = kind != UpdateCached, 0
 	}
 	if kind == UpdateCached {
 		s.startedAt = s.clock.now
@@ -39,10 +39,10 @@
 // renew subscribes if no subscription is active. It randomizes the time of the next try, because all
 // balancers lose discovery at the same time.
 func (s *subscription) renew() {
-	if !s.required || s.isActive || s.clock.now < s.retryAt {
+	if !s.isRequired || s.isActive || s.clock.now < s.retryAt {
 		return
 	}
-	wait := s.interval / 4 * float64(min(s.failures+1, maxBackoffSteps)) / maxBackoffSteps
-	s.retryAt = s.clock.now + wait*(0.75+0.5*s.rng.Float64())
+	retryDelay := s.subscribeInterval / 4 * float64(min(s.consecutiveFailures+1, maxBackoffSteps)) / maxBackoffSteps
+	s.retryAt = s.clock.now + retryDelay*(0.75+0.5*s.rng.Float64())
 	s.outbox.add(Subscribe{})
 }
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -47,18 +47,19 @@
 // problemList collects problems in the order of the checks.
 type problemList []SettingsProblem
 
-// fatal adds a problem that makes the settings unusable if bad is true. The field is a format for indexes.
-func (l *problemList) fatal(bad bool, message, field string, indexes ...any) {
-	if bad {
-		*l = append(*l, SettingsProblem{Field: fmt.Sprintf(field, indexes...), Message: message, Fatal: true})
+// fatal adds a problem that makes the settings unusable if isInvalid is true. fieldFormat is a format
+// string for the indexes.
+func (l *problemList) fatal(isInvalid bool, message, fieldFormat string, indexes ...any) {
+	if isInvalid {
+		*l = append(*l, SettingsProblem{Field: fmt.Sprintf(fieldFormat, indexes...), Message: message, Fatal: true})
 	}
 }
 
-// warn adds a problem with its consequence if bad is true.
-func (l *problemList) warn(bad bool, message, consequence, field string, indexes ...any) {
-	if bad {
+// warn adds a problem with its consequence if isInvalid is true.
+func (l *problemList) warn(isInvalid bool, message, consequence, fieldFormat string, indexes ...any) {
+	if isInvalid {
 		*l = append(*l, SettingsProblem{
-			Field: fmt.Sprintf(field, indexes...), Message: message, Consequence: consequence,
+			Field: fmt.Sprintf(fieldFormat, indexes...), Message: message, Consequence: consequence,
 		})
 	}
 }
--- a/internal/config/coordinator.go
+++ b/internal/config/coordinator.go
@@ -94,26 +94,27 @@
 	return &c, append(findings, settingsFindings...)
 }
 
-// checkRequired parses the seed and returns a fatal finding for each required field that is absent or out of range.
+// checkRequired parses the seed and returns a fatal finding for each required field that is absent or out of range, and
+// for a seed that is not 1 to 16 hexadecimal digits.
 func (c *Coordinator) checkRequired() (findings []wire.Finding) {
-	require := func(ok bool, field string, value any, message string) {
+	requireField := func(ok bool, field string, value any, message string) {
 		if !ok {
 			findings = append(findings, wire.FatalFinding(field, fmt.Sprint(value), message))
 		}
 	}
-	require(c.Listen != "", "listen", "absent", "must be set to the address at which clients connect")
-	require(c.Journal != "", "journal", "absent", "must be set to the address of the journal service")
-	require(c.Limits.MemoryMB >= MinMemoryMB, "limits.memory_mb", c.Limits.MemoryMB, fmt.Sprintf("must be at least %d", MinMemoryMB))
-	require(c.Limits.Sockets >= MinSockets, "limits.sockets", c.Limits.Sockets, fmt.Sprintf("must be at least %d", MinSockets))
+	requireField(c.Listen != "", "listen", "absent", "must be set to the address at which clients connect")
+	requireField(c.Journal != "", "journal", "absent", "must be set to the address of the journal service")
+	requireField(c.Limits.MemoryMB >= MinMemoryMB, "limits.memory_mb", c.Limits.MemoryMB, fmt.Sprintf("must be at least %d", MinMemoryMB))
+	requireField(c.Limits.Sockets >= MinSockets, "limits.sockets", c.Limits.Sockets, fmt.Sprintf("must be at least %d", MinSockets))
 	var err error
 	c.SeedNumber, err = strconv.ParseUint(c.Seed, 16, 64)
-	require(err == nil, "seed", strconv.Quote(c.Seed), "must be 1 to 16 hexadecimal digits")
+	requireField(err == nil, "seed", strconv.Quote(c.Seed), "must be 1 to 16 hexadecimal digits")
 	return findings
 }
 
 // checkAddresses returns a fatal finding for each address that is malformed or used twice.
 func (c *Coordinator) checkAddresses() (findings []wire.Finding) {
-	check := func(field, address string) {
+	checkAddress := func(field, address string) {
 		if address == "" {
 			return
 		}
@@ -121,17 +122,17 @@
 			findings = append(findings, wire.FatalFinding(field, address, "must be an IP address and port, such as 127.0.0.1:8443; host names are not resolved"))
 		}
 	}
-	check("listen", c.Listen)
-	check("admin", c.Admin)
-	check("journal", c.Journal)
-	check("peer_listen", c.PeerListen)
-	check("peers_all", c.PeersAll)
+	checkAddress("listen", c.Listen)
+	checkAddress("admin", c.Admin)
+	checkAddress("journal", c.Journal)
+	checkAddress("peer_listen", c.PeerListen)
+	checkAddress("peers_all", c.PeersAll)
 	firstIndex := map[string]int{}
 	for i, address := range c.Peers {
 		field := fmt.Sprintf("peers[%d]", i)
-		check(field, address)
-		if first, duplicate := firstIndex[address]; duplicate {
-			findings = append(findings, wire.FatalFinding(field, address, fmt.Sprintf("the same as peers[%d]", first)))
+		checkAddress(field, address)
+		if earlierIndex, isDuplicate := firstIndex[address]; isDuplicate {
+			findings = append(findings, wire.FatalFinding(field, address, fmt.Sprintf("the same as peers[%d]", earlierIndex)))
 		}
 		firstIndex[address] = i
 	}
--- a/internal/config/fielderror.go
+++ b/internal/config/fielderror.go
@@ -28,9 +28,9 @@
 // own error, which names types of the program, is used only where the standard decoder finds nothing wrong, as for an
 // unknown field.
 func decodingProblem(raw []byte, target any, decodingError error) string {
-	fault, found := jsonfault.Find(raw, target)
+	fault, hasFault := jsonfault.Find(raw, target)
 	switch {
-	case !found:
+	case !hasFault:
 		return decodingError.Error()
 	case fault.Field == "":
 		return fault.Message()
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -17,18 +17,18 @@
 // LoadCoordinator reads the file that LB_CONFIG names; the name and addresses in the environment replace
 // those of the file. The error is ErrNoConfig, an error of reading the file, or the first FindingError.
 func LoadCoordinator() (*Coordinator, []wire.Finding, error) {
-	path := os.Getenv("LB_CONFIG")
-	if path == "" {
+	configPath := os.Getenv("LB_CONFIG")
+	if configPath == "" {
 		return nil, nil, ErrNoConfig
 	}
-	raw, err := os.ReadFile(path)
+	raw, err := os.ReadFile(configPath)
 	if err != nil {
 		return nil, nil, fmt.Errorf("configuration: %w", err)
 	}
 	override := Override{Name: os.Getenv("LB_NAME"), Listen: os.Getenv("LB_LISTEN"), Admin: os.Getenv("LB_ADMIN")}
 	coordinator, findings := ParseCoordinator(raw, override)
 	if err := FirstFatal(findings); err != nil {
-		return nil, findings, fmt.Errorf("configuration: %w (aniseloftctl check config %s lists all findings)", err, path)
+		return nil, findings, fmt.Errorf("configuration: %w (aniseloftctl check config %s lists all findings)", err, configPath)
 	}
 	return coordinator, findings, nil
 }
--- a/internal/ctl/drill_virtual.go
+++ b/internal/ctl/drill_virtual.go
@@ -138,15 +138,15 @@
 
 // shrinkDrill returns the smallest drill that still violates a rule with the given seed.
 func shrinkDrill(selected drillSelection, seed uint64) (*drill.Drill, error) {
-	fails := func(d *drill.Drill) bool {
+	violatesRule := func(d *drill.Drill) bool {
 		result, err := drill.RunVirtual(d, seed, selected.disabled, false)
 		return err == nil && len(result.Violations) > 0
 	}
-	if !fails(selected.drill) {
+	if !violatesRule(selected.drill) {
 		return nil, fmt.Errorf("drill %s, seed %d: no rule is violated: there is nothing to shrink", selected.drill.Name, seed)
 	}
-	smallest := drill.Shrink(selected.drill, seed, fails)
-	smallest.Name, smallest.Schema = selected.drill.Name+"-least", ""
-	smallest.Faults = slices.Clip(smallest.Faults)
-	return smallest, nil
+	smallestDrill := drill.Shrink(selected.drill, seed, violatesRule)
+	smallestDrill.Name, smallestDrill.Schema = selected.drill.Name+"-least", ""
+	smallestDrill.Faults = slices.Clip(smallestDrill.Faults)
+	return smallestDrill, nil
 }
--- a/internal/ctl/fleet_admin.go
+++ b/internal/ctl/fleet_admin.go
@@ -111,13 +111,13 @@
 		printf("\nclient\tkeep-alive ms ago\tcapacity\t\n")
 	}
 	for _, client := range s.Clients {
-		state := ""
+		clientState := ""
 		if client.Draining {
-			state = "draining"
+			clientState = "draining"
 		} else if client.HeldDown {
-			state = "held down: it let leases expire"
+			clientState = "held down: it let leases expire"
 		}
-		printf("%s\t%.0f\t%.1f\t%s\n", client.Name, client.AgeMS, client.Capacity, state)
+		printf("%s\t%.0f\t%.1f\t%s\n", client.Name, client.AgeMS, client.Capacity, clientState)
 	}
 	return w.Flush()
 }
--- a/internal/ctl/spool.go
+++ b/internal/ctl/spool.go
@@ -44,20 +44,20 @@
 	return cmd
 }
 
-func printSpool(cmd *cobra.Command, found spool.Inspection) error {
+func printSpool(cmd *cobra.Command, inspection spool.Inspection) error {
 	w := tableWriter(cmd)
 	_, _ = fmt.Fprintln(w, "result\towner\tclass\tstate\tpages\tbytes\tsealed")
-	for _, result := range found.Results {
-		name, sealed := result.Name, ""
-		if name == "" {
-			name = result.ID
+	for _, result := range inspection.Results {
+		resultName, sealed := result.Name, ""
+		if resultName == "" {
+			resultName = result.ID
 		}
 		if result.SealedAt > 0 {
 			sealed = time.UnixMilli(int64(result.SealedAt)).UTC().Format(time.RFC3339)
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", name, result.Owner, result.Class, result.State, result.Pages, result.Bytes, sealed)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", resultName, result.Owner, result.Class, result.State, result.Pages, result.Bytes, sealed)
 	}
-	_, _ = fmt.Fprintf(w, "%d segments, %d bytes\n", found.Segments, found.Bytes)
+	_, _ = fmt.Fprintf(w, "%d segments, %d bytes\n", inspection.Segments, inspection.Bytes)
 	return w.Flush()
 }
 
--- a/internal/fleetlog/fleetlog.go
+++ b/internal/fleetlog/fleetlog.go
@@ -37,18 +37,18 @@
 	attemptsEnded map[string]int // by outcome
 	answers       map[string]int // by kind and reason
 	answeredBy    map[string]int // by coordinator
-	updates       map[updateKey]*updateSpread
+	updates       map[updateKey]*updateReceipts
 	attempts      []attempt
 }
 
 // updateKey identifies an update of the endpoint list across all coordinators.
 type updateKey struct{ endpoint, state string }
 
-// updateSpread holds the time at which each coordinator first received an update. Repetitions, as in a complete list, are
+// updateReceipts holds the time at which each coordinator first received an update. Repetitions, as in a complete list, are
 // ignored.
-type updateSpread struct {
-	first, last time.Time            // earliest and latest receipt
-	received    map[string]time.Time // first receipt, by coordinator
+type updateReceipts struct {
+	firstAt, lastAt time.Time            // earliest and latest receipt
+	receivedAt      map[string]time.Time // first receipt, by coordinator
 }
 
 // attempt is one attempt that a coordinator started.
@@ -68,7 +68,7 @@
 		attemptsEnded: map[string]int{},
 		answers:       map[string]int{},
 		answeredBy:    map[string]int{},
-		updates:       map[updateKey]*updateSpread{},
+		updates:       map[updateKey]*updateReceipts{},
 	}
 }
 
@@ -78,18 +78,18 @@
 // Read adds the log of one coordinator. Lines that are not log lines, such as counters, are skipped and counted. The error
 // names the coordinator and the last line read; it wraps bufio.ErrTooLong or the reader's error.
 func (s *Summary) Read(coordinator string, r io.Reader) error {
-	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
+	for scanner.Scan() {
 		s.lines++
-		parsed, ok := parseLine(lines.Text())
+		parsed, ok := parseLine(scanner.Text())
 		if !ok {
 			s.skippedLines++
 			continue
 		}
 		s.add(coordinator, parsed)
 	}
-	if err := lines.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("log of %s: after line %d: %w", coordinator, s.lines, err)
 	}
 	s.coordinators[coordinator] = true
@@ -100,12 +100,12 @@
 func (s *Summary) add(coordinator string, l logLine) {
 	switch l.message() {
 	case messageProbed:
-		s.count(EventProbes, l.time)
+		s.countEvent(EventProbes, l.time)
 		s.endpoint(l.endpoint()).Probes++
 	case messageDialled:
 		s.addDial(l)
 	case messageAttemptStarted:
-		s.count(EventAttempts, l.time)
+		s.countEvent(EventAttempts, l.time)
 		s.endpoint(l.endpoint()).Attempts++
 		s.attempts = append(s.attempts, attempt{l.time, coordinator, l.endpoint()})
 	case messageAttemptEnded:
@@ -113,7 +113,7 @@
 		s.attemptsEnded[outcome]++
 		s.endpoint(l.endpoint()).AttemptsEnded[outcome]++
 	case messageRequestAnswered:
-		s.count(EventAnswers, l.time)
+		s.countEvent(EventAnswers, l.time)
 		s.answers[strings.TrimSpace(l.fields["kind"]+" "+l.fields["reason"])]++
 		s.answeredBy[coordinator]++
 	case messageListed:
@@ -122,7 +122,7 @@
 }
 
 func (s *Summary) addDial(l logLine) {
-	s.count(EventDials, l.time)
+	s.countEvent(EventDials, l.time)
 	e := s.endpoint(l.endpoint())
 	e.Dials++
 	if l.fields["err"] != "<nil>" && l.fields["err"] != "" {
@@ -136,24 +136,24 @@
 		e.StartedMS = max(e.StartedMS, startedMS)
 	}
 	key := updateKey{l.endpoint(), l.fields["state"]}
-	spread := s.updates[key]
-	if spread == nil {
-		spread = &updateSpread{first: l.time, received: map[string]time.Time{}}
-		s.updates[key] = spread
+	receipts := s.updates[key]
+	if receipts == nil {
+		receipts = &updateReceipts{firstAt: l.time, receivedAt: map[string]time.Time{}}
+		s.updates[key] = receipts
 	}
-	if _, repeated := spread.received[coordinator]; repeated {
+	if _, repeated := receipts.receivedAt[coordinator]; repeated {
 		return
 	}
-	spread.received[coordinator] = l.time
-	if l.time.Before(spread.first) {
-		spread.first = l.time
+	receipts.receivedAt[coordinator] = l.time
+	if l.time.Before(receipts.firstAt) {
+		receipts.firstAt = l.time
 	}
-	if l.time.After(spread.last) {
-		spread.last = l.time
+	if l.time.After(receipts.lastAt) {
+		receipts.lastAt = l.time
 	}
 }
 
-func (s *Summary) count(event string, at time.Time) {
+func (s *Summary) countEvent(event string, at time.Time) {
 	if s.perSecond[event] == nil {
 		s.perSecond[event] = map[int64]int{}
 	}
--- a/internal/fleetlog/line.go
+++ b/internal/fleetlog/line.go
@@ -26,8 +26,8 @@
 // parseLine parses a line in logfmt. It returns false if the line has no valid time or is not logfmt. Text before the line's
 // own time, such as the timestamp of a log collector, is ignored.
 func parseLine(text string) (logLine, bool) {
-	_, afterTime, found := strings.Cut(text, "time=")
-	if !found {
+	_, afterTime, hasTime := strings.Cut(text, "time=")
+	if !hasTime {
 		return logLine{}, false
 	}
 	decoder := logfmt.NewDecoder(strings.NewReader("time=" + afterTime))
--- a/internal/fleetlog/report.go
+++ b/internal/fleetlog/report.go
@@ -76,16 +76,16 @@
 
 func rateOf(event string, perSecond map[int64]int) Rate {
 	rate := Rate{Event: event}
-	first, last := int64(math.MaxInt64), int64(math.MinInt64)
+	firstSecond, lastSecond := int64(math.MaxInt64), int64(math.MinInt64)
 	for second, count := range perSecond {
 		rate.Total += count
-		first, last = min(first, second), max(last, second)
+		firstSecond, lastSecond = min(firstSecond, second), max(lastSecond, second)
 		if count > rate.MaxPerSecond || count == rate.MaxPerSecond && second < rate.MaxAtUnix {
 			rate.MaxPerSecond, rate.MaxAtUnix = count, second
 		}
 	}
 	if rate.Total > 0 {
-		rate.MeanPerSecond = float64(rate.Total) / float64(last-first+1)
+		rate.MeanPerSecond = float64(rate.Total) / float64(lastSecond-firstSecond+1)
 	}
 	return rate
 }
@@ -95,24 +95,24 @@
 	for _, e := range s.endpoints {
 		endpoints = append(endpoints, e)
 	}
-	operations := func(e *Endpoint) int { return e.Attempts + e.Dials + e.Probes }
+	operationCount := func(e *Endpoint) int { return e.Attempts + e.Dials + e.Probes }
 	slices.SortFunc(endpoints, func(a, b *Endpoint) int {
-		return cmp.Or(cmp.Compare(operations(b), operations(a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(operationCount(b), operationCount(a)), cmp.Compare(a.Name, b.Name))
 	})
 	return endpoints
 }
 
 func (s *Summary) updatesByAttemptsAfter() []EndpointUpdate {
 	var updates []EndpointUpdate
-	for key, spread := range s.updates {
+	for key, receipts := range s.updates {
 		update := EndpointUpdate{
 			Endpoint:     key.endpoint,
 			State:        key.state,
-			Coordinators: len(spread.received),
-			SpreadMS:     float64(spread.last.Sub(spread.first).Microseconds()) / 1000,
+			Coordinators: len(receipts.receivedAt),
+			SpreadMS:     float64(receipts.lastAt.Sub(receipts.firstAt).Microseconds()) / 1000,
 		}
 		if key.state != StateReady {
-			update.AttemptsAfter, update.LastAttemptMS = s.attemptsAfter(key.endpoint, spread)
+			update.AttemptsAfter, update.LastAttemptMS = s.attemptsAfter(key.endpoint, receipts)
 		}
 		updates = append(updates, update)
 	}
@@ -128,21 +128,21 @@
 
 // attemptsAfter counts attempts at an endpoint by coordinators that had received the update that it is draining or removed,
 // and returns the longest time from a receipt to such an attempt. Attempts after a later update that it is ready do not count.
-func (s *Summary) attemptsAfter(endpoint string, spread *updateSpread) (count int, lastMS float64) {
-	readyAgain := s.updates[updateKey{endpoint, StateReady}]
+func (s *Summary) attemptsAfter(endpoint string, receipts *updateReceipts) (count int, lastMS float64) {
+	readyReceipts := s.updates[updateKey{endpoint, StateReady}]
 	for _, a := range s.attempts {
-		received, ok := spread.received[a.coordinator]
-		if !ok || a.endpoint != endpoint || !a.startedAt.After(received) {
+		receivedAt, ok := receipts.receivedAt[a.coordinator]
+		if !ok || a.endpoint != endpoint || !a.startedAt.After(receivedAt) {
 			continue
 		}
-		if readyAgain != nil {
-			ready := readyAgain.received[a.coordinator]
-			if ready.After(received) && a.startedAt.After(ready) {
+		if readyReceipts != nil {
+			readyAt := readyReceipts.receivedAt[a.coordinator]
+			if readyAt.After(receivedAt) && a.startedAt.After(readyAt) {
 				continue
 			}
 		}
 		count++
-		lastMS = max(lastMS, float64(a.startedAt.Sub(received).Microseconds())/1000)
+		lastMS = max(lastMS, float64(a.startedAt.Sub(receivedAt).Microseconds())/1000)
 	}
 	return count, lastMS
 }
@@ -153,7 +153,7 @@
 		endpoint string
 		second   int64
 	}
-	attempts := map[endpointSecond]float64{}
+	attemptCounts := map[endpointSecond]float64{}
 	for _, a := range s.attempts {
 		e := s.endpoint(a.endpoint)
 		atMS := float64(a.startedAt.UnixMilli())
@@ -161,20 +161,20 @@
 			continue
 		}
 		key := endpointSecond{a.endpoint, a.startedAt.Unix()}
-		attempts[key]++
-		e.MaxWarmingAttempts = max(e.MaxWarmingAttempts, attempts[key])
+		attemptCounts[key]++
+		e.MaxWarmingAttempts = max(e.MaxWarmingAttempts, attemptCounts[key])
 	}
 }
 
 // busiestOverMean returns the number of answers of the busiest coordinator over the mean of all, or 0 if there are none.
 func (s *Summary) busiestOverMean() float64 {
-	total, busiest := 0, 0
+	totalAnswers, maxAnswers := 0, 0
 	for _, count := range s.answeredBy {
-		total += count
-		busiest = max(busiest, count)
+		totalAnswers += count
+		maxAnswers = max(maxAnswers, count)
 	}
-	if total == 0 {
+	if totalAnswers == 0 {
 		return 0
 	}
-	return float64(busiest) * float64(max(len(s.coordinators), 1)) / float64(total)
+	return float64(maxAnswers) * float64(max(len(s.coordinators), 1)) / float64(totalAnswers)
 }
--- a/internal/jsonfault/jsonfault.go
+++ b/internal/jsonfault/jsonfault.go
@@ -41,17 +41,17 @@
 
 // position returns the line and the column of the last byte that was read.
 func position(raw []byte, offset int64) string {
-	before := raw[:min(max(offset-1, 0), int64(len(raw)))]
-	line := 1 + bytes.Count(before, []byte("\n"))
-	column := len(before) - bytes.LastIndexByte(before, '\n')
+	precedingBytes := raw[:min(max(offset-1, 0), int64(len(raw)))]
+	line := 1 + bytes.Count(precedingBytes, []byte("\n"))
+	column := len(precedingBytes) - bytes.LastIndexByte(precedingBytes, '\n')
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
 // describeFound translates the standard decoder's description of a value, such as "number 1.5" or "bool", into
 // the terms of JSON.
 func describeFound(value string) string {
-	name, _, _ := strings.Cut(value, " ")
-	switch name {
+	typeName, _, _ := strings.Cut(value, " ")
+	switch typeName {
 	case "string":
 		return "a string"
 	case "array":
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -181,14 +181,14 @@
 	if len(usage) == 0 {
 		return nil
 	}
-	value := func(name string) float64 {
+	fieldValue := func(name string) float64 {
 		if v, ok := usage[name]; ok {
 			return v
 		}
 		return -1
 	}
 	return &decide.LoadReport{
-		InFlight: value("inflight"), Queue: value("queue"), Utilization: value("util"),
-		Latency: value("latency_ms"), Memory: value("x0"), Disk: value("x1"),
+		InFlight: fieldValue("inflight"), Queue: fieldValue("queue"), Utilization: fieldValue("util"),
+		Latency: fieldValue("latency_ms"), Memory: fieldValue("x0"), Disk: fieldValue("x1"),
 	}
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -77,11 +77,11 @@
 func (h *Host) handle(nowMS float64, encodedMessage json.RawMessage) ([]any, error) {
 	var m message
 	if err := json.Unmarshal(encodedMessage, &m); err != nil {
-		kind := m.Kind
-		if kind == "" {
-			kind = "message"
+		messageName := m.Kind
+		if messageName == "" {
+			messageName = "message"
 		}
-		return nil, malformedf("%s: %w", kind, describeJSONError(err))
+		return nil, malformedf("%s: %w", messageName, describeJSONError(err))
 	}
 	switch m.Kind {
 	case messageList:
