--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -41,20 +41,20 @@
 	settings := plainSettings()
 	settings.PrioritiesEnabled = true
 	s := newScript(t, settings, 8)
-	priorities := map[int]int{}
+	priorityByClass := map[int]int{}
 	for i := range 40 {
 		class := i % 2
 		id := RequestID(fmt.Sprint("p", i))
 		s.at(float64(100*i), RequestArrived{ID: id, Class: class, TimeLeft: 3000, EstimatedWork: []float64{100, 4000}[class]})
-		priorities[class] = 1
+		priorityByClass[class] = 1
 		for _, a := range s.actions {
 			if resources, ok := a.(SetAttemptResources); ok {
-				priorities[class] = resources.Priority
+				priorityByClass[class] = resources.Priority
 			}
 		}
 	}
-	if priorities[0] <= priorities[1] {
-		t.Fatalf("priority %d for weight 1 in 100 ms of work, %d for weight 10 in 4000 ms", priorities[0], priorities[1])
+	if priorityByClass[0] <= priorityByClass[1] {
+		t.Fatalf("priority %d for weight 1 in 100 ms of work, %d for weight 10 in 4000 ms", priorityByClass[0], priorityByClass[1])
 	}
 }
 
--- a/decide/attempt_test.go
+++ b/decide/attempt_test.go
@@ -34,7 +34,7 @@
 	settings.ProgressInterval = 500
 	s := newScript(t, settings, 1)
 	now := s.completeInSequence(10, 30, 5, 0, 50)
-	cancels := 0
+	cancelCount := 0
 	for i := range 40 {
 		id := RequestID(fmt.Sprint(i))
 		s.at(now, RequestArrived{ID: id, Group: 5, TimeLeft: 3000})
@@ -44,12 +44,12 @@
 		now += 500
 		s.at(now, AttemptProgress{ID: id, Kind: ProgressRatio, Value: 0.9}) // projected to over ten times the usual latency
 		if s.cancelled(id) && i >= 20 {
-			cancels++
+			cancelCount++
 		}
 		s.at(now, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: 500, RequestClosed: true})
 	}
-	if cancels > 0 {
-		t.Fatalf("%d of the last attempts cancelled though all are equally slow", cancels)
+	if cancelCount > 0 {
+		t.Fatalf("%d of the last attempts cancelled though all are equally slow", cancelCount)
 	}
 }
 
@@ -60,7 +60,7 @@
 		settings := plainSettings()
 		settings.ProgressInterval = 500
 		s := newScript(t, settings, 4)
-		cancels := 0
+		cancelCount := 0
 		for i := range 200 {
 			id, now := RequestID(fmt.Sprint(i)), Millis(1000+i*1000)
 			s.at(now, RequestArrived{ID: id, Class: 1, Group: uint64(i), TimeLeft: 15000, EstimatedWork: 3000})
@@ -71,12 +71,12 @@
 			}
 			s.at(now+500, AttemptProgress{ID: id, Kind: ProgressRatio, Value: progress})
 			if s.cancelled(id) {
-				cancels++
+				cancelCount++
 			}
 			s.at(now+900, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 900, RequestClosed: true})
 		}
-		if cancels < c.minCancels || cancels > c.maxCancels {
-			t.Fatalf("every %dth attempt slow: %d of 200 cancelled for slow progress", c.slowEvery, cancels)
+		if cancelCount < c.minCancels || cancelCount > c.maxCancels {
+			t.Fatalf("every %dth attempt slow: %d of 200 cancelled for slow progress", c.slowEvery, cancelCount)
 		}
 	}
 }
@@ -87,23 +87,23 @@
 	settings := plainSettings()
 	settings.MemoryGrantsEnabled, settings.ProgressInterval, settings.MaxGrantRatio = true, 1000, 0.4
 	s := newScript(t, settings, 4)
-	var grant float64
+	var grantMB float64
 	for i := range 40 {
 		id, now := RequestID(fmt.Sprint("m", i)), float64(3000*i)
 		s.at(now, RequestArrived{ID: id, Class: 1, TimeLeft: 15000, EstimatedWork: 4000, EstimatedMemoryMB: 200})
 		e := s.sentTo(id)
-		grant = 250 // MB, the default grant of an endpoint
+		grantMB = 250 // MB, the default grant of an endpoint
 		for _, a := range s.actions {
 			if resources, ok := a.(SetAttemptResources); ok {
-				grant = resources.GrantMB
+				grantMB = resources.GrantMB
 			}
 		}
-		if grant < 600 {
-			s.at(now+1000, AttemptProgress{ID: id, Kind: ProgressSpilled, Value: 600 - grant})
+		if grantMB < 600 {
+			s.at(now+1000, AttemptProgress{ID: id, Kind: ProgressSpilled, Value: 600 - grantMB})
 		}
 		s.at(now+2000, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 2000, RequestClosed: true})
 	}
-	if grant < 550 || grant > 900 {
-		t.Fatalf("last grant is %.0f MB, 600 MB are needed", grant)
+	if grantMB < 550 || grantMB > 900 {
+		t.Fatalf("last grant is %.0f MB, 600 MB are needed", grantMB)
 	}
 }
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -9,13 +9,13 @@
 func TestOverloadedEndpointIsNotRetriedAtOnce(t *testing.T) {
 	s := newScript(t, plainSettings(), 2)
 	s.at(0, RequestArrived{ID: "a", Group: 5, TimeLeft: 3000})
-	overloaded := s.sentTo("a")
-	s.at(1, AttemptEnded{ID: "a", Endpoint: overloaded, Outcome: OutcomeOverloaded})
-	if e := s.sentTo("a"); e == 0 || e == overloaded {
-		t.Fatalf("overloaded endpoint %d, retry sent to %d", overloaded, e)
+	overloadedID := s.sentTo("a")
+	s.at(1, AttemptEnded{ID: "a", Endpoint: overloadedID, Outcome: OutcomeOverloaded})
+	if e := s.sentTo("a"); e == 0 || e == overloadedID {
+		t.Fatalf("overloaded endpoint %d, retry sent to %d", overloadedID, e)
 	}
 	s.at(2, RequestArrived{ID: "b", Group: 5, TimeLeft: 3000})
-	if e := s.sentTo("b"); e == overloaded {
+	if e := s.sentTo("b"); e == overloadedID {
 		t.Fatal("the next request is sent to the overloaded endpoint after 1 ms")
 	}
 }
@@ -24,7 +24,7 @@
 // endpoints under latency pressure: one request from each of hundreds of balancers would overload the fleet, none from
 // any would leave it idle.
 func TestLatencyPressureAdmitsPartOfSparseTraffic(t *testing.T) {
-	sent := [2]int{}
+	sentCounts := [2]int{}
 	for class := range 2 {
 		settings := plainSettings()
 		settings.Balancers = 300
@@ -40,13 +40,13 @@
 			id := RequestID(fmt.Sprint(i))
 			s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i), TimeLeft: 15000})
 			if e := s.sentTo(id); e != 0 {
-				sent[class]++
+				sentCounts[class]++
 				s.at(now, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeNotSent, RequestClosed: true})
 			}
 		}
 	}
-	if sent[1] < 20 || sent[1] > 120 || sent[0] <= sent[1] {
-		t.Fatalf("of 200 short and 200 long queries, %v sent to endpoints under pressure", sent)
+	if sentCounts[1] < 20 || sentCounts[1] > 120 || sentCounts[0] <= sentCounts[1] {
+		t.Fatalf("of 200 short and 200 long queries, %v sent to endpoints under pressure", sentCounts)
 	}
 }
 
@@ -86,16 +86,16 @@
 	settings := plainSettings()
 	settings.Balancers = 3
 	s := newScript(t, settings, 1)
-	sent := 0
+	sentCount := 0
 	for i := range 100 {
 		id := RequestID(fmt.Sprint(i))
 		s.at(0, RequestArrived{ID: id, Group: 3, TimeLeft: 3000})
 		if s.sentTo(id) != 0 {
-			sent++
+			sentCount++
 		}
 	}
-	if total := sent * settings.Balancers; total < 8 || total > 16 { // all three balancers get the same burst
-		t.Fatalf("all balancers together send %d of 100 queries each to eight cores at once", total)
+	if fleetSentCount := sentCount * settings.Balancers; fleetSentCount < 8 || fleetSentCount > 16 { // all three balancers get the same burst
+		t.Fatalf("all balancers together send %d of 100 queries each to eight cores at once", fleetSentCount)
 	}
 }
 
@@ -104,7 +104,7 @@
 // of the long queries was rejected while cores were idle.
 func TestNoRequestWaitsBelowSaturation(t *testing.T) {
 	underTwoSettings(t, func(t *testing.T, base Settings, start func(Settings, int) *script) {
-		for _, latency := range []Millis{1000, 2500} {
+		for _, loadedLatency := range []Millis{1000, 2500} {
 			s := start(base, 1)
 			now := Millis(0)
 			for i := range 20 { // one at a time: the best latency, then the latency under more load
@@ -112,21 +112,21 @@
 				s.at(now, RequestArrived{ID: id, Class: 1, Group: 1, TimeLeft: 15000, EstimatedWork: 4000})
 				queryLatency := Millis(1000)
 				if i > 9 {
-					queryLatency = latency
+					queryLatency = loadedLatency
 				}
 				s.at(now+queryLatency, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: queryLatency, RequestClosed: true})
 				now += queryLatency
 			}
-			sent := 0
+			sentCount := 0
 			for i := range 8 {
 				id := RequestID(fmt.Sprint(i))
 				s.at(now, RequestArrived{ID: id, Class: 1, Group: 1, TimeLeft: 15000, EstimatedWork: 4000})
 				if s.sentTo(id) != 0 {
-					sent++
+					sentCount++
 				}
 			}
-			if sent != 4 { // 12 threads are below 1.75 per core at 8 cores, 16 are above it
-				t.Fatalf("%d queries of 4 threads sent to eight cores, at a latency of %.0f ms", sent, latency)
+			if sentCount != 4 { // 12 threads are below 1.75 per core at 8 cores, 16 are above it
+				t.Fatalf("%d queries of 4 threads sent to eight cores, at a latency of %.0f ms", sentCount, loadedLatency)
 			}
 		}
 	})
@@ -150,16 +150,16 @@
 	e := s.balancer.endpoints.byID[1]
 	s.balancer.outliers.applyReports(s.balancer.gossip.receive(GossipReceived{From: 1, Data: encodeGossip(gossipInFlight, []gossipLine{{gossipTag(e.ID), []float64{8, 0}}}, 256)})) // leaves 12 threads of the bound of 20
 	e.overloadedAt = -600                                                                                                                                                           // saturated: recently rejected for overload
-	sent := 0
+	sentCount := 0
 	for i := range 5 {
 		id := RequestID(fmt.Sprint(i))
 		s.at(1, RequestArrived{ID: id, Class: 1, Group: 3, TimeLeft: 15000})
 		if s.sentTo(id) != 0 {
-			sent++
+			sentCount++
 		}
 	}
-	if sent != 2 {
-		t.Fatalf("%d queries of four threads sent where three fit and other balancers see the same free capacity, want 2", sent)
+	if sentCount != 2 {
+		t.Fatalf("%d queries of four threads sent where three fit and other balancers see the same free capacity, want 2", sentCount)
 	}
 }
 
@@ -168,21 +168,21 @@
 func TestReportedMemoryLimitsSparseTraffic(t *testing.T) {
 	settings := plainSettings()
 	settings.Balancers = 300
-	for memory, want := range map[float64]bool{0.3: true, 3: false} {
+	for grantedRatio, wantSent := range map[float64]bool{0.3: true, 3: false} {
 		s := newScript(t, settings, 4)
 		for _, e := range s.balancer.endpoints.sorted {
-			e.report = loadReport{LoadReport{InFlight: 2, Memory: memory}, 0}
+			e.report = loadReport{LoadReport{InFlight: 2, Memory: grantedRatio}, 0}
 		}
 		s.at(1, RequestArrived{ID: "a", Group: 5, TimeLeft: 3000, EstimatedMemoryMB: 500})
-		if sent := s.sentTo("a") != 0; sent != want {
-			t.Errorf("ratio of memory granted %v: sent %v", memory, sent)
+		if isSent := s.sentTo("a") != 0; isSent != wantSent {
+			t.Errorf("ratio of memory granted %v: sent %v", grantedRatio, isSent)
 		}
 	}
 }
 
 // sendsPastOverloaded reports all endpoints but one as overloaded and counts how many of 200 short queries go to that
 // one.
-func (s *script) sendsPastOverloaded(target EndpointID) (sent int) {
+func (s *script) sendsPastOverloaded(target EndpointID) (sentCount int) {
 	for i := range 200 {
 		now, id := Millis(1000+i*50), RequestID(fmt.Sprint(i))
 		var lines []gossipLine
@@ -197,11 +197,11 @@
 		if e := s.sentTo(id); e != 0 {
 			s.at(now, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeNotSent, RequestClosed: true})
 			if e == target {
-				sent++
+				sentCount++
 			}
 		}
 	}
-	return sent
+	return sentCount
 }
 
 // TestUnknownEndpointIsNotAssumedIdle guards against sending to an endpoint without a load report all requests that the
@@ -282,8 +282,8 @@
 func TestClassWithoutSpillsNeedsLessMemory(t *testing.T) {
 	underTwoSettings(t, func(t *testing.T, base Settings, start func(Settings, int) *script) {
 		for _, c := range []struct {
-			spills bool
-			sent   int
+			spills        bool
+			wantSentCount int
 		}{{true, 2}, {false, 4}} {
 			settings := base
 			settings.MemoryGrantsEnabled, settings.ProgressInterval, settings.MaxGrantRatio = false, 1000, 0.5
@@ -298,16 +298,16 @@
 				s.at(now+1100, AttemptEnded{ID: id, Endpoint: 1, Outcome: OutcomeSucceeded, Latency: 1100, RequestClosed: true})
 				now += 1200
 			}
-			sent := 0
+			sentCount := 0
 			for i := range 6 {
 				id := RequestID(fmt.Sprint("m", i))
 				s.at(now, RequestArrived{ID: id, Class: 1, Group: 1, TimeLeft: 15000, EstimatedWork: 4000, EstimatedMemoryMB: 6000})
 				if s.sentTo(id) != 0 {
-					sent++
+					sentCount++
 				}
 			}
-			if sent != c.sent {
-				t.Errorf("spills %t: %d queries granted 7,500 MB sent to an endpoint of 16 GB, want %d", c.spills, sent, c.sent)
+			if sentCount != c.wantSentCount {
+				t.Errorf("spills %t: %d queries granted 7,500 MB sent to an endpoint of 16 GB, want %d", c.spills, sentCount, c.wantSentCount)
 			}
 		}
 	})
--- a/decide/estimator_test.go
+++ b/decide/estimator_test.go
@@ -59,8 +59,8 @@
 				now += 1000
 			}
 			r := &request{RequestArrived: RequestArrived{Class: 1, EstimatedWork: estimatedWork}}
-			if unloaded := s.balancer.estimates.unloadedLatency(r); unloaded < 900 || unloaded > 1100 {
-				t.Errorf("estimate of %.0f ms of work: %.0f ms expected at an idle endpoint, 1,000 taken", estimatedWork, unloaded)
+			if unloadedLatency := s.balancer.estimates.unloadedLatency(r); unloadedLatency < 900 || unloadedLatency > 1100 {
+				t.Errorf("estimate of %.0f ms of work: %.0f ms expected at an idle endpoint, 1,000 taken", estimatedWork, unloadedLatency)
 			}
 			if pressure := s.balancer.EndpointStatuses(now)[0].LatencyPressure; pressure > 0.3 {
 				t.Errorf("estimate of %.0f ms of work: latency pressure %.2f at an endpoint with one query at a time", estimatedWork, pressure)
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -40,19 +40,19 @@
 }
 
 // sentGossip returns the messages that the last event sent.
-func (s *script) sentGossip() (sent []SendGossip) {
+func (s *script) sentGossip() (sentMessages []SendGossip) {
 	for _, a := range s.actions {
 		if message, ok := a.(SendGossip); ok {
-			sent = append(sent, message)
+			sentMessages = append(sentMessages, message)
 		}
 	}
-	return sent
+	return sentMessages
 }
 
-// receiverCount returns the number of balancers that get a message. balancers is the number of all balancers.
-func receiverCount(sent SendGossip, balancers int) int {
-	if sent.To == AllPeers {
-		return balancers - 1
+// receiverCount returns the number of balancers that get a message. balancerCount is the number of all balancers.
+func receiverCount(sentMessage SendGossip, balancerCount int) int {
+	if sentMessage.To == AllPeers {
+		return balancerCount - 1
 	}
 	return 1
 }
@@ -61,32 +61,32 @@
 // costs once for each receiver, so messages to all, affordable for a few balancers, exceed the budget of hundreds.
 func TestGossipStaysWithinBudget(t *testing.T) {
 	for _, c := range []struct {
-		balancers     int
-		cost          float64
-		receiverCount int // of each message; 0: no message is sent
+		balancers         int
+		cost              float64
+		wantReceiverCount int // of each message; 0: no message is sent
 	}{{3, 0.01, 2}, {250, 0.01, 1}, {250, 1000, 0}, {250, 0, 249}} {
 		settings := plainSettings()
 		settings.Balancers, settings.GossipEnabled, settings.GossipCost = c.balancers, true, c.cost
 		s := newScript(t, settings, 2)
-		sentBytes, queries := 0, 0
+		sentBytes, queryCount := 0, 0
 		for now := 100.0; now < 20000; now += 50 {
-			if queries < int(now/250) { // four per second
-				queries++
-				s.runLongRequest(now, queries)
+			if queryCount < int(now/250) { // four per second
+				queryCount++
+				s.runLongRequest(now, queryCount)
 			}
 			s.at(now+45, TimerFired{"tick"})
-			for _, sent := range s.sentGossip() {
-				if sent.To == AllPeers && c.receiverCount < 2 || sent.To == settings.BalancerIndex {
-					t.Fatalf("%d balancers at cost %v: message sent to %d", c.balancers, c.cost, sent.To)
+			for _, sentMessage := range s.sentGossip() {
+				if sentMessage.To == AllPeers && c.wantReceiverCount < 2 || sentMessage.To == settings.BalancerIndex {
+					t.Fatalf("%d balancers at cost %v: message sent to %d", c.balancers, c.cost, sentMessage.To)
 				}
-				sentBytes += len(sent.Data) * receiverCount(sent, c.balancers)
+				sentBytes += len(sentMessage.Data) * receiverCount(sentMessage, c.balancers)
 			}
 		}
-		if sentBytes > 0 != (c.receiverCount > 0) {
+		if sentBytes > 0 != (c.wantReceiverCount > 0) {
 			t.Errorf("%d balancers at cost %v: %d bytes sent", c.balancers, c.cost, sentBytes)
 		}
-		if total := c.cost * float64(sentBytes) / 256 / float64(queries); total > 1.1*gossipBudget {
-			t.Errorf("%d balancers at cost %v: messages cost %.4f of the result", c.balancers, c.cost, total)
+		if costRatio := c.cost * float64(sentBytes) / 256 / float64(queryCount); costRatio > 1.1*gossipBudget {
+			t.Errorf("%d balancers at cost %v: messages cost %.4f of the result", c.balancers, c.cost, costRatio)
 		}
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -38,7 +38,7 @@
 	settings := plainSettings()
 	settings.Balancers = 300
 	s := newScript(t, settings, 10)
-	sentByEndpoint := map[EndpointID]int{}
+	sentCountByEndpoint := map[EndpointID]int{}
 	for i := range 100 { // never two in flight at once; one group has half of the traffic
 		id, group := RequestID(fmt.Sprint(i)), uint64(i)
 		if i%2 == 0 {
@@ -46,12 +46,12 @@
 		}
 		s.at(Millis(i*200), RequestArrived{ID: id, Group: group, TimeLeft: 3000})
 		e := s.sentTo(id)
-		sentByEndpoint[e]++
+		sentCountByEndpoint[e]++
 		s.at(Millis(i*200+100), AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, Latency: 100, RequestClosed: true})
 	}
-	for e, n := range sentByEndpoint {
+	for e, n := range sentCountByEndpoint {
 		if n > 20 {
-			t.Fatalf("endpoint %d gets %d of 100 queries, an equal share is 10: %v", e, n, sentByEndpoint)
+			t.Fatalf("endpoint %d gets %d of 100 queries, an equal share is 10: %v", e, n, sentCountByEndpoint)
 		}
 	}
 }
@@ -60,11 +60,11 @@
 // doesn't balance the load of sparse traffic.
 func TestHomesFollowCores(t *testing.T) {
 	s := zonedScript(t, 300, 4)
-	homes := [2]int{}
+	homeCounts := [2]int{}
 	for group := range uint64(4000) {
-		homes[s.balancer.endpoints.rendezvousOrder(group)[0].Kind]++
+		homeCounts[s.balancer.endpoints.rendezvousOrder(group)[0].Kind]++
 	}
-	if ratio := float64(homes[1]) / float64(homes[0]); ratio < 1.7 || ratio > 2.3 {
+	if ratio := float64(homeCounts[1]) / float64(homeCounts[0]); ratio < 1.7 || ratio > 2.3 {
 		t.Fatalf("16-core endpoints are the home of %.2f times as many groups as 8-core ones", ratio)
 	}
 }
--- a/decide/probe_test.go
+++ b/decide/probe_test.go
@@ -62,13 +62,13 @@
 	settings := plainSettings()
 	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled, settings.ProbeCost = 300, true, true, 0.05
 	s := newScript(t, settings, 40)
-	probes := 0
+	probeCount := 0
 	for i := range 400 {
 		id, now := RequestID(fmt.Sprint("p", i)), float64(400*i)
 		s.at(now, RequestArrived{ID: id, Group: uint64(i), TimeLeft: 3000})
 		for _, a := range s.actions {
 			if p, ok := a.(Probe); ok {
-				probes++
+				probeCount++
 				s.at(now+1, ProbeEnded{Endpoint: p.Endpoint, Outcome: OutcomeSucceeded, Load: &LoadReport{}})
 			}
 		}
@@ -76,8 +76,8 @@
 			s.at(now+2, AttemptEnded{ID: id, Endpoint: r.current.endpoint.ID, Outcome: OutcomeSucceeded, Latency: 5, RequestClosed: true})
 		}
 	}
-	if cost := float64(probes) / 400 * settings.ProbeCost; probes == 0 || cost > probeBudget*1.05 {
-		t.Fatalf("%d probes for 400 queries cost %.4f of the result", probes, cost)
+	if cost := float64(probeCount) / 400 * settings.ProbeCost; probeCount == 0 || cost > probeBudget*1.05 {
+		t.Fatalf("%d probes for 400 queries cost %.4f of the result", probeCount, cost)
 	}
 }
 
@@ -88,7 +88,7 @@
 	settings := plainSettings()
 	settings.Balancers, settings.ProbesEnabled, settings.LoadReportsEnabled, settings.ProbeCost = 80, true, true, 0.08
 	s := newScript(t, settings, 30)
-	var probes [2]int
+	var probeCounts [2]int
 	for i := range 500 {
 		id, now, class := RequestID(fmt.Sprint("p", i)), float64(150*i), 0
 		if i%5 == 4 {
@@ -97,7 +97,7 @@
 		s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i % 72), TimeLeft: 3000})
 		for _, a := range s.actions {
 			if p, ok := a.(Probe); ok {
-				probes[class]++
+				probeCounts[class]++
 				s.at(now+1, ProbeEnded{Endpoint: p.Endpoint, Outcome: OutcomeSucceeded, Load: &LoadReport{}})
 			}
 		}
@@ -105,8 +105,8 @@
 			s.at(now+2, AttemptEnded{ID: id, Endpoint: r.current.endpoint.ID, Outcome: OutcomeSucceeded, Latency: 5, RequestClosed: true})
 		}
 	}
-	if probes[0] > probes[1]/10 || probes[1] < 50 {
-		t.Fatalf("%d probes for 400 short queries, %d for 100 long ones", probes[0], probes[1])
+	if probeCounts[0] > probeCounts[1]/10 || probeCounts[1] < 50 {
+		t.Fatalf("%d probes for 400 short queries, %d for 100 long ones", probeCounts[0], probeCounts[1])
 	}
 }
 
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -55,23 +55,23 @@
 	test            *testing.T
 	rng             *rand.Rand
 	settings        Settings
-	work            []float64 // actual work of each class, ms on one core
+	classWork       []float64 // actual work of each class, ms on one core
 	balancer        *Balancer
 	now             Millis
-	sequence        int // number of requests that have arrived
+	arrivalCount    int // number of requests that have arrived
 	listedEndpoints map[EndpointID]EndpointInfo
 	requests        map[RequestID]*trackedRequest
 	arrivals        []*trackedRequest
-	timers          []Millis // times at which running timers expire
+	timerDueTimes   []Millis // times at which running timers expire
 	arrivalTimes    []Millis // since the balancer's start
 	retryTimes      []Millis // since the balancer's start
 	slowStartSends  map[EndpointID][]sentWork
 	bestThroughput  float64                    // best observed ratio of speed to full speed of any endpoint
-	probes          []EndpointID               // endpoints whose probe has not ended
+	pendingProbes   []EndpointID               // endpoints whose probe has not ended
 	blockedUntil    map[uint64]Millis          // time until which a key is blocked, by order key
 	blockedBy       map[uint64]*trackedRequest // the request whose attempt blocks the key, by order key
-	sends           int                        // number of attempts started
-	answers         int                        // number of final answers
+	sendCount       int                        // number of attempts started
+	answerCount     int                        // number of final answers
 }
 
 func randomSettings(rng *rand.Rand) Settings {
@@ -121,7 +121,7 @@
 		b.test.Fatal(err)
 	}
 	b.balancer = restarted
-	b.requests, b.arrivals, b.timers = map[RequestID]*trackedRequest{}, nil, nil
+	b.requests, b.arrivals, b.timerDueTimes = map[RequestID]*trackedRequest{}, nil, nil
 	b.arrivalTimes, b.retryTimes = nil, nil
 	b.blockedUntil, b.blockedBy = map[uint64]Millis{}, map[uint64]*trackedRequest{}
 	b.feed(EndpointUpdate{Kind: UpdateCached, Entries: b.list()})
@@ -173,7 +173,7 @@
 			attempt.cancelled, attempt.endAt, attempt.outcome = true, b.now+1, OutcomeCancelled
 		}
 	case StartTimer:
-		b.timers = append(b.timers, b.now+a.After)
+		b.timerDueTimes = append(b.timerDueTimes, b.now+a.After)
 	case SendGossip:
 		if !b.settings.GossipEnabled || len(a.Data) > 256 {
 			b.fail("gossip message of %d bytes, gossip enabled: %v", len(a.Data), b.settings.GossipEnabled)
@@ -182,7 +182,7 @@
 		if !b.settings.ProbesEnabled {
 			b.fail("probe though probes are disabled")
 		}
-		b.probes = append(b.probes, a.Endpoint)
+		b.pendingProbes = append(b.pendingProbes, a.Endpoint)
 	}
 }
 
@@ -193,12 +193,12 @@
 		b.fail("rule 1: a second final answer for %s", id)
 	}
 	r.closed = true
-	b.answers++
+	b.answerCount++
 	return r
 }
 
 func (b *ruleChecker) checkSend(a StartAttempt) {
-	b.sends++
+	b.sendCount++
 	r := b.requests[a.ID]
 	if r == nil || r.closed {
 		b.fail("rule 1: %s sent after its final answer", a.ID)
@@ -230,7 +230,7 @@
 			newAttempt.outcome = OutcomeSucceeded
 		}
 		if newAttempt.outcome == OutcomeSucceeded { // the latency is at least that of the work alone
-			minLatency = b.work[r.ev.Class] / float64(c.Threads)
+			minLatency = b.classWork[r.ev.Class] / float64(c.Threads)
 		}
 		newAttempt.endAt = b.now + minLatency + b.rng.ExpFloat64()*200
 		if newAttempt.endAt >= r.deadline {
@@ -289,7 +289,7 @@
 	if e.StartedAt <= 0 || b.now >= e.StartedAt+rules.SlowStartDuration {
 		return
 	}
-	b.slowStartSends[e.ID] = append(b.slowStartSends[e.ID], sentWork{b.now, b.work[r.ev.Class]})
+	b.slowStartSends[e.ID] = append(b.slowStartSends[e.ID], sentWork{b.now, b.classWork[r.ev.Class]})
 	windowWork := 0.0
 	for _, s := range b.slowStartSends[e.ID] {
 		if s.sentAt > b.now-rules.OverloadWindow {
@@ -309,9 +309,9 @@
 func (b *ruleChecker) step() {
 	nextAt := b.now + b.rng.ExpFloat64()*20
 	timerDue := false
-	sort.Float64s(b.timers)
-	if len(b.timers) > 0 && b.timers[0] <= nextAt {
-		nextAt, timerDue = b.timers[0], true
+	sort.Float64s(b.timerDueTimes)
+	if len(b.timerDueTimes) > 0 && b.timerDueTimes[0] <= nextAt {
+		nextAt, timerDue = b.timerDueTimes[0], true
 	}
 	var endingRequest *trackedRequest
 	for _, r := range b.arrivals {
@@ -329,7 +329,7 @@
 	case endingRequest != nil:
 		b.endAttempt(endingRequest)
 	case timerDue:
-		b.timers = b.timers[1:]
+		b.timerDueTimes = b.timerDueTimes[1:]
 		b.feed(TimerFired{"tick"})
 	default:
 		b.randomEvent()
@@ -347,11 +347,11 @@
 	}
 	if a.outcome == OutcomeSucceeded && !r.closed {
 		r.closed = true
-		b.answers++
+		b.answerCount++
 	}
 	ev := AttemptEnded{ID: r.ev.ID, Attempt: attemptIndex, Endpoint: a.endpoint, Outcome: a.outcome, Latency: b.now - a.startedAt, RequestClosed: r.closed}
 	if a.outcome == OutcomeSucceeded && b.settings.ActualCostReported {
-		ev.ActualWork, ev.ActualMemoryMB = b.work[r.ev.Class], 100
+		ev.ActualWork, ev.ActualMemoryMB = b.classWork[r.ev.Class], 100
 		b.bestThroughput = max(b.bestThroughput, min(ev.ActualWork/float64(c.Threads)/ev.Latency, 1))
 	}
 	if b.rng.IntN(2) == 0 {
@@ -377,12 +377,12 @@
 	case eventDraw < 8 && len(b.arrivals) > 0:
 		r := b.arrivals[b.rng.IntN(len(b.arrivals))]
 		b.feed(AttemptProgress{ID: r.ev.ID, Attempt: len(r.attempts) - 1, Kind: ProgressKind(1 + b.rng.IntN(3)), Value: b.rng.Float64()})
-	case eventDraw < 14 && eventDraw > 8 && len(b.probes) > 0: // some probes never end
-		ev := ProbeEnded{Endpoint: b.probes[0], Outcome: Outcome(b.rng.IntN(8)), Latency: 3}
+	case eventDraw < 14 && eventDraw > 8 && len(b.pendingProbes) > 0: // some probes never end
+		ev := ProbeEnded{Endpoint: b.pendingProbes[0], Outcome: Outcome(b.rng.IntN(8)), Latency: 3}
 		if b.rng.IntN(2) == 0 {
 			ev.Load = &LoadReport{InFlight: b.rng.Float64() * 60, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
 		}
-		b.probes = b.probes[1:]
+		b.pendingProbes = b.pendingProbes[1:]
 		b.feed(ev)
 	case eventDraw == 8 && b.rng.IntN(20) == 0:
 		b.start() // restarted without its state
@@ -392,20 +392,20 @@
 }
 
 func (b *ruleChecker) arrive() {
-	b.sequence++
+	b.arrivalCount++
 	class := b.rng.IntN(len(b.settings.Classes))
-	ev := RequestArrived{ID: RequestID(fmt.Sprint("r", b.sequence)), Class: class, Group: uint64(b.rng.IntN(9)), TimeLeft: 4000 * b.rng.Float64(),
+	ev := RequestArrived{ID: RequestID(fmt.Sprint("r", b.arrivalCount)), Class: class, Group: uint64(b.rng.IntN(9)), TimeLeft: 4000 * b.rng.Float64(),
 		Key: uint64(b.rng.IntN(5)), HasKey: b.rng.IntN(2) == 0}
 	if len(b.settings.Tenants) > 0 {
 		ev.Tenant = b.rng.IntN(2)
 	}
 	if b.rng.IntN(2) == 0 {
-		ev.EstimatedWork, ev.EstimatedMemoryMB = b.work[class]*(0.5+b.rng.Float64()), 200
+		ev.EstimatedWork, ev.EstimatedMemoryMB = b.classWork[class]*(0.5+b.rng.Float64()), 200
 	}
 	if c := b.settings.Classes[class]; c.Idempotency == IdempotentByKey && b.rng.IntN(3) == 0 { // a client's retry under its key
 		ev.EarlierRun = &EarlierRun{b.now - 1.2*c.DedupWindow*b.rng.Float64(), b.rng.IntN(2), b.rng.IntN(3)}
 	}
-	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, arrivalNumber: b.sequence}
+	r := &trackedRequest{ev: ev, deadline: b.now + ev.TimeLeft, arrivalNumber: b.arrivalCount}
 	b.requests[ev.ID] = r
 	b.arrivals = append(b.arrivals, r)
 	b.arrivalTimes = append(b.arrivalTimes, b.now)
@@ -443,7 +443,7 @@
 			b := &ruleChecker{test: t, rng: rng, settings: randomSettings(rng), now: 1000, listedEndpoints: map[EndpointID]EndpointInfo{},
 				slowStartSends: map[EndpointID][]sentWork{}}
 			for _, c := range b.settings.Classes {
-				b.work = append(b.work, c.LatencyObjective*float64(c.Threads)*(0.1+0.5*rng.Float64()))
+				b.classWork = append(b.classWork, c.LatencyObjective*float64(c.Threads)*(0.1+0.5*rng.Float64()))
 			}
 			for id := EndpointID(1); id <= 6; id++ {
 				b.listedEndpoints[id] = b.initialEntry(id)
@@ -452,8 +452,8 @@
 			for i := 0; i < 2500; i++ {
 				b.step()
 			}
-			if b.sends == 0 || b.answers == 0 {
-				t.Fatalf("%d sends, %d answers: the history checks nothing", b.sends, b.answers)
+			if b.sendCount == 0 || b.answerCount == 0 {
+				t.Fatalf("%d sends, %d answers: the history checks nothing", b.sendCount, b.answerCount)
 			}
 		})
 	}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -61,11 +61,11 @@
 	settings.Balancers, settings.GossipEnabled = 300, true
 	settings.Rules.OverloadRatio = 2000 // a budget with room for a query of every balancer
 	s := newScript(t, settings, 10)
-	started := s.balancer.endpoints.sorted[0].ID
-	s.at(900, EndpointUpdate{Entries: []EndpointInfo{{ID: started, State: EndpointReady, StartedAt: 900}}})
-	sent := s.sendsPastOverloaded(started)
-	if sent < 20 {
-		t.Fatalf("%d of 200 queries to the only endpoint without load", sent)
+	startedID := s.balancer.endpoints.sorted[0].ID
+	s.at(900, EndpointUpdate{Entries: []EndpointInfo{{ID: startedID, State: EndpointReady, StartedAt: 900}}})
+	sentCount := s.sendsPastOverloaded(startedID)
+	if sentCount < 20 {
+		t.Fatalf("%d of 200 queries to the only endpoint without load", sentCount)
 	}
 }
 
@@ -75,8 +75,8 @@
 func TestSlowStartBudgetRotatesBetweenBalancers(t *testing.T) {
 	settings := plainSettings()
 	settings.Balancers = 300
-	work := settings.Classes[0].LatencyObjective
-	limit := settings.Rules.OverloadRatio * settings.Rules.SlowStartCapacityRatio * usableCores * 8 * settings.Rules.OverloadWindow
+	requestWork := settings.Classes[0].LatencyObjective
+	overloadLimit := settings.Rules.OverloadRatio * settings.Rules.SlowStartCapacityRatio * usableCores * 8 * settings.Rules.OverloadWindow
 	var attemptTimes []Millis // times of the attempts at the warming endpoint
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
@@ -95,9 +95,9 @@
 	}
 	sort.Float64s(attemptTimes)
 	for i := range attemptTimes {
-		n := sort.SearchFloat64s(attemptTimes, attemptTimes[i]+settings.Rules.OverloadWindow) - i
-		if float64(n)*work > limit {
-			t.Fatalf("%d attempts in one window, overload above %.0f", n, limit/work)
+		attemptsInWindow := sort.SearchFloat64s(attemptTimes, attemptTimes[i]+settings.Rules.OverloadWindow) - i
+		if float64(attemptsInWindow)*requestWork > overloadLimit {
+			t.Fatalf("%d attempts in one window, overload above %.0f", attemptsInWindow, overloadLimit/requestWork)
 		}
 	}
 	if len(attemptTimes) < 10 {
@@ -110,32 +110,32 @@
 // their slow start of 15 s, and the other 12 endpoints carried all long queries of the fleet. The work of all balancers
 // also has to stay below the overload limit in any window.
 func TestWarmingEndpointsOfSparseFleetCarryLongQueries(t *testing.T) {
-	fixedTotal, fixedLong := simulateWarmingFleet(t, func(Millis) float64 { return 0.3 })
-	_, growingLong := simulateWarmingFleet(t, func(age Millis) float64 { return min(0.3+0.7*age/8000, 1) })
-	if fixedLong < 8 { // at least one in each turn
-		t.Fatalf("%d long queries from all balancers in 10 s, %d queries in total", fixedLong, fixedTotal)
+	fixedSpeedTotal, fixedSpeedLongCount := simulateWarmingFleet(t, func(Millis) float64 { return 0.3 })
+	_, growingSpeedLongCount := simulateWarmingFleet(t, func(age Millis) float64 { return min(0.3+0.7*age/8000, 1) })
+	if fixedSpeedLongCount < 8 { // at least one in each turn
+		t.Fatalf("%d long queries from all balancers in 10 s, %d queries in total", fixedSpeedLongCount, fixedSpeedTotal)
 	}
-	if float64(growingLong) < 1.4*float64(fixedLong) { // the throughput that all balancers have observed raises the budget
-		t.Fatalf("%d long queries where the throughput of endpoints grows with age, %d where it doesn't", growingLong, fixedLong)
+	if float64(growingSpeedLongCount) < 1.4*float64(fixedSpeedLongCount) { // the throughput that all balancers have observed raises the budget
+		t.Fatalf("%d long queries where the throughput of endpoints grows with age, %d where it doesn't", growingSpeedLongCount, fixedSpeedLongCount)
 	}
 }
 
-// startedEndpoints returns ready endpoints that started at the given time, numbered from first.
-func startedEndpoints(first, count int, at Millis) (entries []EndpointInfo) {
+// startedEndpoints returns ready endpoints that started at the given time, numbered from firstID.
+func startedEndpoints(firstID, count int, startedAt Millis) (entries []EndpointInfo) {
 	for i := range count {
-		entries = append(entries, EndpointInfo{ID: EndpointID(first + i), State: EndpointReady, StartedAt: at})
+		entries = append(entries, EndpointInfo{ID: EndpointID(firstID + i), State: EndpointReady, StartedAt: startedAt})
 	}
 	return entries
 }
 
 // workBefore returns the work of the attempts that were sent before the given time.
-func workBefore(sent []sentWork, until Millis) (sum float64) {
-	for _, s := range sent {
+func workBefore(sends []sentWork, until Millis) (totalWork float64) {
+	for _, s := range sends {
 		if s.sentAt < until {
-			sum += s.work
+			totalWork += s.work
 		}
 	}
-	return sum
+	return totalWork
 }
 
 // simulateWarmingFleet simulates 20 s of 80 balancers with 30 endpoints. Four of these restart after 10 s; their speed,
@@ -144,8 +144,8 @@
 func simulateWarmingFleet(t *testing.T, speed func(age Millis) float64) (queries, longQueries int) {
 	settings := plainSettings()
 	settings.Balancers, settings.ActualCostReported, settings.Kinds = 80, true, []EndpointKind{{16, 32768}}
-	works, rules, restartAt := []float64{80, 3000}, settings.Rules, Millis(10000)
-	var sent []sentWork
+	classWork, rules, restartAt := []float64{80, 3000}, settings.Rules, Millis(10000)
+	var sentToEndpoint9 []sentWork
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
 		s := newScript(t, settings, 30)
@@ -157,27 +157,27 @@
 			if i == 76 {
 				s.at(now, EndpointUpdate{Kind: UpdateIncremental, Entries: startedEndpoints(9, 4, restartAt)})
 			}
-			s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i*7+index) % 72, TimeLeft: 3000 * float64(1+3*class), EstimatedWork: works[class]})
+			s.at(now, RequestArrived{ID: id, Class: class, Group: uint64(i*7+index) % 72, TimeLeft: 3000 * float64(1+3*class), EstimatedWork: classWork[class]})
 			e, endpointSpeed := s.sentTo(id), 1.0
 			if e >= 9 && e < 13 && now > restartAt {
 				endpointSpeed = speed(now - restartAt)
 			}
 			if e == 9 && i > 76 {
-				sent = append(sent, sentWork{now, works[class]})
+				sentToEndpoint9 = append(sentToEndpoint9, sentWork{now, classWork[class]})
 				longQueries += class
 			}
-			s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, RequestClosed: true, ActualWork: works[class],
-				Latency: works[class] / float64(settings.Classes[class].Threads) / endpointSpeed})
+			s.at(now+100, AttemptEnded{ID: id, Endpoint: e, Outcome: OutcomeSucceeded, RequestClosed: true, ActualWork: classWork[class],
+				Latency: classWork[class] / float64(settings.Classes[class].Threads) / endpointSpeed})
 		}
 	}
-	sort.Slice(sent, func(i, j int) bool { return sent[i].sentAt < sent[j].sentAt })
-	for i := range sent {
-		sum, limit := workBefore(sent[i:], sent[i].sentAt+rules.OverloadWindow), rules.OverloadRatio*speed(sent[i].sentAt-restartAt)*usableCores*16*rules.OverloadWindow
-		if sum > limit {
-			t.Fatalf("%.0f ms of work in one window, overload above %.0f", sum, limit)
+	sort.Slice(sentToEndpoint9, func(i, j int) bool { return sentToEndpoint9[i].sentAt < sentToEndpoint9[j].sentAt })
+	for i := range sentToEndpoint9 {
+		windowWork, overloadLimit := workBefore(sentToEndpoint9[i:], sentToEndpoint9[i].sentAt+rules.OverloadWindow), rules.OverloadRatio*speed(sentToEndpoint9[i].sentAt-restartAt)*usableCores*16*rules.OverloadWindow
+		if windowWork > overloadLimit {
+			t.Fatalf("%.0f ms of work in one window, overload above %.0f", windowWork, overloadLimit)
 		}
 	}
-	return len(sent), longQueries
+	return len(sentToEndpoint9), longQueries
 }
 
 // TestSlowStartCountsMeanWorkOfClass guards against counting each query's own estimate against the slow-start budget:
@@ -206,7 +206,7 @@
 	settings.Classes = append(settings.Classes, Class{LatencyObjective: 4000, Deadline: 20000, PriorityWeight: 20, Threads: 2, LocksGroup: true, Idempotency: NotIdempotent})
 	rules := settings.Rules
 	halfBudget := rules.OverloadRatio * rules.SlowStartCapacityRatio * usableCores * 16 * rules.OverloadWindow / 2
-	sentTotal, classWorks := 0.0, []float64{80, halfBudget / 3.2, halfBudget / 1.2}
+	totalSentWork, classWorks := 0.0, []float64{80, halfBudget / 3.2, halfBudget / 1.2}
 	for index := range settings.Balancers {
 		settings.BalancerIndex = index
 		s := newScript(t, settings, 0)
@@ -218,11 +218,11 @@
 			id := RequestID(fmt.Sprint(i))
 			s.at(5000, RequestArrived{ID: id, Class: 1 + i%2, Group: uint64(i), TimeLeft: 14000})
 			if s.sentTo(id) != 0 {
-				sentTotal += classWorks[1+i%2]
+				totalSentWork += classWorks[1+i%2]
 			}
 		}
 	}
-	if sentTotal > halfBudget || sentTotal < 0.9*halfBudget {
-		t.Fatalf("all balancers send %.0f of %.0f ms of work to a warming endpoint in one turn", sentTotal, halfBudget)
+	if totalSentWork > halfBudget || totalSentWork < 0.9*halfBudget {
+		t.Fatalf("all balancers send %.0f of %.0f ms of work to a warming endpoint in one turn", totalSentWork, halfBudget)
 	}
 }
--- a/decide/slowstartfleet_test.go
+++ b/decide/slowstartfleet_test.go
@@ -80,9 +80,9 @@
 
 // simulatedRequest is an open request of a balancer.
 type simulatedRequest struct {
-	class    int
-	attempts int
-	cancel   func()
+	class        int
+	attemptCount int
+	cancel       func()
 }
 
 // schedule schedules a call of a function after a delay.
@@ -197,18 +197,18 @@
 		case StartTimer:
 			scheduleUnlessRestarted(a.After, func() { b.handle(TimerFired{a.Token}) })
 		case Probe:
-			e, outcome := f.endpoints[a.Endpoint], OutcomeSucceeded
+			probedEndpoint, outcome := f.endpoints[a.Endpoint], OutcomeSucceeded
 			var load *LoadReport
-			if e == nil || e.removed || f.now < e.downUntil {
+			if probedEndpoint == nil || probedEndpoint.removed || f.now < probedEndpoint.downUntil {
 				outcome = OutcomeConnectFailed
 			} else if f.settings.LoadReportsEnabled {
-				load = &LoadReport{InFlight: e.threads / 2, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
+				load = &LoadReport{InFlight: probedEndpoint.threads / 2, Queue: -1, Utilization: -1, Latency: -1, Memory: -1, Disk: -1}
 			}
 			scheduleUnlessRestarted(2, func() { b.handle(ProbeEnded{Endpoint: a.Endpoint, Outcome: outcome, Load: load, Latency: 2}) })
 		case StartAttempt:
 			b.send(a, scheduleUnlessRestarted)
 		case CancelAttempt:
-			if r := b.openRequests[a.ID]; r != nil && a.Attempt == r.attempts-1 {
+			if r := b.openRequests[a.ID]; r != nil && a.Attempt == r.attemptCount-1 {
 				r.cancel()
 				scheduleUnlessRestarted(1, func() { b.handle(AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: OutcomeCancelled, Latency: 1}) })
 			}
@@ -223,8 +223,8 @@
 	if r == nil {
 		return
 	}
-	attemptIndex, sentAt := r.attempts, f.now
-	r.attempts++
+	attemptIndex, sentAt := r.attemptCount, f.now
+	r.attemptCount++
 	reportEnd := func(outcome Outcome, work float64) {
 		b.handle(AttemptEnded{ID: a.ID, Attempt: attemptIndex, Endpoint: a.Endpoint, Outcome: outcome, Latency: f.now - sentAt, RequestClosed: outcome == OutcomeSucceeded, ActualWork: work})
 	}
@@ -282,9 +282,9 @@
 // arrive lets a request of a random class arrive.
 func (b *simulatedBalancer) arrive(id int) {
 	f := b.fleet
-	draw, class := f.rng.Float64(), 0
-	for class < len(f.trafficRatios)-1 && draw > f.trafficRatios[class] {
-		draw, class = draw-f.trafficRatios[class], class+1
+	classDraw, class := f.rng.Float64(), 0
+	for class < len(f.trafficRatios)-1 && classDraw > f.trafficRatios[class] {
+		classDraw, class = classDraw-f.trafficRatios[class], class+1
 	}
 	requestID := RequestID(fmt.Sprint(b.incarnation, "-", id))
 	b.openRequests[requestID] = &simulatedRequest{class: class, cancel: func() {}}
--- a/internal/config/rest.go
+++ b/internal/config/rest.go
@@ -63,19 +63,19 @@
 	return c.Spool.check(classes)
 }
 
-func (c REST) checkKinds(kinds []string) error {
-	for i, kind := range c.EngineKinds {
-		if kinds != nil && !slices.Contains(kinds, kind) {
+func (c REST) checkKinds(knownKinds []string) error {
+	for i, engineKind := range c.EngineKinds {
+		if knownKinds != nil && !slices.Contains(knownKinds, engineKind) {
 			return FieldError{
-				RESTFile, fmt.Sprintf("/engine_kinds/%d", i), fmt.Sprintf("%q is not an engine kind of the coordinator (settings.machineTypes)", kind),
-				fmt.Sprintf("name one of %v", kinds),
+				RESTFile, fmt.Sprintf("/engine_kinds/%d", i), fmt.Sprintf("%q is not an engine kind of the coordinator (settings.machineTypes)", engineKind),
+				fmt.Sprintf("name one of %v", knownKinds),
 			}
 		}
 	}
 	return nil
 }
 
-func (s Spool) check(classes []string) error {
+func (s Spool) check(knownClasses []string) error {
 	switch {
 	case s.Shared && s.Directory == "":
 		return FieldError{RESTFile, "/spool/shared", "set without a directory", "name the directory that the coordinators share"}
@@ -84,11 +84,11 @@
 	case s.OwnerMB < 0 || s.OwnerMB > s.TotalMB:
 		return FieldError{RESTFile, "/spool/owner_mb", "below 0 or above total_mb", "with 0 only total_mb applies"}
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.ClassMB)) {
-		pointer := "/spool/class_mb/" + name
-		switch sizeMB := s.ClassMB[name]; {
-		case classes != nil && !slices.Contains(classes, name):
-			return FieldError{RESTFile, pointer, fmt.Sprintf("%q is not a class of the coordinator (settings.lanes)", name), fmt.Sprintf("name one of %v", classes)}
+	for _, className := range slices.Sorted(maps.Keys(s.ClassMB)) {
+		pointer := "/spool/class_mb/" + className
+		switch sizeMB := s.ClassMB[className]; {
+		case knownClasses != nil && !slices.Contains(knownClasses, className):
+			return FieldError{RESTFile, pointer, fmt.Sprintf("%q is not a class of the coordinator (settings.lanes)", className), fmt.Sprintf("name one of %v", knownClasses)}
 		case !(sizeMB > 0) || sizeMB > s.TotalMB:
 			return FieldError{RESTFile, pointer, "not above 0, or above total_mb", "leave the class out to apply only total_mb"}
 		}
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -37,18 +37,18 @@
 }
 
 func TestSameSeedWritesTheSameReport(t *testing.T) {
-	var texts []string
+	var reports []string
 	for range 2 {
 		dir := t.TempDir()
 		code, _, log := runCommand("emulate", "run", "flood-day", "--seed", "9", "--set", "/duration_ms=50000", "--out", dir)
 		require.Equal(t, ExitOK, code, log)
 		b, err := os.ReadFile(filepath.Join(dir, "report.json"))
 		require.NoError(t, err)
-		texts = append(texts, string(b))
+		reports = append(reports, string(b))
 	}
-	require.Equal(t, texts[0], texts[1])
+	require.Equal(t, reports[0], reports[1])
 	var r map[string]any
-	require.NoError(t, json.Unmarshal([]byte(texts[0]), &r))
+	require.NoError(t, json.Unmarshal([]byte(reports[0]), &r))
 	for _, field := range []string{"service", "rules_broken", "classes", "windows", "seed", "scenario", "timeline"} {
 		require.Contains(t, r, field)
 	}
@@ -58,20 +58,20 @@
  "variants":[{"name":"short","set":{"/duration_ms":30000,"/load/per_s":230}}]}`
 
 func TestInterruptedExperimentContinuesWhereItStopped(t *testing.T) {
-	path, dir := writeTestFile(t, "plan.json", plan), t.TempDir()
-	results := filepath.Join(dir, "results.jsonl")
-	code, _, log := runCommand("experiment", "run", path, "--out", dir)
+	planPath, dir := writeTestFile(t, "plan.json", plan), t.TempDir()
+	resultsPath := filepath.Join(dir, "results.jsonl")
+	code, _, log := runCommand("experiment", "run", planPath, "--out", dir)
 	require.Equal(t, ExitOK, code, log)
 	_, uninterruptedTable, _ := runCommand("experiment", "table", dir)
-	b, err := os.ReadFile(results)
+	uninterruptedResults, err := os.ReadFile(resultsPath)
 	require.NoError(t, err)
-	lines := strings.SplitAfter(string(b), "\n")
+	lines := strings.SplitAfter(string(uninterruptedResults), "\n")
 	require.Len(t, lines, 13)
 	// The file of a process that was killed while it wrote the sixth result.
-	require.NoError(t, os.WriteFile(results, []byte(strings.Join(lines[:5], "")+lines[5][:100]), 0o600))
-	code, _, log = runCommand("experiment", "run", path, "--out", dir)
+	require.NoError(t, os.WriteFile(resultsPath, []byte(strings.Join(lines[:5], "")+lines[5][:100]), 0o600))
+	code, _, log = runCommand("experiment", "run", planPath, "--out", dir)
 	require.Equal(t, ExitOK, code, log)
-	resumed, err := os.ReadFile(results)
+	resumed, err := os.ReadFile(resultsPath)
 	require.NoError(t, err)
 	require.True(t, strings.HasPrefix(string(resumed), strings.Join(lines[:5], "")), "completed results are unchanged")
 	require.Equal(t, 12, strings.Count(string(resumed), "\n"))
@@ -92,7 +92,7 @@
 	code, out, log = runCommand("experiment", "chart", dir, "--out", t.TempDir())
 	require.Equal(t, ExitOK, code, log)
 	require.Equal(t, 2*(1+2+4), strings.Count(out, "\n"), "service, two latency curves, four timelines, as SVG and PNG")
-	require.NoError(t, os.WriteFile(results, []byte("{}\n"+string(resumed)), 0o600))
+	require.NoError(t, os.WriteFile(resultsPath, []byte("{}\n"+string(resumed)), 0o600))
 	code, _, log = runCommand("experiment", "table", dir)
 	require.Equal(t, ExitUsage, code)
 	require.Contains(t, log, "line 1")
--- a/internal/ctl/drill.go
+++ b/internal/ctl/drill.go
@@ -21,19 +21,19 @@
 	cmd := &cobra.Command{
 		Use: "list", Short: "List the embedded drills", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var all []*drill.Drill
+			var allDrills []*drill.Drill
 			for _, name := range drills.Names() {
 				d, err := drills.Load(name)
 				if err != nil {
 					return err
 				}
-				all = append(all, d)
+				allDrills = append(allDrills, d)
 			}
 			if asJSON {
-				return printJSON(cmd, all)
+				return printJSON(cmd, allDrills)
 			}
 			w := tableWriter(cmd)
-			for _, d := range all {
+			for _, d := range allDrills {
 				_, _ = fmt.Fprintf(w, "%s\t%s\n", d.Name, d.Purpose)
 			}
 			return w.Flush()
@@ -58,35 +58,35 @@
 
 // drillSelection holds the drill of a command and the guards, that is safety checks, to disable in virtual time.
 type drillSelection struct {
-	drill    *drill.Drill
-	disabled drill.DisabledGuards
+	drill          *drill.Drill
+	disabledGuards drill.DisabledGuards
 }
 
 // selectDrill loads a drill by its name or from a file and parses the guards to disable.
-func selectDrill(nameOrFile string, without []string) (drillSelection, error) {
+func selectDrill(nameOrFile string, disabledGuardNames []string) (drillSelection, error) {
 	d, err := drills.Load(nameOrFile)
 	if err != nil {
 		return drillSelection{}, usageError(err)
 	}
-	disabled, err := parseGuards(without)
-	return drillSelection{d, disabled}, err
+	disabledGuards, err := parseGuards(disabledGuardNames)
+	return drillSelection{d, disabledGuards}, err
 }
 
 // parseGuards parses the guard names of --without.
-func parseGuards(names []string) (disabled drill.DisabledGuards, err error) {
-	for _, name := range names {
-		switch name {
+func parseGuards(guardNames []string) (disabledGuards drill.DisabledGuards, err error) {
+	for _, guardName := range guardNames {
+		switch guardName {
 		case "fence":
-			disabled.FenceCheck = true
+			disabledGuards.FenceCheck = true
 		case "asked":
-			disabled.LeaseFromRequest = true
+			disabledGuards.LeaseFromRequest = true
 		case "vote":
-			disabled.VoteSync = true
+			disabledGuards.VoteSync = true
 		case "drift":
-			disabled.DriftAllowance = true
+			disabledGuards.DriftAllowance = true
 		default:
-			return disabled, usageError(fmt.Errorf("--without %s: unknown guard; the guards are fence, asked, vote and drift", name))
+			return disabledGuards, usageError(fmt.Errorf("--without %s: unknown guard; the guards are fence, asked, vote and drift", guardName))
 		}
 	}
-	return disabled, nil
+	return disabledGuards, nil
 }
--- a/internal/ctl/drill_real.go
+++ b/internal/ctl/drill_real.go
@@ -22,10 +22,10 @@
 	}
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	failed := 0
-	for seed := flags.firstSeed; seed < flags.firstSeed+flags.seeds; seed++ {
+	failedRuns := 0
+	for seed := flags.firstSeed; seed < flags.firstSeed+flags.seedCount; seed++ {
 		options.Seed = seed
-		result, err := runRealSeed(ctx, cmd, d, flags.output, options)
+		result, err := runRealSeed(ctx, cmd, d, flags.outputDirectory, options)
 		if err != nil {
 			return err
 		}
@@ -38,11 +38,11 @@
 			return err
 		}
 		if len(result.Violations) > 0 {
-			failed++
+			failedRuns++
 		}
 	}
-	if failed > 0 {
-		return rulesError("drill %s: a rule was violated in %d of %d runs", d.Name, failed, flags.seeds)
+	if failedRuns > 0 {
+		return rulesError("drill %s: a rule was violated in %d of %d runs", d.Name, failedRuns, flags.seedCount)
 	}
 	return nil
 }
@@ -50,11 +50,11 @@
 // realDrillOptions returns the options shared by all seeds. A scenario that the drill names overrides --scenario.
 func realDrillOptions(d *drill.Drill, flags *drillRunFlags) (options drill.RealOptions, err error) {
 	options.FleetOff, options.Debug = flags.fleetOff, flags.debug
-	name := flags.scenario
+	scenarioName := flags.scenario
 	if d.Scenario != "" {
-		name = d.Scenario
+		scenarioName = d.Scenario
 	}
-	if options.Scenario, err = scenarios.Load(name); err != nil {
+	if options.Scenario, err = scenarios.Load(scenarioName); err != nil {
 		return options, usageError(err)
 	}
 	if options.Coordinator, err = programPath(flags.coordinator, "--coordinator", "build it or give its path"); err != nil {
@@ -78,9 +78,9 @@
 	return absolute, nil
 }
 
-func runRealSeed(ctx context.Context, cmd *cobra.Command, d *drill.Drill, output string, options drill.RealOptions) (*drill.RealResult, error) {
-	if output != "" {
-		directory, err := filepath.Abs(filepath.Join(output, fmt.Sprintf("%s-%d", d.Name, options.Seed)))
+func runRealSeed(ctx context.Context, cmd *cobra.Command, d *drill.Drill, outputDirectory string, options drill.RealOptions) (*drill.RealResult, error) {
+	if outputDirectory != "" {
+		directory, err := filepath.Abs(filepath.Join(outputDirectory, fmt.Sprintf("%s-%d", d.Name, options.Seed)))
 		if err != nil {
 			return nil, usageError(err)
 		}
--- a/internal/ctl/drill_run.go
+++ b/internal/ctl/drill_run.go
@@ -11,29 +11,29 @@
 
 // drillRunFlags holds the flags of drill run.
 type drillRunFlags struct {
-	firstSeed, seeds uint64 // the first seed and the number of consecutive ones
-	virtual          bool   // run in virtual time
-	fleetOff         bool   // run each coordinator without a consensus group
-	debug            bool
-	asJSON           bool
-	without          []string // names of the guards to disable
-	coordinator      string   // path of the coordinator program
-	olderCoordinator string   // path of an earlier coordinator program; empty: none
-	output           string   // directory for logs and disks
-	scenario         string   // name of a scenario, for a drill that names none
+	firstSeed, seedCount uint64 // the first seed and the number of consecutive ones
+	virtual              bool   // run in virtual time
+	fleetOff             bool   // run each coordinator without a consensus group
+	debug                bool
+	asJSON               bool
+	disabledGuardNames   []string // names of the guards to disable
+	coordinator          string   // path of the coordinator program
+	olderCoordinator     string   // path of an earlier coordinator program; empty: none
+	outputDirectory      string   // directory for logs and disks
+	scenario             string   // name of a scenario, for a drill that names none
 }
 
 func (f *drillRunFlags) register(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.Uint64Var(&f.firstSeed, "seed", 1, "the first seed")
-	flags.Uint64Var(&f.seeds, "seeds", 1, "number of consecutive seeds to run")
+	flags.Uint64Var(&f.seedCount, "seeds", 1, "number of consecutive seeds to run")
 	flags.BoolVar(&f.virtual, "virtual", false, "run in virtual time")
 	flags.BoolVar(&f.fleetOff, "off", false, "run each coordinator alone, without a consensus group, for comparison")
 	flags.BoolVar(&f.debug, "debug", false, "make coordinators log each request and each endpoint update, as input for aniseloftctl fleet logs")
-	flags.StringSliceVar(&f.without, "without", nil, "guards to disable, only with --virtual: fence, asked, vote, drift")
+	flags.StringSliceVar(&f.disabledGuardNames, "without", nil, "guards to disable, only with --virtual: fence, asked, vote, drift")
 	flags.StringVar(&f.coordinator, "coordinator", filepath.Join("bin", "aniseloft"), "path of the coordinator program")
 	flags.StringVar(&f.olderCoordinator, "older", "", "path of an earlier coordinator program, which each process runs until its first graceful shutdown, as in a rolling upgrade")
-	flags.StringVar(&f.output, "out", "", "directory for the logs and disks of the processes")
+	flags.StringVar(&f.outputDirectory, "out", "", "directory for the logs and disks of the processes")
 	flags.StringVar(&f.scenario, "scenario", "calm-weekday", "scenario of the engines and clients, for a drill with real processes that names none")
 	flags.BoolVar(&f.asJSON, "json", false, "print JSON")
 }
@@ -50,14 +50,14 @@
 			"  aniseloftctl drill run owner-killed --seed 7 --out out\n" +
 			"  aniseloftctl drill run drawn --virtual --seeds 100 --without fence",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			selected, err := selectDrill(args[0], flags.without)
+			selected, err := selectDrill(args[0], flags.disabledGuardNames)
 			if err != nil {
 				return err
 			}
 			if flags.virtual {
 				return runVirtualDrill(cmd, selected, &flags)
 			}
-			if selected.disabled != (drill.DisabledGuards{}) {
+			if selected.disabledGuards != (drill.DisabledGuards{}) {
 				return usageError(errors.New("--without requires --virtual: guards cannot be disabled in real processes"))
 			}
 			return runRealDrill(cmd, selected.drill, &flags)
--- a/internal/ctl/drill_virtual.go
+++ b/internal/ctl/drill_virtual.go
@@ -15,7 +15,7 @@
 
 // runVirtualDrill runs a drill with many seeds in virtual time and prints their summary.
 func runVirtualDrill(cmd *cobra.Command, selected drillSelection, flags *drillRunFlags) error {
-	summary, err := runSeeds(cmd, selected, flags.firstSeed, flags.seeds)
+	summary, err := runSeeds(cmd, selected, flags.firstSeed, flags.seedCount)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 		slots <- struct{}{}
 		runs.Go(func() {
 			defer func() { <-slots }()
-			results[i], errs[i] = drill.RunVirtual(selected.drill, first+i, selected.disabled, false)
+			results[i], errs[i] = drill.RunVirtual(selected.drill, first+i, selected.disabledGuards, false)
 		})
 	}
 	runs.Wait()
@@ -71,13 +71,13 @@
 
 // seedFlags holds the flags of the commands that run one seed in virtual time.
 type seedFlags struct {
-	seed    uint64
-	without []string // names of the guards to disable
+	seed               uint64
+	disabledGuardNames []string // names of the guards to disable
 }
 
 func (f *seedFlags) register(cmd *cobra.Command) {
 	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "the seed")
-	cmd.Flags().StringSliceVar(&f.without, "without", nil, "guards to disable: fence, asked, vote, drift")
+	cmd.Flags().StringSliceVar(&f.disabledGuardNames, "without", nil, "guards to disable: fence, asked, vote, drift")
 }
 
 func drillReplayCommand() *cobra.Command {
@@ -86,11 +86,11 @@
 		Use: "replay NAME|FILE", Short: "Run one seed in virtual time and print every event", Args: cobra.ExactArgs(1),
 		Example: "  aniseloftctl drill replay drawn --seed 1 --without fence",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			selected, err := selectDrill(args[0], flags.without)
+			selected, err := selectDrill(args[0], flags.disabledGuardNames)
 			if err != nil {
 				return err
 			}
-			result, err := drill.RunVirtual(selected.drill, flags.seed, selected.disabled, true)
+			result, err := drill.RunVirtual(selected.drill, flags.seed, selected.disabledGuards, true)
 			if err != nil {
 				return err
 			}
@@ -116,19 +116,19 @@
 		Use: "shrink NAME|FILE", Short: "Print the smallest drill that still violates a rule, found by removing faults", Args: cobra.ExactArgs(1),
 		Example: "  aniseloftctl drill shrink drawn --seed 1 --without fence > least.json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			selected, err := selectDrill(args[0], flags.without)
+			selected, err := selectDrill(args[0], flags.disabledGuardNames)
 			if err != nil {
 				return err
 			}
-			smallest, err := shrinkDrill(selected, flags.seed)
+			smallestDrill, err := shrinkDrill(selected, flags.seed)
 			if err != nil {
 				return err
 			}
-			text, err := json.MarshalIndent(smallest, "", " ")
+			drillJSON, err := json.MarshalIndent(smallestDrill, "", " ")
 			if err != nil {
 				return fmt.Errorf("encode the drill as JSON: %w", err)
 			}
-			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(text))
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(drillJSON))
 			return err
 		},
 	}
@@ -139,7 +139,7 @@
 // shrinkDrill returns the smallest drill that still violates a rule with the given seed.
 func shrinkDrill(selected drillSelection, seed uint64) (*drill.Drill, error) {
 	violatesRule := func(d *drill.Drill) bool {
-		result, err := drill.RunVirtual(d, seed, selected.disabled, false)
+		result, err := drill.RunVirtual(d, seed, selected.disabledGuards, false)
 		return err == nil && len(result.Violations) > 0
 	}
 	if !violatesRule(selected.drill) {
--- a/internal/ctl/emulate.go
+++ b/internal/ctl/emulate.go
@@ -95,9 +95,9 @@
 	problems := scenario.ValidationErrors{}
 	for _, file := range files {
 		_, err := scenarios.Load(file)
-		var list scenario.ValidationErrors
-		if errors.As(err, &list) {
-			problems = append(problems, list...)
+		var fileProblems scenario.ValidationErrors
+		if errors.As(err, &fileProblems) {
+			problems = append(problems, fileProblems...)
 		} else if err != nil {
 			return nil, usageError(err)
 		}
--- a/internal/ctl/emulate_live.go
+++ b/internal/ctl/emulate_live.go
@@ -73,7 +73,7 @@
 			defer stop()
 			_, err = live.Run(ctx, s, live.Options{Seed: day.seed, Log: io.Discard,
 				Serving: func(journals []string, config func(coordinator int, listen string) ([]byte, error)) error {
-					return announceJournals(cmd, journals, config, day.output)
+					return announceJournals(cmd, journals, config, day.outputDirectory)
 				}})
 			return err
 		},
@@ -88,16 +88,16 @@
 // announceJournals prints the address of each coordinator's journal service. If a directory is given, it also writes the
 // coordinator's configuration there.
 func announceJournals(cmd *cobra.Command, journals []string, config func(coordinator int, listen string) ([]byte, error), directory string) error {
-	for n, address := range journals {
-		_, _ = fmt.Fprintf(cmd.OutOrStdout(), "coordinator %d: journal service at %s\n", n, address)
+	for coordinatorIndex, address := range journals {
+		_, _ = fmt.Fprintf(cmd.OutOrStdout(), "coordinator %d: journal service at %s\n", coordinatorIndex, address)
 		if directory == "" {
 			continue
 		}
-		text, err := config(n, fmt.Sprintf("127.0.0.1:%d", firstPort+n))
+		configJSON, err := config(coordinatorIndex, fmt.Sprintf("127.0.0.1:%d", firstPort+coordinatorIndex))
 		if err != nil {
 			return err
 		}
-		if err := writeFile(filepath.Join(directory, fmt.Sprintf("n%d.json", n)), text); err != nil {
+		if err := writeFile(filepath.Join(directory, fmt.Sprintf("n%d.json", coordinatorIndex)), configJSON); err != nil {
 			return err
 		}
 	}
--- a/internal/ctl/emulate_run.go
+++ b/internal/ctl/emulate_run.go
@@ -18,16 +18,16 @@
 
 // dayFlags holds the flags shared by the commands that run an emulated day, which is one run of a scenario.
 type dayFlags struct {
-	seed    uint64
-	changes []string // changes of scenario values, each POINTER=VALUE
-	output  string   // directory for report.json; empty: it is not written
-	asJSON  bool
+	seed            uint64
+	changes         []string // changes of scenario values, each POINTER=VALUE
+	outputDirectory string   // directory for report.json; empty: it is not written
+	asJSON          bool
 }
 
 func (f *dayFlags) register(cmd *cobra.Command) {
 	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "the day's seed; the same seed gives the same day")
 	cmd.Flags().StringArrayVar(&f.changes, "set", nil, "change a scenario value by its JSON pointer, such as /load/per_s=300 (repeatable)")
-	cmd.Flags().StringVar(&f.output, "out", "", "directory for report.json")
+	cmd.Flags().StringVar(&f.outputDirectory, "out", "", "directory for report.json")
 	cmd.Flags().BoolVar(&f.asJSON, "json", false, "print the report as JSON")
 }
 
@@ -46,18 +46,18 @@
 
 // finish writes and prints the report of a day. It returns an error with ExitRules if the day violated a rule.
 func (f *dayFlags) finish(cmd *cobra.Command, report *observer.Report) error {
-	text, err := json.MarshalIndent(report, "", " ")
+	reportJSON, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	text = append(text, '\n')
-	if f.output != "" {
-		if err := writeFile(filepath.Join(f.output, "report.json"), text); err != nil {
+	reportJSON = append(reportJSON, '\n')
+	if f.outputDirectory != "" {
+		if err := writeFile(filepath.Join(f.outputDirectory, "report.json"), reportJSON); err != nil {
 			return err
 		}
 	}
 	if f.asJSON {
-		_, _ = cmd.OutOrStdout().Write(text)
+		_, _ = cmd.OutOrStdout().Write(reportJSON)
 	} else {
 		printDayReport(cmd, report)
 	}
--- a/internal/ctl/experiment.go
+++ b/internal/ctl/experiment.go
@@ -17,7 +17,7 @@
 }
 
 func experimentRunCommand() *cobra.Command {
-	var output string
+	var outputDirectory string
 	cmd := &cobra.Command{
 		Use: "run PLAN.json", Short: "Run a plan's days on all cores, saving each result as its day ends", Args: cobra.ExactArgs(1),
 		Long:    "Runs scenarios x variants x policies x seeds. After an interruption the same command continues where it stopped.",
@@ -31,21 +31,21 @@
 			if err != nil {
 				return usageError(err)
 			}
-			if output == "" {
-				output = "results/" + plan.Name
+			if outputDirectory == "" {
+				outputDirectory = "results/" + plan.Name
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			days := len(plan.Cells())
-			bar := newProgressBar(cmd, days, plan.Name)
-			if err := experiment.Run(ctx, plan, output, func(completed, _ int) { _ = bar.Set(completed) }); err != nil {
-				return fmt.Errorf("%w; completed results are kept in %s; run the same command again to continue", err, output)
+			dayCount := len(plan.Cells())
+			bar := newProgressBar(cmd, dayCount, plan.Name)
+			if err := experiment.Run(ctx, plan, outputDirectory, func(completed, _ int) { _ = bar.Set(completed) }); err != nil {
+				return fmt.Errorf("%w; completed results are kept in %s; run the same command again to continue", err, outputDirectory)
 			}
-			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d days in %s\n", days, output)
+			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d days in %s\n", dayCount, outputDirectory)
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&output, "out", "", "results directory (default results/NAME)")
+	cmd.Flags().StringVar(&outputDirectory, "out", "", "results directory (default results/NAME)")
 	return cmd
 }
 
@@ -75,7 +75,7 @@
 }
 
 func experimentChartCommand() *cobra.Command {
-	var output string
+	var outputDirectory string
 	cmd := &cobra.Command{
 		Use: "chart DIR", Short: "Draw service by policy, latency curves and timelines (SVG and PNG)", Args: cobra.ExactArgs(1),
 		Example: "  aniseloftctl experiment chart results/baselines --out charts",
@@ -84,13 +84,13 @@
 			if err != nil {
 				return usageError(err)
 			}
-			if output == "" {
-				output = args[0]
+			if outputDirectory == "" {
+				outputDirectory = args[0]
 			}
-			if err := os.MkdirAll(output, 0o755); err != nil {
+			if err := os.MkdirAll(outputDirectory, 0o755); err != nil {
 				return fmt.Errorf("charts: %w", err)
 			}
-			files, err := experiment.Charts(results, output)
+			files, err := experiment.Charts(results, outputDirectory)
 			if err != nil {
 				return err
 			}
@@ -100,6 +100,6 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&output, "out", "", "directory for the charts (default: the results directory)")
+	cmd.Flags().StringVar(&outputDirectory, "out", "", "directory for the charts (default: the results directory)")
 	return cmd
 }
--- a/internal/ctl/experiment_compare.go
+++ b/internal/ctl/experiment_compare.go
@@ -45,18 +45,18 @@
 
 // loadPolicy loads the results of one policy. The policy must be named if the directory has results of several.
 func loadPolicy(directory, policy string) ([]experiment.Result, error) {
-	all, err := experiment.Load(directory)
+	allResults, err := experiment.Load(directory)
 	if err != nil {
 		return nil, usageError(err)
 	}
 	var results []experiment.Result
-	for _, r := range all {
+	for _, r := range allResults {
 		if policy == "" || r.Policy == policy {
 			results = append(results, r)
 		}
 	}
-	if names := experiment.Policies(results); len(names) > 1 {
-		return nil, usageError(fmt.Errorf("%s has results of the policies %v: choose one with --policy-a and --policy-b", directory, names))
+	if policyNames := experiment.Policies(results); len(policyNames) > 1 {
+		return nil, usageError(fmt.Errorf("%s has results of the policies %v: choose one with --policy-a and --policy-b", directory, policyNames))
 	}
 	return results, nil
 }
--- a/internal/ctl/fleet_admin.go
+++ b/internal/ctl/fleet_admin.go
@@ -178,13 +178,13 @@
 
 func fleetMoveCommand() *cobra.Command {
 	var f adminFlags
-	var to string
+	var preferredHolder string
 	cmd := &cobra.Command{Use: "move JOB", Short: "Set the preferred holder of a job", Args: cobra.ExactArgs(1),
 		Long: "The holder finishes its active operation and releases the job; then the named coordinator is granted the job, with the next fence. The " +
 			"preference stays: while that coordinator is unavailable another one holds the job. Without --to the preference is cleared.",
 		Example: "  aniseloftctl fleet move prune-record --to n2\n  aniseloftctl fleet move prune-record",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			response, err := f.send(cmd.Context(), lease.AdminRequest{Operation: lease.AdminMove, Job: args[0], Target: to})
+			response, err := f.send(cmd.Context(), lease.AdminRequest{Operation: lease.AdminMove, Job: args[0], Target: preferredHolder})
 			if err != nil {
 				return err
 			}
@@ -194,7 +194,7 @@
 			return printStatus(cmd, response.Status)
 		}}
 	f.register(cmd)
-	cmd.Flags().StringVar(&to, "to", "", "the preferred holder; empty: no preference")
+	cmd.Flags().StringVar(&preferredHolder, "to", "", "the preferred holder; empty: no preference")
 	return cmd
 }
 
--- a/internal/ctl/fleet_admin_test.go
+++ b/internal/ctl/fleet_admin_test.go
@@ -26,29 +26,29 @@
 		Jobs: []lease.JobStatus{{Job: lease.JobPruneRecord, Fence: 8, Holder: "n1/7f3a", Preferred: "n2", AgeMS: 12.5}, {Job: lease.JobReadJournal}},
 		Clients: []lease.ClientStatus{{Name: "n1", AgeMS: 12.5, Capacity: 2.5, Draining: true}, {Name: "n2", AgeMS: 3, Capacity: 1, HeldDown: true},
 			{Name: "n3", AgeMS: 4, Capacity: 1}}}
-	capture := func(f func(c *cobra.Command) error) []byte {
+	captureOutput := func(f func(c *cobra.Command) error) []byte {
 		var b bytes.Buffer
 		c := &cobra.Command{}
 		c.SetOut(&b)
 		require.NoError(t, f(c))
 		return b.Bytes()
 	}
-	command := func(args ...string) []byte {
+	commandOutput := func(args ...string) []byte {
 		code, out, log := runCommand(args...)
 		require.Equal(t, ExitOK, code, log)
 		return []byte(out)
 	}
 	for name, got := range map[string][]byte{
-		"fleet-status.txt":  capture(func(c *cobra.Command) error { return printStatus(c, status) }),
-		"fleet-status.json": capture(func(c *cobra.Command) error { return printJSON(c, status) }),
-		"fleet-jobs.txt":    command("fleet", "jobs"),
-		"fleet-jobs.json":   command("fleet", "jobs", "--json"),
+		"fleet-status.txt":  captureOutput(func(c *cobra.Command) error { return printStatus(c, status) }),
+		"fleet-status.json": captureOutput(func(c *cobra.Command) error { return printJSON(c, status) }),
+		"fleet-jobs.txt":    commandOutput("fleet", "jobs"),
+		"fleet-jobs.json":   commandOutput("fleet", "jobs", "--json"),
 	} {
-		path := filepath.Join("testdata", name)
+		fixturePath := filepath.Join("testdata", name)
 		if *updateFleetOutput {
-			require.NoError(t, os.WriteFile(path, got, 0o644))
+			require.NoError(t, os.WriteFile(fixturePath, got, 0o644))
 		}
-		fixture, err := os.ReadFile(path)
+		fixture, err := os.ReadFile(fixturePath)
 		require.NoError(t, err)
 		require.Equal(t, string(fixture), string(got), name)
 	}
--- a/internal/ctl/fleet_logs.go
+++ b/internal/ctl/fleet_logs.go
@@ -51,25 +51,25 @@
 }
 
 // logFiles lists the named files and the *.log files in the named directories, sorted and without duplicates.
-func logFiles(names []string) ([]string, error) {
+func logFiles(paths []string) ([]string, error) {
 	var files []string
-	for _, name := range names {
-		info, err := os.Stat(name)
+	for _, path := range paths {
+		info, err := os.Stat(path)
 		if err != nil {
 			return nil, fmt.Errorf("fleet logs: %w", err)
 		}
 		if !info.IsDir() {
-			files = append(files, name)
+			files = append(files, path)
 			continue
 		}
-		logs, err := filepath.Glob(filepath.Join(name, "*.log"))
+		directoryLogs, err := filepath.Glob(filepath.Join(path, "*.log"))
 		if err != nil {
 			return nil, fmt.Errorf("fleet logs: %w", err)
 		}
-		if len(logs) == 0 {
-			return nil, fmt.Errorf("fleet logs: %s holds no *.log; name the files", name)
+		if len(directoryLogs) == 0 {
+			return nil, fmt.Errorf("fleet logs: %s holds no *.log; name the files", path)
 		}
-		files = append(files, logs...)
+		files = append(files, directoryLogs...)
 	}
 	slices.Sort(files)
 	return slices.Compact(files), nil
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -33,22 +33,22 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("write file: %w", err)
 	}
-	temporary, err := os.CreateTemp(filepath.Dir(path), ".keep-*")
+	temporaryFile, err := os.CreateTemp(filepath.Dir(path), ".keep-*")
 	if err != nil {
 		return fmt.Errorf("write file: %w", err)
 	}
-	_, err = temporary.Write(content)
-	if closeErr := temporary.Close(); err == nil {
+	_, err = temporaryFile.Write(content)
+	if closeErr := temporaryFile.Close(); err == nil {
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Chmod(temporary.Name(), 0o644)
+		err = os.Chmod(temporaryFile.Name(), 0o644)
 	}
 	if err == nil {
-		err = os.Rename(temporary.Name(), path)
+		err = os.Rename(temporaryFile.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary.Name())
+		_ = os.Remove(temporaryFile.Name())
 		return fmt.Errorf("write %s: %w", path, err)
 	}
 	return nil
--- a/internal/fleetlog/line.go
+++ b/internal/fleetlog/line.go
@@ -25,8 +25,8 @@
 
 // parseLine parses a line in logfmt. It returns false if the line has no valid time or is not logfmt. Text before the line's
 // own time, such as the timestamp of a log collector, is ignored.
-func parseLine(text string) (logLine, bool) {
-	_, afterTime, hasTime := strings.Cut(text, "time=")
+func parseLine(rawLine string) (logLine, bool) {
+	_, afterTime, hasTime := strings.Cut(rawLine, "time=")
 	if !hasTime {
 		return logLine{}, false
 	}
@@ -38,10 +38,10 @@
 	for decoder.ScanKeyval() {
 		fields[string(decoder.Key())] = string(decoder.Value())
 	}
-	at, err := time.Parse(time.RFC3339Nano, fields["time"])
+	loggedAt, err := time.Parse(time.RFC3339Nano, fields["time"])
 	if decoder.Err() != nil || err != nil {
 		return logLine{}, false
 	}
 	replaceFormerNames(fields)
-	return logLine{at, fields}, true
+	return logLine{loggedAt, fields}, true
 }
--- a/internal/fleetlog/messages.go
+++ b/internal/fleetlog/messages.go
@@ -29,13 +29,13 @@
 // replaceFormerNames replaces the message and the keys of earlier versions in a line's fields. Coordinators of two versions
 // run side by side during an upgrade.
 func replaceFormerNames(fields map[string]string) {
-	if message, former := formerMessages[fields["msg"]]; former {
+	if message, formerKey := formerMessages[fields["msg"]]; formerKey {
 		fields["msg"] = message
 	}
-	for former, current := range formerKeys {
-		if value, ok := fields[former]; ok {
+	for formerKey, current := range formerKeys {
+		if value, ok := fields[formerKey]; ok {
 			fields[current] = value
-			delete(fields, former)
+			delete(fields, formerKey)
 		}
 	}
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -114,8 +114,8 @@
 	return encoded
 }
 
-// ejectionWords are the texts for the reasons of an ejection on the wire.
-var ejectionWords = map[decide.EjectionReason]string{
+// ejectionReasonTexts are the texts for the reasons of an ejection on the wire.
+var ejectionReasonTexts = map[decide.EjectionReason]string{
 	decide.EjectedConnectFailed:     "connections fail",
 	decide.EjectedDomainUnreachable: "those alike refuse",
 	decide.EjectedErrors:            "errors in a row",
@@ -128,5 +128,5 @@
 	if line.Message == decide.LogEndpointRestored {
 		return fmt.Sprintf("engine %d back in rotation", line.Endpoint)
 	}
-	return fmt.Sprintf("engine %d ejected: %s", line.Endpoint, ejectionWords[line.Reason])
+	return fmt.Sprintf("engine %d ejected: %s", line.Endpoint, ejectionReasonTexts[line.Reason])
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -66,11 +66,11 @@
 		}
 		reply.Actions = append(reply.Actions, actions...)
 	}
-	text, err := json.Marshal(reply)
+	replyLine, err := json.Marshal(reply)
 	if err != nil {
 		return nil, fmt.Errorf("reply %d: %w", *b.Round, err)
 	}
-	return text, nil
+	return replyLine, nil
 }
 
 // handle handles one message of a batch and returns the encoded actions.
--- a/internal/wire/inspect.go
+++ b/internal/wire/inspect.go
@@ -67,11 +67,11 @@
 		findings = append(findings, undecodedSettings(raw, err))
 	} else {
 		for _, p := range decide.ValidateSettings(&s) {
-			path := pathOfSetting(p.Field)
+			settingPath := pathOfSetting(p.Field)
 			if p.Fatal {
-				findings = append(findings, FatalFinding(path, describeValueAt(tree, path), p.Message))
+				findings = append(findings, FatalFinding(settingPath, describeValueAt(tree, settingPath), p.Message))
 			} else {
-				findings = append(findings, Finding{path, describeValueAt(tree, path), p.Message, p.Consequence, false})
+				findings = append(findings, Finding{settingPath, describeValueAt(tree, settingPath), p.Message, p.Consequence, false})
 			}
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -88,8 +88,8 @@
 }
 
 // lookup returns the value that a word of an enumerated field stands for. Its error names the field and the word.
-func lookup[T any](field, word string, known map[string]T) (T, error) {
-	value, ok := known[word]
+func lookup[T any](field, word string, valuesByWord map[string]T) (T, error) {
+	value, ok := valuesByWord[word]
 	if !ok {
 		return value, fmt.Errorf("field %s: %q is unknown", field, word)
 	}
@@ -106,17 +106,17 @@
 
 // The values of enumerated fields, by their words in the settings.
 var (
-	memoryExhaustionWords = map[string]decide.MemoryExhaustion{
+	memoryExhaustionByWord = map[string]decide.MemoryExhaustion{
 		"line_up":    decide.MemoryExhaustionQueues,
 		"cut":        decide.MemoryExhaustionSpills,
 		"overcommit": decide.MemoryExhaustionOvercommits,
 	}
-	idempotencyWords = map[string]decide.Idempotency{
+	idempotencyByWord = map[string]decide.Idempotency{
 		"repeatable": decide.IdempotentAlways,
 		"by_key":     decide.IdempotentByKey,
 		"once":       decide.NotIdempotent,
 	}
-	dedupScopeWords = map[string]decide.DedupScope{
+	dedupScopeByWord = map[string]decide.DedupScope{
 		"all":  decide.DedupFleet,
 		"zone": decide.DedupZone,
 		"cell": decide.DedupCell,
@@ -124,8 +124,8 @@
 )
 
 const (
-	discoveryBySubscription = "ask"    // value of registryMode: the endpoint list goes only to subscribers
-	noLoadReports           = "silent" // value of report.via: endpoints send no load reports
+	registryModeAsk = "ask"    // value of registryMode: the endpoint list goes only to subscribers
+	reportViaSilent = "silent" // value of report.via: endpoints send no load reports
 )
 
 // Settings decodes the settings of one balancer. Its errors name the field that can't be decoded.
@@ -141,7 +141,7 @@
 		TickInterval:         p.TickIntervalMS,
 		Rules:                p.readRules(),
 		OverQuotaWeightRatio: p.OverQuotaWeightRatio,
-		SubscriptionRequired: p.DiscoveryMode == discoveryBySubscription,
+		SubscriptionRequired: p.DiscoveryMode == registryModeAsk,
 		KindNames:            p.KindNames,
 		ZoneNames:            p.ZoneNames,
 		Zone:                 p.Zone,
@@ -174,7 +174,7 @@
 func (p *params) readCosts(s *decide.Settings) {
 	s.GossipCost = p.Prices.GossipCost
 	s.ProbeCost = p.Prices.ProbeCost
-	s.LoadReportsEnabled = p.Report.Via != noLoadReports && p.Report.Via != ""
+	s.LoadReportsEnabled = p.Report.Via != reportViaSilent && p.Report.Via != ""
 	s.LoadReportFields = p.Report.Fields
 }
 
@@ -205,7 +205,7 @@
 	s.ProgressInterval = p.Domain.ProgressIntervalMS
 	s.MaxGrantRatio = p.Domain.MaxGrantRatio
 	if p.Domain.MemoryExhaustion != "" {
-		s.MemoryExhaustion, err = lookup("domain.memoryShort", p.Domain.MemoryExhaustion, memoryExhaustionWords)
+		s.MemoryExhaustion, err = lookup("domain.memoryShort", p.Domain.MemoryExhaustion, memoryExhaustionByWord)
 		if err != nil {
 			return err
 		}
@@ -234,11 +234,11 @@
 			WaitsForLocks:    elementOrZero(p.Domain.WaitsForLocks, i),
 		}
 		var err error
-		if class.Idempotency, err = lookup("lanes.repeat", lane.Idempotency, idempotencyWords); err != nil {
+		if class.Idempotency, err = lookup("lanes.repeat", lane.Idempotency, idempotencyByWord); err != nil {
 			return err
 		}
 		if lane.DedupScope != "" {
-			if class.DedupScope, err = lookup("lanes.dedupScope", lane.DedupScope, dedupScopeWords); err != nil {
+			if class.DedupScope, err = lookup("lanes.dedupScope", lane.DedupScope, dedupScopeByWord); err != nil {
 				return err
 			}
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,9 +64,9 @@
 
 func TestEventsForUnknownRequestsAreIgnored(t *testing.T) {
 	h := NewHost()
-	ended := `{"what":"AttemptEnd","gateway":3,"ref":"c:zz","try":0,"engine":7,"result":10,"spentMs":2,"complete":true}`
-	disconnected := `{"what":"Abandoned","gateway":3,"ref":"c:zz"}`
-	if out, err := h.Batch(batchOf(startMessages + "," + ended + "," + disconnected)); err != nil || strings.Contains(string(out), "zz") {
+	attemptEndMessage := `{"what":"AttemptEnd","gateway":3,"ref":"c:zz","try":0,"engine":7,"result":10,"spentMs":2,"complete":true}`
+	abandonedMessage := `{"what":"Abandoned","gateway":3,"ref":"c:zz"}`
+	if out, err := h.Batch(batchOf(startMessages + "," + attemptEndMessage + "," + abandonedMessage)); err != nil || strings.Contains(string(out), "zz") {
 		t.Fatalf("%s %v", out, err)
 	}
 }
