--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -88,7 +88,8 @@
 	projectedDuration := (b.clock.now - a.startedAt) / max(ev.Value, minProgress)
 	usualDuration := unloadedLatency * max(1, math.Exp(b.estimates.pressure(a.endpoint)))
 	if firstNotice { // running attempts show overload long before completed ones
-		b.estimates.observePressure(a.endpoint, math.Log(min(projectedDuration, maxSampleRatio*usualDuration)/unloadedLatency))
+		b.estimates.observePressure(a.endpoint,
+			math.Log(min(projectedDuration, maxSampleRatio*usualDuration)/unloadedLatency))
 	}
 	if projectedDuration > slowPlanRatio*usualDuration && !r.replanned && b.retries.takeReplan() {
 		b.tryElsewhere(r)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -56,7 +56,8 @@
 	settings, c := &b.settings, b.clock
 	b.subscription = &subscription{
 		clock: c, rng: b.rng, outbox: b.outbox,
-		isRequired: settings.SubscriptionRequired, subscribeInterval: settings.Rules.SubscribeInterval, retryAt: never,
+		isRequired: settings.SubscriptionRequired, subscribeInterval: settings.Rules.SubscribeInterval,
+		retryAt: never,
 	}
 	b.estimates = newEstimator(c, settings)
 	b.slowStart = &slowStart{clock: c, settings: settings}
@@ -68,7 +69,9 @@
 		clock: c, settings: settings, estimates: b.estimates, slowStart: b.slowStart, gossip: b.gossip,
 		fleet: fleetLoad{observedAt: never},
 	}
-	b.retries = &retryPolicy{clock: c, settings: settings, estimates: b.estimates, replanBudget: maxReplanBudget}
+	b.retries = &retryPolicy{
+		clock: c, settings: settings, estimates: b.estimates, replanBudget: maxReplanBudget,
+	}
 	b.outliers = &outlierDetector{
 		clock: c, settings: settings, rng: b.rng, endpoints: b.endpoints, estimates: b.estimates,
 		log:                 &rateLimitedLog{clock: c, outbox: b.outbox, lastAt: never},
--- a/decide/capacity.go
+++ b/decide/capacity.go
@@ -117,11 +117,13 @@
 // withinQueueBound reports whether a request of the class keeps to this balancer's share of the queue bound
 // or, for long classes whose load the balancers report to each other, to the complete bound.
 func (c *capacity) withinQueueBound(e *endpoint, class *classStats) bool {
-	bound, balancerShare, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
+	bound, balancerShare, threads :=
+		queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
 	if (c.settings.Balancers == 1 || c.gossip.hasPeers()) && class.isLong {
 		ownThreads := e.inFlight.threads[longClass]
 		// The request counts twice because another balancer may see the same free capacity now.
-		return ownThreads == 0 || e.peerLoad.threads+ownThreads+2*threads <= bound || ownThreads+threads <= bound*balancerShare
+		return ownThreads == 0 || e.peerLoad.threads+ownThreads+2*threads <= bound ||
+			ownThreads+threads <= bound*balancerShare
 	}
 	return e.inFlight.threads[class.size()]+threads <= max(bound*balancerShare, threads)
 }
@@ -133,7 +135,8 @@
 	if e.memoryMB > 0 && needMB > 0 && c.expectedMemory(e, r)+needMB > e.memoryMB {
 		return false // overcommitted memory slows or stops all queries at the endpoint
 	}
-	bound, balancerShare, threads := queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
+	bound, balancerShare, threads :=
+		queueBound(e, class), 1/float64(c.settings.Balancers), float64(class.Threads)
 	rampFactor := (1 + r.draw*(admissionRamp-1)) / admissionRamp
 	return rampFactor*c.expectedThreads(e, threads) <= bound || threads <= bound*balancerShare
 }
@@ -157,8 +160,8 @@
 	grantedRatio := c.fleet.memoryRatio * fleetMeanWeight
 	if e.report.Memory > grantedRatio {
 		// An endpoint that pages does so for long and answers seldom, so its report fades out gradually.
-		reportDecay := math.Exp((e.report.receivedAt - c.clock.now) / c.clock.objectives(fleetMeanTimeConstant))
-		grantedRatio = max(grantedRatio, e.report.Memory*reportDecay)
+		decay := math.Exp((e.report.receivedAt - c.clock.now) / c.clock.objectives(fleetMeanTimeConstant))
+		grantedRatio = max(grantedRatio, e.report.Memory*decay)
 	}
 	return grantedRatio * (e.memoryMB / grantMargin * (1 + memoryJitter*(r.draw-0.5)))
 }
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -40,8 +40,8 @@
 		firstRun:       firstRun{startedAt: never},
 		draw:           b.rng.Float64(),
 	}
-	if earlierRun := ev.EarlierRun; earlierRun != nil {
-		r.firstRun = firstRun{earlierRun.StartedAt, EndpointInfo{Zone: earlierRun.Zone, Cell: earlierRun.Cell}}
+	if earlier := ev.EarlierRun; earlier != nil {
+		r.firstRun = firstRun{earlier.StartedAt, EndpointInfo{Zone: earlier.Zone, Cell: earlier.Cell}}
 	}
 	return r
 }
--- a/decide/endpointset.go
+++ b/decide/endpointset.go
@@ -184,7 +184,8 @@
 
 // recentLoad estimates an endpoint's load where traffic is sparse: attempts in flight plus recent attempts.
 func (s *endpointSet) recentLoad(e *endpoint) float64 {
-	age := float64(s.attemptsStarted-e.recentSends.countedAt) / (recentSendsPerEndpoint * float64(len(s.sorted)))
+	age := float64(s.attemptsStarted-e.recentSends.countedAt) /
+		(recentSendsPerEndpoint * float64(len(s.sorted)))
 	return float64(len(e.inFlight.attempts)) + e.recentSends.count*math.Exp(-age)
 }
 
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -99,7 +99,9 @@
 	}
 	sort.SliceStable(withReport, func(i, j int) bool { return withReport[i].score > withReport[j].score })
 	otherReports := withReport[min(len(withReport), maxReportLines/2):]
-	newestFirst := func(i, j int) bool { return otherReports[i].report.receivedAt > otherReports[j].report.receivedAt }
+	newestFirst := func(i, j int) bool {
+		return otherReports[i].report.receivedAt > otherReports[j].report.receivedAt
+	}
 	sort.SliceStable(otherReports, newestFirst)
 	for _, e := range withReport[:min(len(withReport), maxReportLines-len(lines))] {
 		age := (g.clock.now - e.report.receivedAt) / period
@@ -129,7 +131,8 @@
 	for _, e := range g.endpoints.sorted {
 		e.peerLoad = peerLoad{}
 	}
-	for from, message := range g.peerMessages { // values are whole numbers, so the sums don't depend on map order
+	// Values are whole numbers, so the sums don't depend on map order.
+	for from, message := range g.peerMessages {
 		if g.clock.now-message.receivedAt > g.clock.objectives(gossipMaxAge) {
 			delete(g.peerMessages, from)
 			continue
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -175,7 +175,8 @@
 		h.failedTrials++
 	}
 	h.isEjected, h.processDown = true, processDown
-	trialDelay := d.clock.objectives(ejectionTime) * min(math.Exp2(float64(h.failedTrials)), maxEjectionGrowth)
+	trialDelay := d.clock.objectives(ejectionTime) *
+		min(math.Exp2(float64(h.failedTrials)), maxEjectionGrowth)
 	h.trialAfter = d.clock.now + trialDelay*(0.75+d.rng.Float64()/2)
 	d.log.add(Log{LogEndpointEjected, e.ID, reason})
 }
@@ -200,8 +201,8 @@
 
 // overdueAttempts returns the attempts at an endpoint about which nothing was received for too long.
 // unresponsiveCount is the number of those that started no earlier than the endpoint's last activity. If
-// running queries send progress notices, a missing notice decides; otherwise, a multiple of the unloaded latency
-// under the endpoint's pressure does.
+// running queries send progress notices, a missing notice decides; otherwise, a multiple of the unloaded
+// latency under the endpoint's pressure does.
 func (d *outlierDetector) overdueAttempts(e *endpoint) (overdue []*request, unresponsiveCount int) {
 	for _, r := range e.attemptsInOrder() {
 		sinceActivity := d.clock.now - max(r.current.lastActivityAt, d.clock.resumedAt)
@@ -223,7 +224,8 @@
 // since two attempts hardly ever run at an endpoint at the same time; a wrong ejection costs little, as trial
 // requests are cheap and come soon.
 func (d *outlierDetector) ejectUnresponsive(e *endpoint, unresponsiveCount int) {
-	if unresponsiveCount >= unresponsiveToEject || unresponsiveCount > 0 && (e.health.isEjected || d.endpoints.sparse()) {
+	if unresponsiveCount >= unresponsiveToEject ||
+		unresponsiveCount > 0 && (e.health.isEjected || d.endpoints.sparse()) {
 		d.eject(e, EjectedUnresponsive)
 	}
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -85,7 +85,8 @@
 	}
 	p.arrivalTimes = dropBefore(p.arrivalTimes, p.clock.now-rules.RetryBudgetWindow+p.clock.ticks(1))
 	p.retryTimes = dropBefore(p.retryTimes, p.clock.now-rules.RetryBudgetWindow-p.clock.ticks(1))
-	return float64(len(p.retryTimes))+1 <= rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(p.arrivalTimes))
+	return float64(len(p.retryTimes))+1 <=
+		rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(p.arrivalTimes))
 }
 
 // dropBefore drops the times before t from a sorted list.
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -63,7 +63,9 @@
 
 // Rules are the parameters of the operators' rules.
 type Rules struct {
-	AnswerSlack Millis // time for a final answer after the deadline; not used: answers are given before the deadline
+	// AnswerSlack is the time for a final answer after the deadline. It is not used: answers are given before
+	// the deadline.
+	AnswerSlack Millis
 	// An endpoint is warming up for SlowStartDuration after its start. During that time it has at least
 	// SlowStartCapacityRatio of its full capacity, and it collapses if the work that it gets within
 	// OverloadWindow reaches OverloadRatio times its capacity at that time.
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -60,7 +60,8 @@
 func (s *slowStart) budget(e *endpoint) float64 {
 	rules := s.settings.Rules
 	limit := rules.OverloadRatio * slowStartSafety // capped at 1 below: endpoints can't exceed full speed
-	budgetRatio := max(limit*rules.SlowStartCapacityRatio, min(limit, 1)*s.meanThroughput(s.clock.now-e.StartedAt))
+	budgetRatio := max(limit*rules.SlowStartCapacityRatio,
+		min(limit, 1)*s.meanThroughput(s.clock.now-e.StartedAt))
 	return budgetRatio * usableCores * e.cores * rules.OverloadWindow
 }
 
--- a/decide/subscription.go
+++ b/decide/subscription.go
@@ -42,7 +42,8 @@
 	if !s.isRequired || s.isActive || s.clock.now < s.retryAt {
 		return
 	}
-	retryDelay := s.subscribeInterval / 4 * float64(min(s.consecutiveFailures+1, maxBackoffSteps)) / maxBackoffSteps
+	retryDelay := s.subscribeInterval / 4 *
+		float64(min(s.consecutiveFailures+1, maxBackoffSteps)) / maxBackoffSteps
 	s.retryAt = s.clock.now + retryDelay*(0.75+0.5*s.rng.Float64())
 	s.outbox.add(Subscribe{})
 }
--- a/decide/validate.go
+++ b/decide/validate.go
@@ -51,7 +51,9 @@
 // string for the indexes.
 func (l *problemList) fatal(isInvalid bool, message, fieldFormat string, indexes ...any) {
 	if isInvalid {
-		*l = append(*l, SettingsProblem{Field: fmt.Sprintf(fieldFormat, indexes...), Message: message, Fatal: true})
+		*l = append(*l, SettingsProblem{
+			Field: fmt.Sprintf(fieldFormat, indexes...), Message: message, Fatal: true,
+		})
 	}
 }
 
--- a/internal/config/rest_test.go
+++ b/internal/config/rest_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestUnusableRESTSettingNamesItsField(t *testing.T) {
-	for text, pointer := range map[string]string{
+	for restJSON, wantPointer := range map[string]string{
 		`{"listen":"127.0.0.1:1","keep_seconds":5}`:                                   "/store",
 		`{"listen":"127.0.0.1:1","store":"x.db"}`:                                     "/keep_seconds",
 		`{"engine_kinds":["std-16","gpu-8"]}`:                                         "/engine_kinds/1",
@@ -26,12 +26,12 @@
 		`{"lisen":""}`:          "/",
 		`{"keep_seconds":"60"}`: "/",
 	} {
-		_, err := ParseREST([]byte(text), kinds, classes)
+		_, err := ParseREST([]byte(restJSON), kinds, classes)
 		var f FieldError
-		require.True(t, errors.As(err, &f), text)
-		require.Equal(t, pointer, f.Pointer, text)
+		require.True(t, errors.As(err, &f), restJSON)
+		require.Equal(t, wantPointer, f.Pointer, restJSON)
 		require.NotEmpty(t, f.Remedy)
-		require.Contains(t, err.Error(), RESTFile+": "+pointer)
+		require.Contains(t, err.Error(), RESTFile+": "+wantPointer)
 	}
 }
 
--- a/internal/ctl/drill_virtual.go
+++ b/internal/ctl/drill_virtual.go
@@ -38,11 +38,11 @@
 const seedBatch = 256
 
 // runSeeds runs consecutive seeds, as many at a time as there are cores. The summary does not depend on the number of cores.
-func runSeeds(cmd *cobra.Command, selected drillSelection, first, seeds uint64) (*drill.Summary, error) {
+func runSeeds(cmd *cobra.Command, selected drillSelection, firstSeed, seedCount uint64) (*drill.Summary, error) {
 	summary := &drill.Summary{Name: selected.drill.Name}
-	bar := newProgressBar(cmd, int(seeds), selected.drill.Name)
-	for done := uint64(0); done < seeds; done += seedBatch {
-		results, err := runSeedBatch(selected, first+done, min(seedBatch, seeds-done))
+	bar := newProgressBar(cmd, int(seedCount), selected.drill.Name)
+	for completedCount := uint64(0); completedCount < seedCount; completedCount += seedBatch {
+		results, err := runSeedBatch(selected, firstSeed+completedCount, min(seedBatch, seedCount-completedCount))
 		if err != nil {
 			return nil, err
 		}
@@ -54,15 +54,15 @@
 	return summary, nil
 }
 
-func runSeedBatch(selected drillSelection, first, count uint64) ([]*drill.VirtualResult, error) {
-	results, errs := make([]*drill.VirtualResult, count), make([]error, count)
+func runSeedBatch(selected drillSelection, firstSeed, seedCount uint64) ([]*drill.VirtualResult, error) {
+	results, errs := make([]*drill.VirtualResult, seedCount), make([]error, seedCount)
 	var runs sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for i := range count {
+	for i := range seedCount {
 		slots <- struct{}{}
 		runs.Go(func() {
 			defer func() { <-slots }()
-			results[i], errs[i] = drill.RunVirtual(selected.drill, first+i, selected.disabledGuards, false)
+			results[i], errs[i] = drill.RunVirtual(selected.drill, firstSeed+i, selected.disabledGuards, false)
 		})
 	}
 	runs.Wait()
--- a/internal/ctl/helpers_test.go
+++ b/internal/ctl/helpers_test.go
@@ -18,17 +18,17 @@
 
 // commandCase is a command line with its expected exit code and a text that one of its output streams must contain.
 type commandCase struct {
-	args     []string
-	code     int
-	contains string
+	args         []string
+	wantCode     int
+	wantContains string
 }
 
 func requireCommands(t *testing.T, cases []commandCase) {
 	t.Helper()
 	for _, tc := range cases {
 		code, stdout, stderr := runCommand(tc.args...)
-		require.Equal(t, tc.code, code, "%v: %s", tc.args, stderr)
-		require.Contains(t, stdout+stderr, tc.contains, tc.args)
+		require.Equal(t, tc.wantCode, code, "%v: %s", tc.args, stderr)
+		require.Contains(t, stdout+stderr, tc.wantContains, tc.args)
 	}
 }
 
--- a/internal/ctl/spool.go
+++ b/internal/ctl/spool.go
@@ -92,20 +92,20 @@
 		Use: "verify DIR", Short: "Read and verify every page; exit code 1 if any is damaged", Args: cobra.ExactArgs(1),
 		Example: "  aniseloftctl spool verify spool",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			found, err := inspectSpool(args[0], true)
+			inspection, err := inspectSpool(args[0], true)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				if err := printJSON(cmd, found); err != nil {
+				if err := printJSON(cmd, inspection); err != nil {
 					return err
 				}
 			}
-			if len(found.Damage) > 0 {
-				return damageError(found.Damage)
+			if len(inspection.Damage) > 0 {
+				return damageError(inspection.Damage)
 			}
 			if !asJSON {
-				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d results, %d bytes in %d segments: no damage\n", len(found.Results), found.Bytes, found.Segments)
+				_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%d results, %d bytes in %d segments: no damage\n", len(inspection.Results), inspection.Bytes, inspection.Segments)
 			}
 			return nil
 		},
@@ -116,9 +116,9 @@
 
 // damageError returns the joined errors of all damaged records.
 func damageError(damage []spool.Damage) error {
-	var all error
+	var joinedErrors error
 	for _, d := range damage {
-		all = errors.Join(all, fmt.Errorf("result %s: %s", d.Result, d))
+		joinedErrors = errors.Join(joinedErrors, fmt.Errorf("result %s: %s", d.Result, d))
 	}
-	return all
+	return joinedErrors
 }
--- a/internal/ctl/spool_test.go
+++ b/internal/ctl/spool_test.go
@@ -19,13 +19,13 @@
 	directory, err := spool.OpenDirectory(dir)
 	require.NoError(t, err)
 	twoDaysAgo := float64(time.Now().Add(-48 * time.Hour).UnixMilli())
-	now := twoDaysAgo
-	store, _, err := spool.Open(directory, spool.Options{SegmentBytes: 4096, NowMS: func() float64 { return now },
+	nowMS := twoDaysAgo
+	store, _, err := spool.Open(directory, spool.Options{SegmentBytes: 4096, NowMS: func() float64 { return nowMS },
 		Limits: ledger.Limits{Total: 1 << 30, RetentionMS: 1e12, MaxRetentionMS: 1e12}})
 	require.NoError(t, err)
 	for i := range 6 {
 		if i == 3 {
-			now = float64(time.Now().UnixMilli())
+			nowMS = float64(time.Now().UnixMilli())
 		}
 		writer, err := store.Begin(fmt.Sprint("result", i), "planner", "ridership-report", 0)
 		require.NoError(t, err)
@@ -60,17 +60,17 @@
 	require.Contains(t, out, "no damage")
 	segments, err := filepath.Glob(filepath.Join(dir, "*.seg"))
 	require.NoError(t, err)
-	flipped := 0
+	corruptedCount := 0
 	for _, f := range segments {
 		b, err := os.ReadFile(f)
 		require.NoError(t, err)
-		if at := bytes.Index(b, []byte("d2d2d2")); at > 0 {
-			b[at] ^= 4
-			flipped++
+		if matchOffset := bytes.Index(b, []byte("d2d2d2")); matchOffset > 0 {
+			b[matchOffset] ^= 4
+			corruptedCount++
 			require.NoError(t, os.WriteFile(f, b, 0o600))
 		}
 	}
-	require.Equal(t, 1, flipped)
+	require.Equal(t, 1, corruptedCount)
 	code, _, log = runCommand("spool", "verify", dir)
 	require.Equal(t, ExitFailed, code)
 	require.Regexp(t, `result result3: segment [0-9a-f]{16}, offset \d+, page 2: the page's bytes are corrupt`, log)
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/fleetlog/fleetlog_test.go
@@ -56,13 +56,13 @@
 		"msg=ended", `msg="attempt ended"`, "msg=answered", `msg="request answered"`, "msg=probed", `msg="endpoint probed"`, "msg=dialled", `msg="endpoint dialled"`,
 		"engine=", "endpoint=", "why=", "reason=").Replace
 	require.NotContains(t, toCurrentNames(n0+n1), "engine=")
-	report := func(log0, log1 string) *Report {
+	reportOf := func(log0, log1 string) *Report {
 		summary := New(15 * time.Second)
 		require.NoError(t, summary.Read("n0", strings.NewReader(log0)))
 		require.NoError(t, summary.Read("n1", strings.NewReader(log1)))
 		return summary.Report()
 	}
-	former := report(n0, n1)
-	require.Equal(t, former, report(toCurrentNames(n0), n1), "two versions at a time")
-	require.Equal(t, former, report(toCurrentNames(n0), toCurrentNames(n1)))
+	formerReport := reportOf(n0, n1)
+	require.Equal(t, formerReport, reportOf(toCurrentNames(n0), n1), "two versions at a time")
+	require.Equal(t, formerReport, reportOf(toCurrentNames(n0), toCurrentNames(n1)))
 }
--- a/internal/wire/fields_test.go
+++ b/internal/wire/fields_test.go
@@ -51,8 +51,8 @@
 	isWritten := map[ast.Expr]bool{}
 	ast.Inspect(file, func(n ast.Node) bool {
 		if assignment, ok := n.(*ast.AssignStmt); ok {
-			for _, left := range assignment.Lhs {
-				isWritten[left] = true
+			for _, assigned := range assignment.Lhs {
+				isWritten[assigned] = true
 			}
 		}
 		if selector, ok := n.(*ast.SelectorExpr); ok && !isWritten[selector] {
@@ -80,13 +80,13 @@
 }
 
 // belongsTo reports whether the field is declared in the named type of package decide.
-func belongsTo(v *types.Var, owner string) bool {
-	st, ok := v.Pkg().Scope().Lookup(owner).Type().Underlying().(*types.Struct)
+func belongsTo(fieldVar *types.Var, owner string) bool {
+	ownerType, ok := fieldVar.Pkg().Scope().Lookup(owner).Type().Underlying().(*types.Struct)
 	if !ok {
 		return false
 	}
-	for i := range st.NumFields() {
-		if st.Field(i).Pos() == v.Pos() {
+	for i := range ownerType.NumFields() {
+		if ownerType.Field(i).Pos() == fieldVar.Pos() {
 			return true
 		}
 	}
