--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -34,7 +34,7 @@
 	b.outliers.attemptStarted(e)
 	e.countInReport(r.current.memoryMB)
 	b.endpoints.countSend(e)
-	b.slowStart.recordSend(e, c.work)
+	b.slowStart.recordSend(e, c.meanWork)
 	if resources := b.resources(r, e); resources.GrantMB > 0 || resources.Priority != defaultPriority {
 		b.outbox.add(resources)
 	}
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -196,8 +196,8 @@
 
 // checkOverdue retries an endpoint's overdue attempts elsewhere and ejects an endpoint that is unresponsive.
 func (b *Balancer) checkOverdue(e *endpoint) {
-	overdue, unresponsiveCount := b.outliers.overdueAttempts(e)
-	for _, r := range overdue {
+	overdueRequests, unresponsiveCount := b.outliers.overdueAttempts(e)
+	for _, r := range overdueRequests {
 		b.tryElsewhere(r)
 	}
 	b.outliers.ejectUnresponsive(e, unresponsiveCount)
--- a/decide/endpoint.go
+++ b/decide/endpoint.go
@@ -7,7 +7,7 @@
 	EndpointInfo
 	cores    float64
 	memoryMB float64
-	listed   bool // the endpoint is in the current endpoint list
+	isListed bool // the endpoint is in the current endpoint list
 
 	inFlight    inFlight
 	recentSends recentSends
@@ -96,7 +96,7 @@
 
 // ready reports whether the endpoint list allows new requests to the endpoint. After the announcement of a
 // drain it doesn't.
-func (e *endpoint) ready() bool { return e.listed && e.State == EndpointReady }
+func (e *endpoint) ready() bool { return e.isListed && e.State == EndpointReady }
 
 // reportMaxAge is the age up to which a load report is used, in multiples of the shortest latency objective.
 // It leaves time for peers to pass reports on.
--- a/decide/endpointset.go
+++ b/decide/endpointset.go
@@ -33,7 +33,7 @@
 func (s *endpointSet) update(u EndpointUpdate, kinds []EndpointKind) {
 	if u.Kind != UpdateIncremental {
 		for _, e := range s.sorted {
-			e.listed = false
+			e.isListed = false
 		}
 	}
 	for _, info := range u.Entries {
@@ -47,7 +47,7 @@
 			e.cores, e.memoryMB = kinds[info.Kind].Cores, kinds[info.Kind].MemoryMB
 		}
 		e.cores = max(e.cores, 1)
-		e.listed = info.State != EndpointRemoved
+		e.isListed = info.State != EndpointRemoved
 	}
 	s.reindex()
 	for _, e := range s.sorted {
@@ -74,7 +74,7 @@
 func (s *endpointSet) reindex() {
 	sort.Slice(s.sorted, func(i, j int) bool { return s.sorted[i].ID < s.sorted[j].ID })
 	s.sorted = slices.DeleteFunc(s.sorted, func(e *endpoint) bool {
-		removed := !e.listed && len(e.inFlight.attempts) == 0
+		removed := !e.isListed && len(e.inFlight.attempts) == 0
 		if removed {
 			delete(s.byID, e.ID)
 		}
--- a/decide/estimator.go
+++ b/decide/estimator.go
@@ -36,7 +36,7 @@
 	Class
 	sampleCount      int     // number of attempts that succeeded
 	estimateCount    float64 // number of requests with an estimate of work
-	work             float64 // mean work, ms on one core
+	meanWork         float64 // mean work, ms on one core
 	usualWork        float64 // mean expected work of the class's requests, ms on one core
 	workBias         float64 // ratio of actual to estimated work
 	memoryBias       float64 // ratio of actual to estimated memory
@@ -71,8 +71,8 @@
 	m := &estimator{clock: c, settings: s}
 	for _, class := range s.Classes {
 		prior := class.LatencyObjective * float64(class.Threads)
-		m.classes = append(m.classes, &classStats{Class: class, work: prior, usualWork: prior, workBias: 1,
-			memoryBias: 1, spillRatio: 1})
+		m.classes = append(m.classes, &classStats{Class: class, meanWork: prior, usualWork: prior,
+			workBias: 1, memoryBias: 1, spillRatio: 1})
 	}
 	m.classifySizes()
 	return m
@@ -87,7 +87,7 @@
 	if r.EstimatedWork > 0 {
 		return max(r.EstimatedWork*c.workBias, 1)
 	}
-	return max(c.work, 1)
+	return max(c.meanWork, 1)
 }
 
 // unloadedLatency is the time in ms that a request takes at an idle endpoint.
@@ -121,8 +121,8 @@
 func (m *estimator) cheapestLongWork() float64 {
 	smallestLongWork, largestWork := math.Inf(1), 0.0
 	for _, c := range m.classes {
-		if largestWork = max(largestWork, c.work); c.isLong {
-			smallestLongWork = min(smallestLongWork, c.work)
+		if largestWork = max(largestWork, c.meanWork); c.isLong {
+			smallestLongWork = min(smallestLongWork, c.meanWork)
 		}
 	}
 	return min(smallestLongWork, largestWork)
@@ -154,7 +154,8 @@
 	} else {
 		work = ev.Latency * threads // too high under load, which is the safe side for slow start
 	}
-	moveMean(&c.work, min(work, maxSampleRatio*c.work), max(learnRate, 1/float64(c.sampleCount+priorSamples)))
+	moveMean(&c.meanWork, min(work, maxSampleRatio*c.meanWork),
+		max(learnRate, 1/float64(c.sampleCount+priorSamples)))
 	m.latencySum = m.latencySum*(1-learnRate) + ev.Latency
 	m.threadLatencySum = m.threadLatencySum*(1-learnRate) + ev.Latency*threads
 	m.meanThreads = m.threadLatencySum / max(m.latencySum, 1)
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -203,7 +203,7 @@
 // unresponsiveCount is the number of those that started no earlier than the endpoint's last activity. If
 // running queries send progress notices, a missing notice decides; otherwise, a multiple of the unloaded
 // latency under the endpoint's pressure does.
-func (d *outlierDetector) overdueAttempts(e *endpoint) (overdue []*request, unresponsiveCount int) {
+func (d *outlierDetector) overdueAttempts(e *endpoint) (overdueRequests []*request, unresponsiveCount int) {
 	for _, r := range e.attemptsInOrder() {
 		sinceActivity := d.clock.now - max(r.current.lastActivityAt, d.clock.resumedAt)
 		noticeMissed := sinceActivity > overdueNoticeIntervals*d.settings.ProgressInterval
@@ -215,9 +215,9 @@
 		if e.health.lastActivityAt <= r.current.startedAt {
 			unresponsiveCount++
 		}
-		overdue = append(overdue, r)
+		overdueRequests = append(overdueRequests, r)
 	}
-	return overdue, unresponsiveCount
+	return overdueRequests, unresponsiveCount
 }
 
 // ejectUnresponsive ejects an endpoint with enough unresponsive attempts. In sparse traffic one is enough,
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -59,7 +59,7 @@
 		if !p.permitted(e, r) {
 			continue
 		}
-		if !p.slowStart.admits(e, class.work, cheapestLong, p.subscription.startedAt) {
+		if !p.slowStart.admits(e, class.meanWork, cheapestLong, p.subscription.startedAt) {
 			p.endpoints.creditFairShare(e) // so that a warm endpoint gets no burst to catch up
 			continue
 		}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -8,7 +8,7 @@
 
 func TestRestartedBalancerSparesWarmingEndpointsForOneWindow(t *testing.T) {
 	s := newScript(t, plainSettings(), 0)
-	s.balancer.estimates.classes[0].work = 60
+	s.balancer.estimates.classes[0].meanWork = 60
 	s.at(1000, EndpointUpdate{Kind: UpdateCached, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 990}}})
 	s.at(1000, RequestArrived{ID: "a", Group: 3, TimeLeft: 3000})
 	if s.sentTo("a") != 0 {
@@ -32,7 +32,7 @@
 		for index := range n {
 			settings.BalancerIndex = index
 			s := newScript(t, settings, 0)
-			s.balancer.estimates.classes[0].work, s.balancer.estimates.classes[1].work = 60, 2000
+			s.balancer.estimates.classes[0].meanWork, s.balancer.estimates.classes[1].meanWork = 60, 2000
 			s.at(1000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 990}}})
 			for i := range 300 {
 				id := RequestID(fmt.Sprint(i))
@@ -184,7 +184,7 @@
 // estimates are rough, and most long queries were then not admitted at endpoints that had capacity for them.
 func TestSlowStartCountsMeanWorkOfClass(t *testing.T) {
 	s := newScript(t, plainSettings(), 0)
-	s.balancer.estimates.classes[1].work = 2000
+	s.balancer.estimates.classes[1].meanWork = 2000
 	s.at(5000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 4990}}})
 	s.at(5000, RequestArrived{ID: "a", Class: 1, Group: 3, TimeLeft: 14000, EstimatedWork: 9000})
 	if s.sentTo("a") != 9 {
@@ -211,7 +211,7 @@
 		settings.BalancerIndex = index
 		s := newScript(t, settings, 0)
 		for i, classWork := range classWorks {
-			s.balancer.estimates.classes[i].work = classWork
+			s.balancer.estimates.classes[i].meanWork = classWork
 		}
 		s.at(5000, EndpointUpdate{Kind: UpdateIncremental, Entries: []EndpointInfo{{ID: 9, State: EndpointReady, StartedAt: 4990}}})
 		for i := range 2 { // each balancer has only two long queries
