--- a/internal/transport/clients/jsonrpc.go
+++ b/internal/transport/clients/jsonrpc.go
@@ -52,11 +52,11 @@
 	openRequests  map[string]*responder // by id
 
 	// The fields below are used by the reader only.
-	parser        jsonrpc.Parser
-	rejectedAny   bool    // a message was rejected since the last pause
-	pending       []batch // messages that are read and not yet handled
-	pendingSize   int     // size of the pending batches that were read during a pause, in bytes
-	budgetedBytes int     // part of the input budget that the connection uses
+	parser             jsonrpc.Parser
+	rejectedSincePause bool    // a message was rejected since the last pause
+	pendingBatches     []batch // messages that are read and not yet handled
+	pendingSize        int     // size of the pending batches that were read during a pause, in bytes
+	budgetedBytes      int     // part of the input budget that the connection uses
 }
 
 // batch holds the messages of one read that are not yet handled.
@@ -70,34 +70,34 @@
 func (s *JSONRPCServer) Serve(ctx context.Context, c *listener.Conn) {
 	j := &jsonrpcConn{server: s, conn: c, answers: make(chan []byte, maxQueuedAnswers), openRequests: map[string]*responder{}}
 	buffered := netconn.New(c, netconn.SmallBuffer)
-	written := make(chan struct{})
-	go func() { defer close(written); j.writeAnswers(buffered) }()
-	stop := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
+	writerEnded := make(chan struct{})
+	go func() { defer close(writerEnded); j.writeAnswers(buffered) }()
+	stopInterrupt := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
 	err := j.readMessages(ctx, buffered)
-	stop()
+	stopInterrupt()
 	s.Log.Debug("client connection closed", "err", err)
 	s.InputBudget.Adjust(j.budgetedBytes, 0)
 	j.cancelAll()
-	<-written
+	<-writerEnded
 	if errors.Is(err, errTooMuchUnhandled) || errors.Is(err, jsonrpc.ErrLineTooLong) {
 		netconn.Linger(c.Conn, listener.RetransmitWindow) // the client may still be sending, and must get the answer that states the reason
 	}
 }
 
 // readMessages reads and handles messages until the connection is to be closed, and returns the reason.
-func (j *jsonrpcConn) readMessages(ctx context.Context, in *netconn.Conn) error {
+func (j *jsonrpcConn) readMessages(ctx context.Context, bufferedConn *netconn.Conn) error {
 	for {
-		b, readAt, err := j.conn.ReadBytes(ctx, in, jsonrpcIdleTimeout, j.server.Drain.Draining)
+		b, readAt, err := j.conn.ReadBytes(ctx, bufferedConn, jsonrpcIdleTimeout, j.server.Drain.Draining)
 		if err != nil {
 			return err
 		}
 		err = j.parse(b, readAt, false)
-		for len(j.pending) > 0 {
-			next := j.pending[0]
-			j.pending = j.pending[1:]
-			j.handleBatch(next)
-			if err == nil && j.rejectedAny {
-				err = j.pauseHandling(ctx, in)
+		for len(j.pendingBatches) > 0 {
+			nextBatch := j.pendingBatches[0]
+			j.pendingBatches = j.pendingBatches[1:]
+			j.handleBatch(nextBatch)
+			if err == nil && j.rejectedSincePause {
+				err = j.pauseHandling(ctx, bufferedConn)
 			}
 			if err != nil {
 				return err
@@ -121,21 +121,21 @@
 func (j *jsonrpcConn) parse(b []byte, receivedAt time.Time, duringPause bool) error {
 	messages, err := j.parser.Feed(b)
 	j.conn.RecordRead(len(messages) > 0, j.parser.Buffered() > 0)
-	latest := batch{receivedAt: receivedAt}
+	latestBatch := batch{receivedAt: receivedAt}
 	if duringPause {
-		latest.size = len(b)
+		latestBatch.size = len(b)
 	}
 	for _, msg := range messages {
 		if m, ok := msg.(jsonrpc.Cancel); ok {
-			j.cancel(m.ID, &latest)
+			j.cancel(m.ID, &latestBatch)
 		} else {
-			latest.messages = append(latest.messages, msg)
+			latestBatch.messages = append(latestBatch.messages, msg)
 		}
 	}
-	j.conn.AddUnhandled(len(latest.messages))
-	j.pendingSize += latest.size
-	j.pending = append(j.pending, latest)
-	if fits := j.adjustBudget(); err == nil && (!fits || j.pendingSize > jsonrpc.MaxLineBytes) {
+	j.conn.AddUnhandled(len(latestBatch.messages))
+	j.pendingSize += latestBatch.size
+	j.pendingBatches = append(j.pendingBatches, latestBatch)
+	if withinBudget := j.adjustBudget(); err == nil && (!withinBudget || j.pendingSize > jsonrpc.MaxLineBytes) {
 		err = errTooMuchUnhandled
 	}
 	return err
@@ -144,18 +144,18 @@
 // adjustBudget records the connection's current use of the input budget and reports whether it is
 // within that budget.
 func (j *jsonrpcConn) adjustBudget() bool {
-	previous := j.budgetedBytes
+	previousBytes := j.budgetedBytes
 	j.budgetedBytes = j.parser.Buffered() + j.pendingSize
-	return j.server.InputBudget.Adjust(previous, j.budgetedBytes)
+	return j.server.InputBudget.Adjust(previousBytes, j.budgetedBytes)
 }
 
 // pauseHandling handles no messages for rejectionPause. It keeps reading the connection, so that a
 // disconnect or a cancellation is noticed even behind many unhandled messages.
-func (j *jsonrpcConn) pauseHandling(ctx context.Context, in *netconn.Conn) error {
-	j.rejectedAny = false
-	until := time.Now().Add(rejectionPause)
+func (j *jsonrpcConn) pauseHandling(ctx context.Context, bufferedConn *netconn.Conn) error {
+	j.rejectedSincePause = false
+	pauseEnd := time.Now().Add(rejectionPause)
 	for {
-		b, err := in.Read(ctx, until)
+		b, err := bufferedConn.Read(ctx, pauseEnd)
 		if ctx.Err() != nil || netconn.IsTimeout(err) {
 			return nil
 		}
--- a/internal/transport/clients/jsonrpcrequests.go
+++ b/internal/transport/clients/jsonrpcrequests.go
@@ -38,9 +38,9 @@
 }
 
 // reject answers a message that is rejected, which pauses the handling of the connection's messages.
-func (j *jsonrpcConn) reject(line []byte) {
-	j.rejectedAny = true
-	j.send(line)
+func (j *jsonrpcConn) reject(answer []byte) {
+	j.rejectedSincePause = true
+	j.send(answer)
 }
 
 // rejectIDInUse reports whether a message has the id of an open request. If it has, the client could not
@@ -75,7 +75,7 @@
 
 // request submits a request, or rejects it.
 func (j *jsonrpcConn) request(m jsonrpc.Request, receivedAt time.Time) {
-	class, err := j.server.admit(m, receivedAt)
+	classIndex, err := j.server.admit(m, receivedAt)
 	if errors.Is(err, errDraining) {
 		j.conn.CountDrainRejection()
 		j.send(j.errorAnswer(m.ID, err))
@@ -93,18 +93,18 @@
 	if r == nil {
 		return
 	}
-	r.ticket = j.server.Dispatcher.Submit(routing.Query{CallID: m.CallID, Class: class, Statement: m.Statement,
+	r.ticket = j.server.Dispatcher.Submit(routing.Query{CallID: m.CallID, Class: classIndex, Statement: m.Statement,
 		Deadline: receivedAt.Add(millis.Duration(m.TimeoutMS)), EstimatedWork: m.EstimatedWorkMS, EstimatedMemoryMB: m.EstimatedMemoryMB,
 		IdempotencyKey: m.IdempotencyKey, IsRetry: m.IsRetry}, r)
 }
 
 // admit checks a request and returns the index of its class.
 func (s *JSONRPCServer) admit(m jsonrpc.Request, receivedAt time.Time) (int, error) {
-	index, class, err := findClass(s.Dispatcher, m.Method)
+	classIndex, class, err := findClass(s.Dispatcher, m.Method)
 	if err != nil {
 		return 0, err
 	}
-	if err := s.Dispatcher.ValidateEstimates(index, m.TimeoutMS, m.EstimatedWorkMS, m.EstimatedMemoryMB); err != nil {
+	if err := s.Dispatcher.ValidateEstimates(classIndex, m.TimeoutMS, m.EstimatedWorkMS, m.EstimatedMemoryMB); err != nil {
 		return 0, invalidEstimateError{err}
 	}
 	if class.Idempotency == decide.IdempotentByKey && m.IdempotencyKey == "" {
@@ -113,7 +113,7 @@
 	if !s.Drain.admits(receivedAt, m.EstimatedWorkMS, class) {
 		return 0, errDraining
 	}
-	return index, nil
+	return classIndex, nil
 }
 
 // registerRequest registers an open request. It returns nil where the connection is being closed; the
@@ -134,24 +134,24 @@
 
 // cancel withdraws the open request with an id, and removes unhandled requests with it from the latest
 // batch, which is still being read, and from the pending batches.
-func (j *jsonrpcConn) cancel(id string, latest *batch) {
+func (j *jsonrpcConn) cancel(id string, latestBatch *batch) {
 	if r := j.takeOpen(id); r != nil {
 		j.server.Dispatcher.Withdraw(r.ticket)
 	}
-	latest.removeRequests(id)
-	for i := range j.pending {
-		j.conn.AddUnhandled(-j.pending[i].removeRequests(id))
+	latestBatch.removeRequests(id)
+	for i := range j.pendingBatches {
+		j.conn.AddUnhandled(-j.pendingBatches[i].removeRequests(id))
 	}
 }
 
 // removeRequests removes the requests with an id from the batch and returns their number.
 func (b *batch) removeRequests(id string) int {
-	before := len(b.messages)
+	countBefore := len(b.messages)
 	b.messages = slices.DeleteFunc(b.messages, func(msg jsonrpc.Message) bool {
 		r, ok := msg.(jsonrpc.Request)
 		return ok && r.ID == id
 	})
-	return before - len(b.messages)
+	return countBefore - len(b.messages)
 }
 
 // cancelAll withdraws the open requests when the connection ends, as no client waits for them, and
@@ -172,7 +172,7 @@
 
 // Respond queues the final answer. It runs on the dispatcher's goroutine.
 func (r *responder) Respond(a routing.Answer) {
-	line := jsonrpcAnswer(r.id, a)
+	encodedAnswer := jsonrpcAnswer(r.id, a)
 	j := r.conn
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -180,7 +180,7 @@
 		return
 	}
 	j.removeOpen(r.id)
-	j.queue(line)
+	j.queue(encodedAnswer)
 	if len(j.openRequests) == 0 && j.server.Drain.draining() {
 		j.conn.WakeReader() // the reader closes the connection
 	}
--- a/internal/transport/clients/jsonrpcwriter.go
+++ b/internal/transport/clients/jsonrpcwriter.go
@@ -13,30 +13,30 @@
 	jsonrpcWriteTimeout = 5 * time.Second
 )
 
-func (j *jsonrpcConn) send(line []byte) {
+func (j *jsonrpcConn) send(answer []byte) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.queue(line)
+	j.queue(answer)
 }
 
 // queue queues an answer for the writer and never waits. Where the connection's queue is full, or the
 // output budget is exceeded and this connection has answers queued already, the client does not read
 // its answers and is disconnected. The caller holds j.mu.
-func (j *jsonrpcConn) queue(line []byte) {
+func (j *jsonrpcConn) queue(answer []byte) {
 	if j.answersClosed {
 		return
 	}
 	budget := j.server.OutputBudget
-	if budget.Adjust(0, len(line)) || j.queuedBytes.Load() == 0 {
-		j.queuedBytes.Add(int64(len(line)))
+	if budget.Adjust(0, len(answer)) || j.queuedBytes.Load() == 0 {
+		j.queuedBytes.Add(int64(len(answer)))
 		select {
-		case j.answers <- line:
+		case j.answers <- answer:
 			return
 		default:
-			j.queuedBytes.Add(-int64(len(line)))
+			j.queuedBytes.Add(-int64(len(answer)))
 		}
 	}
-	budget.Adjust(len(line), 0)
+	budget.Adjust(len(answer), 0)
 	j.answersClosed = true
 	close(j.answers)
 	_ = j.conn.Close()
@@ -44,29 +44,29 @@
 
 // writeAnswers writes queued answers until the queue is closed. After an error it closes the connection
 // and discards answers until then.
-func (j *jsonrpcConn) writeAnswers(out *netconn.Conn) {
+func (j *jsonrpcConn) writeAnswers(bufferedConn *netconn.Conn) {
 	var err error
-	for line := range j.answers {
+	for answer := range j.answers {
 		if err == nil {
-			err = j.write(out, line)
+			err = j.write(bufferedConn, answer)
 		}
 		if err != nil {
 			_ = j.conn.Close()
 		}
-		j.queuedBytes.Add(-int64(len(line)))
-		j.server.OutputBudget.Adjust(len(line), 0)
+		j.queuedBytes.Add(-int64(len(answer)))
+		j.server.OutputBudget.Adjust(len(answer), 0)
 	}
-	_ = out.Flush()
+	_ = bufferedConn.Flush()
 }
 
 // write writes one answer. It flushes only where no further answer is queued, so that several are sent
 // together.
-func (j *jsonrpcConn) write(out *netconn.Conn, line []byte) error {
+func (j *jsonrpcConn) write(bufferedConn *netconn.Conn, answer []byte) error {
 	if err := j.conn.SetWriteDeadline(time.Now().Add(jsonrpcWriteTimeout)); err != nil {
 		return err
 	}
-	if err := out.Buffer(line); err != nil || len(j.answers) > 0 {
+	if err := bufferedConn.Buffer(answer); err != nil || len(j.answers) > 0 {
 		return err
 	}
-	return out.Flush()
+	return bufferedConn.Flush()
 }
--- a/internal/transport/clients/rest.go
+++ b/internal/transport/clients/rest.go
@@ -76,8 +76,8 @@
 // Serve serves one client until it disconnects or ctx ends. It answers one request after the other.
 func (s *RESTServer) Serve(ctx context.Context, c *listener.Conn) {
 	buffered := netconn.New(c, netconn.SmallBuffer)
-	stop := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
-	defer stop()
+	stopInterrupt := context.AfterFunc(ctx, func() { netconn.InterruptRead(c) })
+	defer stopInterrupt()
 	parser, budgetedBytes := rest.NewRequestParser(), 0
 	defer func() { s.InputBudget.Adjust(budgetedBytes, 0) }()
 	for {
@@ -92,8 +92,8 @@
 				return
 			}
 		}
-		fits := s.InputBudget.Adjust(budgetedBytes, parser.Buffered())
-		if budgetedBytes = parser.Buffered(); !fits {
+		withinBudget := s.InputBudget.Adjust(budgetedBytes, parser.Buffered())
+		if budgetedBytes = parser.Buffered(); !withinBudget {
 			return
 		}
 		if err != nil {
@@ -105,7 +105,7 @@
 
 // exchange answers one request. closeAfter reports whether the connection is to be closed after the answer. ok
 // is false where the connection must be closed at once.
-func (s *RESTServer) exchange(ctx context.Context, c *listener.Conn, out *netconn.Conn, msg rest.Request, receivedAt time.Time) (closeAfter, ok bool) {
+func (s *RESTServer) exchange(ctx context.Context, c *listener.Conn, bufferedConn *netconn.Conn, msg rest.Request, receivedAt time.Time) (closeAfter, ok bool) {
 	if _, startsQuery := msg.(rest.SubmitRequest); startsQuery && netconn.PeerClosed(c.Conn) {
 		return false, false // the client disconnected while an earlier request was answered
 	}
@@ -114,11 +114,11 @@
 	}
 	defer c.EndRequest()
 	answer, closeAfter := s.answer(context.WithoutCancel(ctx), c, msg, receivedAt)
-	err := out.Write(context.WithoutCancel(ctx), answer, time.Now().Add(restWriteTimeout))
+	err := bufferedConn.Write(context.WithoutCancel(ctx), answer, time.Now().Add(restWriteTimeout))
 	return closeAfter, err == nil
 }
 
-func (s *RESTServer) answer(ctx context.Context, c *listener.Conn, msg rest.Request, receivedAt time.Time) (out []byte, closeAfter bool) {
+func (s *RESTServer) answer(ctx context.Context, c *listener.Conn, msg rest.Request, receivedAt time.Time) (encodedAnswer []byte, closeAfter bool) {
 	switch m := msg.(type) {
 	case rest.SubmitRequest:
 		return s.startQuery(ctx, c, m, receivedAt), m.Close
--- a/internal/transport/clients/restlifecycle.go
+++ b/internal/transport/clients/restlifecycle.go
@@ -82,15 +82,15 @@
 		return nil
 	}
 	defer s.Fleet.End(lease.JobPruneRecord, fence)
-	called := time.Now()
+	calledAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	n, err := s.Record.DeleteExpiredFenced(ctx, called, fence, holder)
-	var refused lease.StaleFenceError
-	if errors.As(err, &refused) {
-		s.Fleet.ReportStaleFence(lease.JobPruneRecord, refused)
+	deletedCount, err := s.Record.DeleteExpiredFenced(ctx, calledAt, fence, holder)
+	var staleFence lease.StaleFenceError
+	if errors.As(err, &staleFence) {
+		s.Fleet.ReportStaleFence(lease.JobPruneRecord, staleFence)
 	}
-	s.Log.Info("fleet act", "job", lease.JobPruneRecord, "fence", fence, "holder", holder, "called_us", called.UnixMicro(),
-		"returned_us", time.Now().UnixMicro(), "admitted", err == nil, "unknown", err != nil && refused.Job == "", "dropped", n)
+	s.Log.Info("fleet act", "job", lease.JobPruneRecord, "fence", fence, "holder", holder, "called_us", calledAt.UnixMicro(),
+		"returned_us", time.Now().UnixMicro(), "admitted", err == nil, "unknown", err != nil && staleFence.Job == "", "dropped", deletedCount)
 	return err
 }
--- a/internal/transport/clients/restquery.go
+++ b/internal/transport/clients/restquery.go
@@ -83,13 +83,13 @@
 		q.clientLeft()
 		return func() {}
 	}
-	done := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		t := time.NewTicker(clientCheckInterval)
 		defer t.Stop()
 		for {
 			select {
-			case <-done:
+			case <-stopped:
 				return
 			case <-t.C:
 				if netconn.PeerClosed(c.Conn) {
@@ -99,7 +99,7 @@
 			}
 		}
 	}()
-	return func() { close(done) }
+	return func() { close(stopped) }
 }
 
 // Respond receives the dispatcher's final answer. The query record is written on a separate goroutine, so
@@ -176,8 +176,8 @@
 func (q *restQuery) WritePage(ctx context.Context, rows []byte) error {
 	for {
 		err := q.spool.WritePage(rows)
-		var capacity spool.CapacityError
-		if !errors.As(err, &capacity) || capacity.Verdict != ledger.MustWait {
+		var capacityErr spool.CapacityError
+		if !errors.As(err, &capacityErr) || capacityErr.Verdict != ledger.MustWait {
 			return err
 		}
 		select {
@@ -214,9 +214,9 @@
 // retryAfter returns the Retry-After for a result that could not be stored: the time until space is
 // expected to be free, if err states one, but at most maxRetryAfter.
 func (s *RESTServer) retryAfter(err error) time.Duration {
-	var capacity spool.CapacityError
-	if errors.As(err, &capacity) && capacity.RetryAfterMS > 0 {
-		return min(millis.Duration(capacity.RetryAfterMS), s.maxRetryAfter())
+	var capacityErr spool.CapacityError
+	if errors.As(err, &capacityErr) && capacityErr.RetryAfterMS > 0 {
+		return min(millis.Duration(capacityErr.RetryAfterMS), s.maxRetryAfter())
 	}
 	return s.maxRetryAfter()
 }
--- a/internal/transport/clients/restresults.go
+++ b/internal/transport/clients/restresults.go
@@ -15,28 +15,28 @@
 // msgRecordUnreadable is the log message for a query whose row can't be read from the query record.
 const msgRecordUnreadable = "query record unreadable"
 
-// restPollWait is how long the answer to a poll is held until the query ends.
-const restPollWait = time.Second
+// restPollHoldTime is how long the answer to a poll is held until the query ends.
+const restPollHoldTime = time.Second
 
-// awaitEnd waits up to restPollWait for a query to end and returns the answer for its state.
+// awaitEnd waits up to restPollHoldTime for a query to end and returns the answer for its state.
 // answersStatement is set for the answer to the statement itself, and unset for the answer to a later poll.
-func (s *RESTServer) awaitEnd(ctx context.Context, row *store.Query, host string, page int, answersStatement bool) []byte {
+func (s *RESTServer) awaitEnd(ctx context.Context, row *store.Query, host string, pageIndex int, answersStatement bool) []byte {
 	if q := s.findLive(row.ID); q != nil && row.State == store.StateRunning {
-		t := time.NewTimer(restPollWait)
-		defer t.Stop()
+		holdTimer := time.NewTimer(restPollHoldTime)
+		defer holdTimer.Stop()
 		select {
 		case <-q.ended:
-		case <-t.C:
+		case <-holdTimer.C:
 			return rest.EncodeResults(200, rest.QueryResults{ID: row.ID, NextURI: rest.PageURI(host, row.ID, row.Slug, 0),
 				Stats: rest.Stats{State: "RUNNING"}}, 0)
 		}
 	}
-	latest, err := s.readRow(ctx, row.ID)
+	latestRow, err := s.readRow(ctx, row.ID)
 	if err != nil {
 		s.Log.Warn(msgRecordUnreadable, "query", row.ID, "err", err)
 		return s.errorAnswer(errRecordUnavailable)
 	}
-	return s.endedAnswer(latest, host, page, answersStatement)
+	return s.endedAnswer(latestRow, host, pageIndex, answersStatement)
 }
 
 func (s *RESTServer) readRow(ctx context.Context, id string) (*store.Query, error) {
@@ -46,10 +46,10 @@
 }
 
 // endedAnswer returns the answer for an ended query.
-func (s *RESTServer) endedAnswer(row *store.Query, host string, page int, answersStatement bool) []byte {
+func (s *RESTServer) endedAnswer(row *store.Query, host string, pageIndex int, answersStatement bool) []byte {
 	switch row.State {
 	case store.StateSucceeded:
-		return s.resultPage(row, host, page)
+		return s.resultPage(row, host, pageIndex)
 	case store.StateRunning: // the query has ended, but its end could not be recorded
 		if _, class, err := findClass(s.Dispatcher, row.Class); err == nil && class.Idempotency == decide.IdempotentAlways {
 			return rejection(row.ID, s.maxRetryAfter())
@@ -72,42 +72,42 @@
 }
 
 // resultPage returns the answer with one page of a result.
-func (s *RESTServer) resultPage(row *store.Query, host string, page int) []byte {
+func (s *RESTServer) resultPage(row *store.Query, host string, pageIndex int) []byte {
 	if len(row.Pages) == 0 && s.Spool != nil {
-		return s.spooledPage(row, host, page)
+		return s.spooledPage(row, host, pageIndex)
 	}
 	var pages [][][]string
 	if err := codec.Unmarshal(row.Pages, &pages); err != nil {
 		return s.errorAnswer(fmt.Errorf("%w: %w", errRecordCorrupt, err))
 	}
-	if page >= len(pages) {
+	if pageIndex >= len(pages) {
 		return s.errorAnswer(errPageNotFound)
 	}
-	return pageAnswer(row, host, page, rest.DescribeColumns(pages), pages[page], page+1 == len(pages))
+	return pageAnswer(row, host, pageIndex, rest.DescribeColumns(pages), pages[pageIndex], pageIndex+1 == len(pages))
 }
 
 // spooledPage returns the answer with a page from the spool. Once a result has expired, the answer for each
 // of its pages is the same error.
-func (s *RESTServer) spooledPage(row *store.Query, host string, page int) []byte {
-	b, isLast, err := s.Spool.Read(row.ID, page)
+func (s *RESTServer) spooledPage(row *store.Query, host string, pageIndex int) []byte {
+	pageText, isLast, err := s.Spool.Read(row.ID, pageIndex)
 	switch {
 	case errors.Is(err, spool.ErrNoPage):
 		return s.errorAnswer(errPageNotFound)
 	case errors.Is(err, spool.ErrNotFound), errors.Is(err, spool.ErrExpired):
 		return failure(row.ID, rest.ErrorExpired, 0)
 	case err != nil:
-		s.Log.Error("result page unreadable", "query", row.ID, "page", page, "err", err)
+		s.Log.Error("result page unreadable", "query", row.ID, "page", pageIndex, "err", err)
 		return failure(row.ID, rest.ErrorFailed, 0)
 	}
-	rows := rest.ParseRows(b)
-	return pageAnswer(row, host, page, rest.DescribeColumns([][][]string{rows}), rows, isLast)
+	rows := rest.ParseRows(pageText)
+	return pageAnswer(row, host, pageIndex, rest.DescribeColumns([][][]string{rows}), rows, isLast)
 }
 
 // pageAnswer encodes the answer with a page, and with the URI of the next page unless isLast is set.
-func pageAnswer(row *store.Query, host string, page int, columns []rest.Column, rows [][]string, isLast bool) []byte {
+func pageAnswer(row *store.Query, host string, pageIndex int, columns []rest.Column, rows [][]string, isLast bool) []byte {
 	out := rest.QueryResults{ID: row.ID, Columns: columns, Data: rows, Stats: rest.Stats{State: "FINISHED"}}
 	if !isLast {
-		out.NextURI, out.Stats.State = rest.PageURI(host, row.ID, row.Slug, page+1), "RUNNING"
+		out.NextURI, out.Stats.State = rest.PageURI(host, row.ID, row.Slug, pageIndex+1), "RUNNING"
 	}
 	return rest.EncodeResults(200, out, 0)
 }
--- a/internal/transport/clients/reststatement.go
+++ b/internal/transport/clients/reststatement.go
@@ -28,7 +28,7 @@
 // startQuery starts a query, or finds the existing one with the same idempotency key, and returns the answer
 // for its state.
 func (s *RESTServer) startQuery(ctx context.Context, c *listener.Conn, m rest.SubmitRequest, receivedAt time.Time) []byte {
-	index, class, err := s.admit(m, receivedAt)
+	classIndex, class, err := s.admit(m, receivedAt)
 	if err != nil {
 		if errors.Is(err, errDraining) {
 			c.CountDrainRejection()
@@ -39,18 +39,18 @@
 	row := s.newRow(m, deadline)
 	q := &restQuery{server: s, id: row.ID, idempotent: class.Idempotency == decide.IdempotentAlways, hasKey: m.IdempotencyKey != "", ended: make(chan struct{})}
 	s.addLive(q) // before the row is written, so that a poll that finds the row also finds the live query
-	existing, err := s.beginRow(ctx, row, deadline)
+	existingRow, err := s.beginRow(ctx, row, deadline)
 	if err != nil {
 		s.Log.Warn("query rejected", "query", row.ID, "reason", "not recorded", "err", err)
 		s.removeLive(q.id)
 		return rejection(row.ID, s.maxRetryAfter())
 	}
-	if existing != nil {
+	if existingRow != nil {
 		s.removeLive(q.id)
-		if existing.Digest != row.Digest {
+		if existingRow.Digest != row.Digest {
 			return s.errorAnswer(errKeyReused)
 		}
-		return s.awaitEnd(ctx, existing, m.Host, 0, true)
+		return s.awaitEnd(ctx, existingRow, m.Host, 0, true)
 	}
 	if err := q.reserveSpool(row); err != nil {
 		s.Log.Warn("query rejected", "query", row.ID, "reason", "no space in the spool", "err", err)
@@ -58,18 +58,18 @@
 		return rejection(row.ID, s.retryAfter(err))
 	}
 	defer q.watchClient(c)()
-	q.submit(index, m, deadline)
+	q.submit(classIndex, m, deadline)
 	row.State = store.StateRunning
 	return s.awaitEnd(ctx, &row, m.Host, 0, true)
 }
 
 // admit checks a statement and returns its class.
 func (s *RESTServer) admit(m rest.SubmitRequest, receivedAt time.Time) (int, decide.Class, error) {
-	index, class, err := findClass(s.Dispatcher, m.Class)
+	classIndex, class, err := findClass(s.Dispatcher, m.Class)
 	if err != nil {
 		return 0, class, err
 	}
-	if err := s.Dispatcher.ValidateEstimates(index, class.Deadline, m.EstimatedWorkMS, m.EstimatedMemoryMB); err != nil {
+	if err := s.Dispatcher.ValidateEstimates(classIndex, class.Deadline, m.EstimatedWorkMS, m.EstimatedMemoryMB); err != nil {
 		return 0, class, invalidEstimateError{err}
 	}
 	if class.Idempotency != decide.IdempotentAlways && m.IdempotencyKey == "" {
@@ -78,7 +78,7 @@
 	if !s.Drain.admits(receivedAt, m.EstimatedWorkMS, class) {
 		return 0, class, errDraining
 	}
-	return index, class, nil
+	return classIndex, class, nil
 }
 
 // statementTimeout returns the client's timeout, or the class's deadline where that is shorter or the client
@@ -101,7 +101,7 @@
 
 // beginRow writes a new query's row to the query record. If a query with the same idempotency key exists,
 // it returns the row of that query instead.
-func (s *RESTServer) beginRow(ctx context.Context, row store.Query, deadline time.Time) (existing *store.Query, err error) {
+func (s *RESTServer) beginRow(ctx context.Context, row store.Query, deadline time.Time) (existingRow *store.Query, err error) {
 	ctx, cancel := context.WithDeadline(ctx, netconn.Earlier(deadline, time.Now().Add(recordTimeout)))
 	defer cancel()
 	return s.Record.Begin(ctx, row)
@@ -118,8 +118,8 @@
 }
 
 // submit submits the query to the dispatcher, unless it has been cancelled.
-func (q *restQuery) submit(class int, m rest.SubmitRequest, deadline time.Time) {
-	query := routing.Query{CallID: q.id, Class: class, Statement: m.Statement, Deadline: deadline, EstimatedWork: m.EstimatedWorkMS,
+func (q *restQuery) submit(classIndex int, m rest.SubmitRequest, deadline time.Time) {
+	query := routing.Query{CallID: q.id, Class: classIndex, Statement: m.Statement, Deadline: deadline, EstimatedWork: m.EstimatedWorkMS,
 		EstimatedMemoryMB: m.EstimatedMemoryMB, IdempotencyKey: m.IdempotencyKey}
 	if q.spool != nil {
 		query.Sink = q
--- a/internal/transport/coordination/accept.go
+++ b/internal/transport/coordination/accept.go
@@ -14,8 +14,8 @@
 
 // accept serves connections from other replicas, clients and operators until ctx ends.
 func (h *replicaHost) accept(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { _ = h.listener.Close() })
-	defer stop()
+	stopCloser := context.AfterFunc(ctx, func() { _ = h.listener.Close() })
+	defer stopCloser()
 	slots := make(chan struct{}, maxConns)
 	for {
 		socket, err := h.listener.Accept()
--- a/internal/transport/coordination/adminclient.go
+++ b/internal/transport/coordination/adminclient.go
@@ -20,20 +20,20 @@
 )
 
 // Admin sends an operator's request to the replicas in turn until one responds. It follows a redirect to the leader
-// where only the leader can respond. If first is set, only that replica and the leader that it names are asked; a name
+// where only the leader can respond. If firstReplica is set, only that replica and the leader that it names are asked; a name
 // that is not a replica's returns an error wrapping ErrUnknownReplica. The timeout bounds each exchange. If no replica
 // responds, the error wraps ErrNoReplica.
-func Admin(ctx context.Context, conf fleetconf.Config, first string, request lease.AdminRequest, timeout time.Duration) (lease.AdminResponse, error) {
-	names := conf.ReplicaNames()
-	if first != "" {
-		if conf.ReplicaAddr(first) == "" {
-			return lease.AdminResponse{}, fmt.Errorf("%q %w; the seats (replicas) are %v", first, ErrUnknownReplica, names)
+func Admin(ctx context.Context, conf fleetconf.Config, firstReplica string, request lease.AdminRequest, timeout time.Duration) (lease.AdminResponse, error) {
+	replicaNames := conf.ReplicaNames()
+	if firstReplica != "" {
+		if conf.ReplicaAddr(firstReplica) == "" {
+			return lease.AdminResponse{}, fmt.Errorf("%q %w; the seats (replicas) are %v", firstReplica, ErrUnknownReplica, replicaNames)
 		}
-		names = []string{first}
+		replicaNames = []string{firstReplica}
 	}
 	var lastErr error
-	for attempt := range 2 * len(names) { // two rounds: during an election a replica may name an outdated leader
-		response, err := sendAndFollowLeader(ctx, conf, names[attempt%len(names)], request, timeout)
+	for attemptIndex := range 2 * len(replicaNames) { // two rounds: during an election a replica may name an outdated leader
+		response, err := sendAndFollowLeader(ctx, conf, replicaNames[attemptIndex%len(replicaNames)], request, timeout)
 		if err == nil {
 			return response, nil
 		}
@@ -44,14 +44,14 @@
 
 // sendAndFollowLeader sends a request to a replica. If that replica redirects to the leader instead of responding, the
 // request is sent to the leader, once.
-func sendAndFollowLeader(ctx context.Context, conf fleetconf.Config, name string, request lease.AdminRequest, timeout time.Duration) (lease.AdminResponse, error) {
-	response, err := exchange(ctx, conf, name, request, timeout)
+func sendAndFollowLeader(ctx context.Context, conf fleetconf.Config, replicaName string, request lease.AdminRequest, timeout time.Duration) (lease.AdminResponse, error) {
+	response, err := exchange(ctx, conf, replicaName, request, timeout)
 	if err != nil {
-		return response, fmt.Errorf("seat %s at %s: %w", name, conf.ReplicaAddr(name), err)
+		return response, fmt.Errorf("seat %s at %s: %w", replicaName, conf.ReplicaAddr(replicaName), err)
 	}
-	if leader := response.RedirectTo; leader != "" && conf.ReplicaAddr(leader) != "" {
-		if response, err = exchange(ctx, conf, leader, request, timeout); err != nil {
-			return response, fmt.Errorf("the leader %s: %w", leader, err)
+	if leaderName := response.RedirectTo; leaderName != "" && conf.ReplicaAddr(leaderName) != "" {
+		if response, err = exchange(ctx, conf, leaderName, request, timeout); err != nil {
+			return response, fmt.Errorf("the leader %s: %w", leaderName, err)
 		}
 	}
 	if response.RedirectTo != "" {
@@ -61,8 +61,8 @@
 }
 
 // exchange sends one request to one replica on a new connection, and waits for the response.
-func exchange(ctx context.Context, conf fleetconf.Config, name string, request lease.AdminRequest, timeout time.Duration) (response lease.AdminResponse, err error) {
-	socket, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp4", conf.ReplicaAddr(name))
+func exchange(ctx context.Context, conf fleetconf.Config, replicaName string, request lease.AdminRequest, timeout time.Duration) (response lease.AdminResponse, err error) {
+	socket, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp4", conf.ReplicaAddr(replicaName))
 	if err != nil {
 		return response, err
 	}
@@ -72,7 +72,7 @@
 	if _, err := socket.Write(fleet.AppendJSON(nil, installation, fleet.AdminRequest, request)); err != nil {
 		return response, err
 	}
-	decoder, buf := fleet.NewDecoder(installation), make([]byte, readBuffer)
+	decoder, buf := fleet.NewDecoder(installation), make([]byte, readBufferBytes)
 	for {
 		n, err := socket.Read(buf)
 		if err != nil {
--- a/internal/transport/coordination/client.go
+++ b/internal/transport/coordination/client.go
@@ -34,32 +34,32 @@
 	if sendNow {
 		n.resolver.SendNow(now)
 	}
-	replica, due := n.resolver.Due(now)
+	replicaName, isDue := n.resolver.Due(now)
 	n.mu.Unlock()
-	if !due {
+	if !isDue {
 		return
 	}
 	var request lease.KeepAliveRequest
 	n.With(func(client *lease.Client) { request = client.KeepAlive(now) })
 	n.counters.keepAlives.Add(1)
-	if replica == n.name {
+	if replicaName == n.name {
 		n.enqueue(func(r *consensus.Replica) {
 			n.replicaHost.clientConns[request.Holder.String()] = nil
 			r.HandleKeepAlive(n.Clock(), request)
 		})
 		return
 	}
-	if c := n.connToLeader(ctx, replica); c != nil {
+	if c := n.connToLeader(ctx, replicaName); c != nil {
 		c.send(fleet.AppendJSON(nil, n.installation, fleet.KeepAliveRequest, request))
 	}
 }
 
 // connToLeader returns the connection to the replica that the resolver takes for the leader. If there is none, it
 // starts to dial and returns nil; the caller drops its request.
-func (n *Node) connToLeader(ctx context.Context, replica string) *conn {
+func (n *Node) connToLeader(ctx context.Context, replicaName string) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leaderConn != nil && n.leaderConnName == replica && !n.leaderConn.isClosed() {
+	if n.leaderConn != nil && n.leaderConnName == replicaName && !n.leaderConn.isClosed() {
 		return n.leaderConn
 	}
 	if n.dialingLeader {
@@ -70,11 +70,11 @@
 		n.leaderConn = nil
 	}
 	n.dialingLeader = true
-	go n.dialLeader(ctx, replica, n.conf.ReplicaAddr(replica))
+	go n.dialLeader(ctx, replicaName, n.conf.ReplicaAddr(replicaName))
 	return nil
 }
 
-func (n *Node) dialLeader(ctx context.Context, replica, addr string) {
+func (n *Node) dialLeader(ctx context.Context, replicaName, addr string) {
 	socket, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp4", addr)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,7 +82,7 @@
 	if err != nil {
 		return // the resolver moves on to another replica
 	}
-	n.leaderConn, n.leaderConnName = n.serve(ctx, socket, n.handleFromLeader), replica
+	n.leaderConn, n.leaderConnName = n.serve(ctx, socket, n.handleFromLeader), replicaName
 	n.resolver.SendNow(n.Clock())
 }
 
@@ -111,9 +111,9 @@
 	}
 	now := n.Clock()
 	n.mu.Lock()
-	previous := n.resolver.Current()
+	previousReplica := n.resolver.Current()
 	n.resolver.HandleResponse(now, response)
-	redirected := n.resolver.Current() != previous
+	redirected := n.resolver.Current() != previousReplica
 	n.mu.Unlock()
 	n.With(func(client *lease.Client) { client.HandleResponse(now, response) })
 	if redirected {
--- a/internal/transport/coordination/conn.go
+++ b/internal/transport/coordination/conn.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	writeTimeout = 2 * time.Second // a peer that reads nothing for this long is disconnected
-	queueLimit   = 256             // frames queued per connection, and tasks queued for the replica; further ones are dropped
-	readBuffer   = 16 << 10        // bytes per read
+	writeTimeout    = 2 * time.Second // a peer that reads nothing for this long is disconnected
+	maxQueueLength  = 256             // frames queued per connection, and tasks queued for the replica; further ones are dropped
+	readBufferBytes = 16 << 10        // bytes per read
 )
 
 // frameHandler handles a frame on the reader goroutine of its connection. An error closes the connection.
@@ -21,15 +21,15 @@
 
 // conn is a connection with a queue of frames to write. It is safe for concurrent use.
 type conn struct {
-	socket   net.Conn
-	frames   chan []byte   // encoded frames that wait for the writer goroutine
-	closed   chan struct{} // closed by close
-	once     sync.Once     // guards close
-	counters *counters
+	socket    net.Conn
+	frames    chan []byte   // encoded frames that wait for the writer goroutine
+	closed    chan struct{} // closed by close
+	closeOnce sync.Once     // guards close
+	counters  *counters
 }
 
 func (c *conn) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		_ = c.socket.Close()
 	})
@@ -56,7 +56,7 @@
 // serve starts the reader and the writer goroutine of a connection. Both end when the connection
 // closes, which it does on an error and when ctx ends.
 func (n *Node) serve(ctx context.Context, socket net.Conn, handle frameHandler) *conn {
-	c := &conn{socket: socket, frames: make(chan []byte, queueLimit), closed: make(chan struct{}), counters: &n.counters}
+	c := &conn{socket: socket, frames: make(chan []byte, maxQueueLength), closed: make(chan struct{}), counters: &n.counters}
 	stop := context.AfterFunc(ctx, c.close)
 	go c.write()
 	go func() {
@@ -87,7 +87,7 @@
 
 // read handles frames until the connection ends. It returns an error only if the peer violated the protocol.
 func (c *conn) read(decoder *fleet.Decoder, handle frameHandler) error {
-	buf := make([]byte, readBuffer)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, readErr := c.socket.Read(buf)
 		c.counters.bytesRead.Add(int64(n))
--- a/internal/transport/coordination/disk.go
+++ b/internal/transport/coordination/disk.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	dbFile    = "council.db" // a replica's database in its directory
-	dbVersion = 1            // database format that this release writes, and the newest that it reads
-	lockWait  = time.Second  // how long to wait for another process to close the database
+	dbFileName  = "council.db" // a replica's database in its directory
+	dbVersion   = 1            // database format that this release writes, and the newest that it reads
+	lockTimeout = time.Second  // how long to wait for another process to close the database
 )
 
 // Buckets and keys of the database. Numbers are stored as 8 bytes, big-endian, so that log entries are in order.
@@ -55,7 +55,7 @@
 	installation uint64
 	database     *bbolt.DB
 	replicaID    uint64       // random, chosen when the database was created
-	fault        func() error // injected fault: runs before each save, which fails with the error of fault; nil: none
+	injectFault  func() error // injected fault: runs before each save, which fails with the error of injectFault; nil: none
 }
 
 // openDisk opens a replica's database in dir, or creates it. It returns an error wrapping ErrDiskInUse,
@@ -65,8 +65,8 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, state, fmt.Errorf("consensus: create the data directory: %w", err)
 	}
-	d := &disk{path: filepath.Join(dir, dbFile), installation: installation}
-	db, err := bbolt.Open(d.path, 0o600, &bbolt.Options{Timeout: lockWait})
+	d := &disk{path: filepath.Join(dir, dbFileName), installation: installation}
+	db, err := bbolt.Open(d.path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return nil, state, fmt.Errorf("consensus: %s is %w", d.path, ErrDiskInUse)
 	}
@@ -146,8 +146,8 @@
 // save makes an update of the replica's state durable. When it returns nil, the update survives a kill of the process
 // and a crash of the machine.
 func (d *disk) save(update *consensus.PersistentState, compactIndex uint64) error {
-	if d.fault != nil {
-		if err := d.fault(); err != nil {
+	if d.injectFault != nil {
+		if err := d.injectFault(); err != nil {
 			return fmt.Errorf("consensus: %s: %w", d.path, err)
 		}
 	}
--- a/internal/transport/coordination/disk_test.go
+++ b/internal/transport/coordination/disk_test.go
@@ -87,7 +87,7 @@
 	require.NoError(t, err)
 	require.NotEqual(t, removedID, d.replicaID, "a new database must have a new replica ID")
 	require.NoError(t, d.close())
-	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFile), []byte("not a database, but long enough to be looked at"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFileName), []byte("not a database, but long enough to be looked at"), 0o600))
 	_, _, err = openDisk(dir, 8)
 	require.ErrorContains(t, err, "move it away")
 }
--- a/internal/transport/coordination/fences.go
+++ b/internal/transport/coordination/fences.go
@@ -10,14 +10,14 @@
 	"aniseloft/internal/lease"
 )
 
-// fencesFile is a file in the fleet's directory with the newest assignment of each job that this coordinator has
+// fencesFileName is a file in the fleet's directory with the newest assignment of each job that this coordinator has
 // observed (followed). The file of the same name in the root of a shared spool is a different one: it holds the fences
 // that the spool has accepted as the target of operations (internal/spool/fence.go).
-const fencesFile = "fences.json"
+const fencesFileName = "fences.json"
 
 // loadFollowedFences reads the assignments that an earlier run stored.
 func (n *Node) loadFollowedFences() error {
-	path := filepath.Join(n.conf.Directory, fencesFile)
+	path := filepath.Join(n.conf.Directory, fencesFileName)
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -47,7 +47,7 @@
 	if err != nil {
 		return fmt.Errorf("fleet: encode the followed fences: %w", err)
 	}
-	if err := durable.WriteFile(filepath.Join(n.conf.Directory, fencesFile), raw); err != nil {
+	if err := durable.WriteFile(filepath.Join(n.conf.Directory, fencesFileName), raw); err != nil {
 		return fmt.Errorf("fleet: store the followed fences: %w", err)
 	}
 	return nil
--- a/internal/transport/coordination/node.go
+++ b/internal/transport/coordination/node.go
@@ -81,7 +81,7 @@
 		name:         name,
 		installation: fleet.InstallationID(conf.Installation),
 		reconfigured: make(chan struct{}, 1),
-		tasks:        make(chan replicaTask, queueLimit),
+		tasks:        make(chan replicaTask, maxQueueLength),
 		conf:         conf,
 	}
 	n.replicaHost = newReplicaHost(n)
@@ -117,20 +117,20 @@
 
 // Reload applies a new configuration. Only the replicas, their addresses and the generation may change; anything else
 // returns ErrImmutable, ErrAddressChanged or an OlderGenerationError.
-func (n *Node) Reload(conf fleetconf.Config) error {
-	old := n.config()
-	if conf.Installation != old.Installation || conf.Directory != old.Directory || !slices.Equal(conf.Jobs, old.Jobs) {
+func (n *Node) Reload(newConf fleetconf.Config) error {
+	currentConf := n.config()
+	if newConf.Installation != currentConf.Installation || newConf.Directory != currentConf.Directory || !slices.Equal(newConf.Jobs, currentConf.Jobs) {
 		return ErrImmutable
 	}
-	if conf.Generation < old.Generation {
-		return OlderGenerationError{conf.Generation, old.Generation}
+	if newConf.Generation < currentConf.Generation {
+		return OlderGenerationError{newConf.Generation, currentConf.Generation}
 	}
-	if addr := conf.ReplicaAddr(n.name); addr != "" && old.ReplicaAddr(n.name) != "" && addr != old.ReplicaAddr(n.name) {
+	if addr := newConf.ReplicaAddr(n.name); addr != "" && currentConf.ReplicaAddr(n.name) != "" && addr != currentConf.ReplicaAddr(n.name) {
 		return ErrAddressChanged
 	}
 	n.mu.Lock()
-	n.conf = conf
-	n.resolver = n.newResolver(conf)
+	n.conf = newConf
+	n.resolver = n.newResolver(newConf)
 	n.mu.Unlock()
 	select {
 	case n.reconfigured <- struct{}{}:
--- a/internal/transport/coordination/node_test.go
+++ b/internal/transport/coordination/node_test.go
@@ -143,7 +143,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 0, deliveries(n, 3, "n2"), "an older fence, after a restart")
 	require.Equal(t, 1, deliveries(n, 4, "n1"))
-	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFile), []byte("{"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFileName), []byte("{"), 0o600))
 	_, err = New(conf, "n7", monotonicClock(), log)
 	require.ErrorContains(t, err, "move it away")
 }
--- a/internal/transport/coordination/peer.go
+++ b/internal/transport/coordination/peer.go
@@ -56,7 +56,7 @@
 // dialPeer dials a peer on its own goroutine and hands the connection to the replica goroutine, which sends the frame.
 func (h *replicaHost) dialPeer(ctx context.Context, p *peer, backoff time.Duration, addr string, frame []byte) {
 	socket, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp4", addr)
-	queued := h.node.enqueue(func(*consensus.Replica) {
+	wasQueued := h.node.enqueue(func(*consensus.Replica) {
 		if err != nil {
 			p.nextDial = time.Now().Add(jitter(backoff))
 			return
@@ -64,7 +64,7 @@
 		p.conn = h.node.serve(ctx, socket, h.handleFrame)
 		p.conn.send(frame)
 	})
-	if !queued && err == nil {
+	if !wasQueued && err == nil {
 		_ = socket.Close()
 	}
 }
--- a/internal/transport/coordination/publication.go
+++ b/internal/transport/coordination/publication.go
@@ -28,12 +28,12 @@
 	}
 	n.counters.publications.Add(1)
 	n.mu.Lock()
-	replica, c := n.resolver.Current(), n.leaderConn
+	leaderName, leaderConn := n.resolver.Current(), n.leaderConn
 	n.mu.Unlock()
-	if replica == n.name {
+	if leaderName == n.name {
 		n.enqueue(func(*consensus.Replica) { n.replicaHost.broadcast(payload) })
-	} else if c != nil {
-		c.send(fleet.Append(nil, n.installation, fleet.Frame{Kind: fleet.Publication, Payload: payload}))
+	} else if leaderConn != nil {
+		leaderConn.send(fleet.Append(nil, n.installation, fleet.Frame{Kind: fleet.Publication, Payload: payload}))
 	}
 }
 
@@ -60,12 +60,12 @@
 		return nil
 	}
 	var err error
-	var latest lease.Assignment
+	var latestAssignment lease.Assignment
 	accepted := false
 	n.With(func(client *lease.Client) {
-		latest = client.LatestAssignment(p.Job)
+		latestAssignment = client.LatestAssignment(p.Job)
 		accepted = client.ObserveAssignment(p.Assignment)
-		if accepted && (p.Fence > latest.Fence || p.HolderName != latest.HolderName) {
+		if accepted && (p.Fence > latestAssignment.Fence || p.HolderName != latestAssignment.HolderName) {
 			err = n.storeFollowedFences(client)
 		}
 	})
@@ -74,7 +74,7 @@
 		n.Log.Error("fleet publication dropped, its fence cannot be stored", "err", err)
 	case !accepted:
 		n.counters.stalePublications.Add(1)
-		n.Log.Warn("fleet publication dropped, its fence is stale", "job", p.Job, "holder", p.HolderName, "fence", p.Fence, "latest_fence", latest.Fence)
+		n.Log.Warn("fleet publication dropped, its fence is stale", "job", p.Job, "holder", p.HolderName, "fence", p.Fence, "latest_fence", latestAssignment.Fence)
 	default:
 		n.deliver(p)
 	}
--- a/internal/transport/coordination/ready.go
+++ b/internal/transport/coordination/ready.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	h.node.counters.persistedReadyStates.Add(1)
-	h.disk.fault = h.node.diskFault
+	h.disk.injectFault = h.node.diskFault
 	return h.disk.save(ready.Persist, ready.CompactIndex)
 }
 
--- a/internal/transport/coordination/replicahost.go
+++ b/internal/transport/coordination/replicahost.go
@@ -131,12 +131,12 @@
 	if conf.ReplicaAddr(h.node.name) == "" {
 		return
 	}
-	listening := h.listener != nil
+	wasListening := h.listener != nil
 	if err := h.open(ctx); err != nil {
 		h.node.Log.Error(msgReplicaNotStarted, "err", err)
 		return
 	}
-	if !listening {
+	if !wasListening {
 		go h.accept(ctx)
 	}
 }
--- a/internal/transport/coordination/stored_test.go
+++ b/internal/transport/coordination/stored_test.go
@@ -132,14 +132,14 @@
 	if *update {
 		dir := t.TempDir()
 		writeDataDir(t, dir)
-		raw, err := os.ReadFile(filepath.Join(dir, dbFile))
+		raw, err := os.ReadFile(filepath.Join(dir, dbFileName))
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(fixture, raw, 0o644))
 	}
 	raw, err := os.ReadFile(fixture)
 	require.NoError(t, err)
 	dir := testdir.Dir(t)
-	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFile), raw, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, dbFileName), raw, 0o600))
 	d, savedState, err := openDisk(dir, storedInstallation)
 	require.NoError(t, err)
 	storedID := d.replicaID
@@ -169,7 +169,7 @@
 	require.NoError(t, err)
 	require.NoError(t, d.save(&savedState, savedState.Snapshot.GetMetadata().GetIndex()))
 	require.NoError(t, d.close())
-	want, written := readBuckets(t, filepath.Join(dir, dbFile)), readBuckets(t, filepath.Join(copyDir, dbFile))
+	want, written := readBuckets(t, filepath.Join(dir, dbFileName)), readBuckets(t, filepath.Join(copyDir, dbFileName))
 	idKey := fmt.Sprintf("meta/%x", "number") // the replica ID is random in each database
 	require.NotEmpty(t, written[idKey])
 	delete(want, idKey)
@@ -193,12 +193,12 @@
 		require.NoError(t, err)
 		require.NoError(t, c.handlePublication(raw))
 	}
-	written, err := os.ReadFile(filepath.Join(dir, fencesFile))
+	written, err := os.ReadFile(filepath.Join(dir, fencesFileName))
 	require.NoError(t, err)
-	want := golden(t, fencesFile, written)
+	want := golden(t, fencesFileName, written)
 	require.Equal(t, string(want), string(written))
 
-	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFile), want, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, fencesFileName), want, 0o600))
 	c, err = New(conf, "n7", monotonicClock(), slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	c.With(func(client *lease.Client) {
--- a/internal/transport/discovery/endpoints.go
+++ b/internal/transport/discovery/endpoints.go
@@ -41,11 +41,11 @@
 			clear(latestByID)
 			snapshot, ids = true, nil
 		}
-		for _, s := range e.Update.Endpoints {
-			if _, ok := latestByID[s.ID]; !ok {
-				ids = append(ids, s.ID)
+		for _, listedEndpoint := range e.Update.Endpoints {
+			if _, ok := latestByID[listedEndpoint.ID]; !ok {
+				ids = append(ids, listedEndpoint.ID)
 			}
-			latestByID[s.ID] = s
+			latestByID[listedEndpoint.ID] = listedEndpoint
 		}
 	}
 	for _, id := range ids {
@@ -56,8 +56,8 @@
 
 // endpoints converts the engines of the protocol to endpoints, without those that can't be used.
 func (w *Watcher) endpoints(listed []journal.Endpoint) (endpoints []routing.Endpoint) {
-	for _, s := range listed {
-		if e, ok := w.endpoint(s); ok {
+	for _, listedEndpoint := range listed {
+		if e, ok := w.endpoint(listedEndpoint); ok {
 			endpoints = append(endpoints, e)
 		}
 	}
@@ -65,20 +65,20 @@
 }
 
 // endpoint converts an engine of the protocol to an endpoint; ok is false for one that can't be used.
-func (w *Watcher) endpoint(s journal.Endpoint) (_ routing.Endpoint, ok bool) {
-	state, ok := endpointStates[s.State]
-	if !ok || s.ID == "" {
-		w.log.Warn("discovery event invalid: no id, or unknown state", "endpoint", s.ID, "state", s.State)
+func (w *Watcher) endpoint(listed journal.Endpoint) (_ routing.Endpoint, ok bool) {
+	state, ok := endpointStates[listed.State]
+	if !ok || listed.ID == "" {
+		w.log.Warn("discovery event invalid: no id, or unknown state", "endpoint", listed.ID, "state", listed.State)
 		return routing.Endpoint{}, false
 	}
 	if state != decide.EndpointRemoved {
-		if _, _, err := net.SplitHostPort(s.Address); err != nil {
-			w.log.Warn("discovery event invalid: bad address", "endpoint", s.ID, "err", err)
+		if _, _, err := net.SplitHostPort(listed.Address); err != nil {
+			w.log.Warn("discovery event invalid: bad address", "endpoint", listed.ID, "err", err)
 			return routing.Endpoint{}, false
 		}
 	}
-	return routing.Endpoint{Name: s.ID, Address: s.Address, EndpointInfo: decide.EndpointInfo{ID: endpointID(s.ID),
-		Zone: nameIndex(w.settings.ZoneNames, s.Zone), Kind: nameIndex(w.settings.KindNames, s.Kind), Cell: s.Cell, State: state, StartedAt: s.StartedAtMS}}, true
+	return routing.Endpoint{Name: listed.ID, Address: listed.Address, EndpointInfo: decide.EndpointInfo{ID: endpointID(listed.ID),
+		Zone: nameIndex(w.settings.ZoneNames, listed.Zone), Kind: nameIndex(w.settings.KindNames, listed.Kind), Cell: listed.Cell, State: state, StartedAt: listed.StartedAtMS}}, true
 }
 
 // nameIndex returns the index of a zone's or kind's name in the settings. A name that is not in the settings
--- a/internal/transport/discovery/rates_test.go
+++ b/internal/transport/discovery/rates_test.go
@@ -135,6 +135,6 @@
 	requireRate("dials while the service ends connections", c.dials, 2*time.Second, n*(4+2000/250+1))
 	c.set(false, true)
 	time.Sleep(time.Second)
-	// A call without an answer ends after pollWait and answerSlack.
-	requireRate("calls while the service answers nothing", c.calls, 2*time.Second, n*(1+2000/(pollWait+int(answerSlack/time.Millisecond))+1))
+	// A call without an answer ends after pollWaitMS and answerSlack.
+	requireRate("calls while the service answers nothing", c.calls, 2*time.Second, n*(1+2000/(pollWaitMS+int(answerSlack/time.Millisecond))+1))
 }
--- a/internal/transport/discovery/sharedlist.go
+++ b/internal/transport/discovery/sharedlist.go
@@ -125,11 +125,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	interval := idleSnapshotInterval
+	snapshotInterval := idleSnapshotInterval
 	if now.Sub(l.changedAt) < idleAfter {
-		interval = activeSnapshotInterval
+		snapshotInterval = activeSnapshotInterval
 	}
-	if fence != l.fence || now.Sub(l.snapshotAt) >= interval {
+	if fence != l.fence || now.Sub(l.snapshotAt) >= snapshotInterval {
 		u.Snapshot, u.Endpoints, l.snapshotAt = true, nil, now
 		for _, s := range l.endpoints {
 			if s.State != wireLeft {
@@ -197,13 +197,13 @@
 
 // ignores reports whether a published state of an engine is to be ignored: it is known already, or this
 // coordinator has recently read itself that the engine is less healthy.
-func (l *SharedList) ignores(s journal.Endpoint) bool {
-	known, ok := l.endpoints[s.ID]
+func (l *SharedList) ignores(published journal.Endpoint) bool {
+	known, ok := l.endpoints[published.ID]
 	if !ok {
 		return false
 	}
-	recentlyRead := time.Since(l.readAt[s.ID]) < ownReadingPriority
-	return known == s || recentlyRead && s.StartedAtMS <= known.StartedAtMS && healthRank(s.State) > healthRank(known.State)
+	isRecentlyRead := time.Since(l.readAt[published.ID]) < ownReadingPriority
+	return known == published || isRecentlyRead && published.StartedAtMS <= known.StartedAtMS && healthRank(published.State) > healthRank(known.State)
 }
 
 // healthRank returns a number that is larger for healthier states. An unknown state ranks like a removed engine.
--- a/internal/transport/discovery/watcher.go
+++ b/internal/transport/discovery/watcher.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// pollWait is how long the service may hold a poll, in ms. The protocol allows more, but a stopped
+	// pollWaitMS is how long the service may hold a poll, in ms. The protocol allows more, but a stopped
 	// service whose connection stays open must be detected soon: an event counts as known to
 	// coordinators 2 s after the end of the wait, whether or not it was received.
-	pollWait = 1000
+	pollWaitMS = 1000
 	// answerSlack is how long after the end of its wait the answer to a poll may take.
 	answerSlack = 600 * time.Millisecond
 	// maxAnswerSlack is the limit to which Watcher.slack grows for a list whose first bytes arrive in
@@ -159,44 +159,44 @@
 		return false, err
 	}
 	c := netconn.New(raw, netconn.PageBuffer)
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	defer func() { stop(); _ = c.Close() }()
+	stopCloser := context.AfterFunc(ctx, func() { _ = c.Close() })
+	defer func() { stopCloser(); _ = c.Close() }()
 	// Coordinators that lose the service at the same time reconnect at the same time. A random first wait
 	// keeps their polls from reaching the service in step from then on.
-	wait := 1 + rand.IntN(pollWait)
-	for poll := journal.NewPollParser(); ; answered = true {
+	waitMS := 1 + rand.IntN(pollWaitMS)
+	for pollParser := journal.NewPollParser(); ; answered = true {
 		if w.shared.WatchedElsewhere() {
 			return true, errWatchedElsewhere
 		}
-		batch, reusable, err := w.poll(ctx, c, poll, addr, wait)
+		batch, reusable, err := w.poll(ctx, c, pollParser, addr, waitMS)
 		if err != nil {
 			return answered, err
 		}
-		wait = pollWait
+		waitMS = pollWaitMS
 		w.slack = answerSlack
-		previous := w.position
+		previousPosition := w.position
 		w.apply(batch)
 		if !reusable {
 			return true, errClosedByService
 		}
-		if w.position <= previous {
+		if w.position <= previousPosition {
 			pause(ctx, emptyAnswerPause)
 		}
 	}
 }
 
-// poll makes one call, which the service may hold for wait ms, and reads its answer. reusable reports whether
+// poll makes one call, which the service may hold for waitMS ms, and reads its answer. reusable reports whether
 // the connection can be used for another call.
-func (w *Watcher) poll(ctx context.Context, c *netconn.Conn, p *journal.PollParser, addr string, wait int) (batch journal.Batch, reusable bool, err error) {
+func (w *Watcher) poll(ctx context.Context, c *netconn.Conn, p *journal.PollParser, addr string, waitMS int) (batch journal.Batch, reusable bool, err error) {
 	w.Calls.Add(1)
-	if err := c.Write(ctx, journal.EncodePoll(addr, w.position, wait), time.Now().Add(answerSlack)); err != nil {
+	if err := c.Write(ctx, journal.EncodePoll(addr, w.position, waitMS), time.Now().Add(answerSlack)); err != nil {
 		return batch, false, err
 	}
-	deadline := time.Now().Add(time.Duration(wait)*time.Millisecond + w.slack)
-	for begun := false; ; begun = true {
+	deadline := time.Now().Add(time.Duration(waitMS)*time.Millisecond + w.slack)
+	for answerBegun := false; ; answerBegun = true {
 		b, err := w.read(ctx, c, deadline)
 		if err != nil {
-			if begun && netconn.IsTimeout(err) {
+			if answerBegun && netconn.IsTimeout(err) {
 				w.slack = min(2*w.slack, maxAnswerSlack)
 			}
 			return batch, false, err
@@ -219,8 +219,8 @@
 	}
 	for {
 		w.shared.PublishHeartbeat()
-		next := time.Now().Add(heartbeatInterval)
-		b, err := c.Read(ctx, netconn.Earlier(next, deadline))
+		nextHeartbeat := time.Now().Add(heartbeatInterval)
+		b, err := c.Read(ctx, netconn.Earlier(nextHeartbeat, deadline))
 		if err == nil || !netconn.IsTimeout(err) || ctx.Err() != nil || !time.Now().Before(deadline) {
 			return b, err
 		}
--- a/internal/transport/discovery/watcher_test.go
+++ b/internal/transport/discovery/watcher_test.go
@@ -131,8 +131,8 @@
 			return
 		}
 		list := pollAnswer(1, entry(1, true, oneActive))
-		// The list is sent in 30 pieces and takes longer than the time limit of a poll, which is pollWait plus answerSlack.
-		pause := (pollWait*time.Millisecond + 2*answerSlack) / 30
+		// The list is sent in 30 pieces and takes longer than the time limit of a poll, which is pollWaitMS plus answerSlack.
+		pause := (pollWaitMS*time.Millisecond + 2*answerSlack) / 30
 		for n := 30; n > 0 && len(list) > 0; n-- {
 			size := (len(list) + n - 1) / n
 			if _, err := io.WriteString(c, list[:size]); err != nil {
--- a/internal/transport/listener/conn.go
+++ b/internal/transport/listener/conn.go
@@ -36,16 +36,16 @@
 	net.Conn
 	listener *Listener
 
-	mu           sync.Mutex
-	lastActive   time.Time // time of the accept, of the latest complete message, or of the latest begin or end of a request
-	partialSince time.Time // when the first bytes of the incomplete message were read; zero: no message is incomplete
-	partialReads int       // number of reads that brought a part of the incomplete message
-	lastRead     time.Time // when bytes were last read
-	sentMessage  bool      // the client has sent a complete message
-	openRequests int       // number of unanswered requests
-	unhandled    int       // number of messages that are read and not yet handled
-	closing      bool      // this side has begun to close the connection
-	evicted      bool      // the close makes room for another connection
+	mu               sync.Mutex
+	lastActiveAt     time.Time // time of the accept, of the latest complete message, or of the latest begin or end of a request
+	partialSince     time.Time // when the first bytes of the incomplete message were read; zero: no message is incomplete
+	partialReadCount int       // number of reads that brought a part of the incomplete message
+	lastReadAt       time.Time // when bytes were last read
+	sentMessage      bool      // the client has sent a complete message
+	openRequestCount int       // number of unanswered requests
+	unhandledCount   int       // number of messages that are read and not yet handled
+	closing          bool      // this side has begun to close the connection
+	evicted          bool      // the close makes room for another connection
 }
 
 // RecordRead records the result of a read: whether it completed messages, and whether it left one incomplete.
@@ -53,17 +53,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.lastRead = now
+	c.lastReadAt = now
 	if completed {
-		c.sentMessage, c.lastActive = true, now
+		c.sentMessage, c.lastActiveAt = true, now
 	}
 	switch {
 	case !incomplete:
-		c.partialSince, c.partialReads = time.Time{}, 0
+		c.partialSince, c.partialReadCount = time.Time{}, 0
 	case c.partialSince.IsZero() || completed:
-		c.partialSince, c.partialReads = now, 1
+		c.partialSince, c.partialReadCount = now, 1
 	default:
-		c.partialReads++
+		c.partialReadCount++
 	}
 }
 
@@ -87,8 +87,8 @@
 	if c.closing {
 		return false
 	}
-	c.openRequests++
-	c.lastActive = time.Now()
+	c.openRequestCount++
+	c.lastActiveAt = time.Now()
 	return true
 }
 
@@ -96,15 +96,15 @@
 func (c *Conn) EndRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.openRequests--
-	c.lastActive = time.Now()
+	c.openRequestCount--
+	c.lastActiveAt = time.Now()
 }
 
 // AddUnhandled changes the number of messages that are read and not yet handled.
 func (c *Conn) AddUnhandled(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unhandled += n
+	c.unhandledCount += n
 }
 
 // CountDrainRejection counts a request that was rejected because of a drain.
@@ -115,24 +115,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.openRequests > 0:
+	case c.openRequestCount > 0:
 		return time.Now().Add(idleTimeout)
 	case !c.sentMessage:
-		return c.lastActive.Add(messageTimeout)
+		return c.lastActiveAt.Add(messageTimeout)
 	case !c.partialSince.IsZero():
 		return c.partialSince.Add(messageTimeout)
 	}
-	return c.lastActive.Add(idleTimeout)
+	return c.lastActiveAt.Add(idleTimeout)
 }
 
 // closeReason is the reason why this side closes a connection.
 type closeReason int
 
 const (
-	closeTimeout  closeReason = iota // idle for too long, or a message took too long
-	closeDrain                       // the coordinator is draining
-	closeShutdown                    // the listener is shutting down
-	closeEvicted                     // room is needed for another connection
+	closeReasonTimeout  closeReason = iota // idle for too long, or a message took too long
+	closeReasonDrain                       // the coordinator is draining
+	closeReasonShutdown                    // the listener is shutting down
+	closeReasonEvicted                     // room is needed for another connection
 )
 
 // claimClose begins a close by this side and reports whether a close has begun. It begins one only while the
@@ -145,12 +145,12 @@
 		return true
 	}
 	// During a drain, a client may complete its message, and a new connection gets time for its first one.
-	mustWait := reason == closeDrain && (!c.partialSince.IsZero() || !c.sentMessage && time.Since(c.lastActive) < drainGracePeriod)
-	if c.openRequests > 0 || c.unhandled > 0 || mustWait || netconn.HasUnread(c.Conn) {
+	mustWait := reason == closeReasonDrain && (!c.partialSince.IsZero() || !c.sentMessage && time.Since(c.lastActiveAt) < drainGracePeriod)
+	if c.openRequestCount > 0 || c.unhandledCount > 0 || mustWait || netconn.HasUnread(c.Conn) {
 		return false
 	}
-	c.closing, c.evicted = true, reason == closeEvicted
-	if reason == closeDrain {
+	c.closing, c.evicted = true, reason == closeReasonEvicted
+	if reason == closeReasonDrain {
 		c.listener.counts.drained.Add(1)
 	}
 	return true
@@ -172,30 +172,30 @@
 // connection's buffer; the bytes are valid until its next read. The error is ErrClosing once this side closes
 // the connection: it was idle for the timeout, took too long for a message, was evicted, or has no open requests
 // while draining reports true (nil: never) or after ctx has ended.
-func (c *Conn) ReadBytes(ctx context.Context, in *netconn.Conn, idleTimeout time.Duration, draining func() bool) ([]byte, time.Time, error) {
+func (c *Conn) ReadBytes(ctx context.Context, bufferedConn *netconn.Conn, idleTimeout time.Duration, draining func() bool) ([]byte, time.Time, error) {
 	for {
-		shutdown := ctx.Err() != nil
-		drain := shutdown || draining != nil && draining()
-		if shutdown && c.claimClose(closeShutdown) || drain && c.claimClose(closeDrain) {
+		isShuttingDown := ctx.Err() != nil
+		isDraining := isShuttingDown || draining != nil && draining()
+		if isShuttingDown && c.claimClose(closeReasonShutdown) || isDraining && c.claimClose(closeReasonDrain) {
 			return nil, time.Time{}, ErrClosing
 		}
 		deadline := c.closeDeadline(idleTimeout)
-		if check := time.Now().Add(drainCheckInterval); drain && check.Before(deadline) {
-			deadline = check
+		if nextCheck := time.Now().Add(drainCheckInterval); isDraining && nextCheck.Before(deadline) {
+			deadline = nextCheck
 		}
 		readCtx := ctx
-		if shutdown { // requests that were sent before the close is claimed are still read
+		if isShuttingDown { // requests that were sent before the close is claimed are still read
 			readCtx = context.WithoutCancel(ctx)
 		}
-		b, err := in.Read(readCtx, deadline)
+		b, err := bufferedConn.Read(readCtx, deadline)
 		readAt := time.Now()
 		switch {
 		case err == nil:
 			return b, readAt, nil
-		case !shutdown && ctx.Err() != nil: // interrupted by the end of ctx: check again
+		case !isShuttingDown && ctx.Err() != nil: // interrupted by the end of ctx: check again
 		case !netconn.IsTimeout(err):
 			return nil, readAt, err
-		case !readAt.Before(c.closeDeadline(idleTimeout)) && c.claimClose(closeTimeout):
+		case !readAt.Before(c.closeDeadline(idleTimeout)) && c.claimClose(closeReasonTimeout):
 			return nil, readAt, ErrClosing
 		case c.isClosing():
 			return nil, readAt, ErrClosing
@@ -215,7 +215,7 @@
 func (c *Conn) receivingMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.partialSince.IsZero() && time.Since(c.lastRead) < drainGracePeriod
+	return !c.partialSince.IsZero() && time.Since(c.lastReadAt) < drainGracePeriod
 }
 
 // writesSlowly reports whether the client is writing a message in pieces, that is, more than one read brought a part of it.
@@ -223,7 +223,7 @@
 func (c *Conn) writesSlowly() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.partialReads > 1 && time.Since(c.partialSince) < messageTimeout
+	return c.partialReadCount > 1 && time.Since(c.partialSince) < messageTimeout
 }
 
 // idleSince returns the time since when the connection is idle: the later of its last activity and its latest bytes. ok is
@@ -232,9 +232,9 @@
 func (c *Conn) idleSince() (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at = c.lastActive
-	if c.lastRead.After(at) {
-		at = c.lastRead
+	at = c.lastActiveAt
+	if c.lastReadAt.After(at) {
+		at = c.lastReadAt
 	}
-	return at, c.openRequests == 0 && c.unhandled == 0 && !c.closing
+	return at, c.openRequestCount == 0 && c.unhandledCount == 0 && !c.closing
 }
--- a/internal/transport/listener/eviction.go
+++ b/internal/transport/listener/eviction.go
@@ -15,7 +15,7 @@
 		return true
 	}
 	victim, victimIdleSince := l.chooseVictim()
-	if victim == nil || time.Since(victimIdleSince) < minEvictionAge || !victim.claimClose(closeEvicted) {
+	if victim == nil || time.Since(victimIdleSince) < minEvictionAge || !victim.claimClose(closeReasonEvicted) {
 		return false
 	}
 	l.counts.evicted.Add(1)
@@ -28,16 +28,16 @@
 // that is idle the longest. A connection whose client is writing a message in pieces is chosen only where no other is idle,
 // so that many new connections between two pieces do not cut off a slow writer. The caller holds l.mu.
 func (l *Listener) chooseVictim() (victim *Conn, victimIdleSince time.Time) {
-	victimWrites := false
+	victimWritesSlowly := false
 	for c := range l.conns {
-		at, idle := c.idleSince()
-		if !idle {
+		idleSince, isIdle := c.idleSince()
+		if !isIdle {
 			continue
 		}
-		writes := c.writesSlowly()
-		better := victim == nil || victimWrites && !writes || victimWrites == writes && at.Before(victimIdleSince)
-		if better {
-			victim, victimIdleSince, victimWrites = c, at, writes
+		writesSlowly := c.writesSlowly()
+		isBetterVictim := victim == nil || victimWritesSlowly && !writesSlowly || victimWritesSlowly == writesSlowly && idleSince.Before(victimIdleSince)
+		if isBetterVictim {
+			victim, victimIdleSince, victimWritesSlowly = c, idleSince, writesSlowly
 		}
 	}
 	return victim, victimIdleSince
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -37,16 +37,16 @@
 // Listener accepts connections up to a limit and serves them. Run accepts; each connection is
 // served, lingered and closed on a separate goroutine, which Close waits for.
 type Listener struct {
-	tcp     net.Listener
-	limit   int
-	handler Handler
-	ctx     context.Context // passed to all handlers
-	cancel  context.CancelFunc
-	ended   chan struct{}  // closed by Run once no more connections are accepted
-	linger  chan struct{}  // semaphore for evicted connections that linger
-	serving sync.WaitGroup // goroutines that serve connections
-	log     *slog.Logger
-	counts  struct{ accepted, evicted, drained, rejectedInDrain atomic.Int64 }
+	tcp             net.Listener
+	limit           int
+	handler         Handler
+	ctx             context.Context // passed to all handlers
+	cancel          context.CancelFunc
+	acceptLoopEnded chan struct{}  // closed by Run once no more connections are accepted
+	lingerSlots     chan struct{}  // semaphore for evicted connections that linger
+	serving         sync.WaitGroup // goroutines that serve connections
+	log             *slog.Logger
+	counts          struct{ accepted, evicted, drained, rejectedInDrain atomic.Int64 }
 	// stopping is set once only connections in the backlog are still accepted.
 	stopping atomic.Bool
 	// cutOff is set once all connections are closed, including accepted ones that are not served yet.
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	l := &Listener{tcp: tcp, limit: limit, conns: map[*Conn]struct{}{}, handler: handler, log: log,
-		ended: make(chan struct{}), linger: make(chan struct{}, maxLingeringEvicted)}
+		acceptLoopEnded: make(chan struct{}), lingerSlots: make(chan struct{}, maxLingeringEvicted)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l, nil
 }
@@ -87,7 +87,7 @@
 // Run accepts connections until StopAccepting or Close. Connections in the backlog are established for their
 // clients already, so a connection is accepted before room is made for it.
 func (l *Listener) Run() {
-	defer close(l.ended)
+	defer close(l.acceptLoopEnded)
 	for {
 		c, err := l.tcp.Accept()
 		switch {
@@ -108,24 +108,24 @@
 // admit waits until an accepted connection is within the limit and serves it. Once cutOff is set, admit closes the
 // connection instead.
 func (l *Listener) admit(c net.Conn) {
-	waited := false
+	hasWaited := false
 	for !l.makeRoom() {
 		if l.cutOff.Load() {
 			_ = c.Close()
 			return
 		}
-		waited = true
+		hasWaited = true
 		time.Sleep(acceptRetryInterval)
 	}
 	l.ServeConn(c)
-	if waited && l.stopping.Load() && !l.cutOff.Load() { // more connections may have reached the backlog
+	if hasWaited && l.stopping.Load() && !l.cutOff.Load() { // more connections may have reached the backlog
 		l.StopAccepting()
 	}
 }
 
 // ServeConn serves a connection on a separate goroutine and closes it.
 func (l *Listener) ServeConn(raw net.Conn) {
-	c := &Conn{Conn: raw, listener: l, lastActive: time.Now()}
+	c := &Conn{Conn: raw, listener: l, lastActiveAt: time.Now()}
 	l.counts.accepted.Add(1)
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
@@ -150,9 +150,9 @@
 	l.mu.Unlock()
 	if evicted { // the connection does not count against the limit any more
 		select {
-		case l.linger <- struct{}{}:
+		case l.lingerSlots <- struct{}{}:
 			netconn.Linger(c.Conn, RetransmitWindow)
-			<-l.linger
+			<-l.lingerSlots
 		default:
 		}
 	}
@@ -198,7 +198,7 @@
 	closeTimer := time.AfterFunc(time.Until(deadline), l.closeAll)
 	defer closeTimer.Stop()
 	l.StopAccepting()
-	<-l.ended
+	<-l.acceptLoopEnded
 	l.cancel()
 	l.serving.Wait()
 }
--- a/internal/transport/listener/listener_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -57,7 +57,7 @@
 // A connection with unread bytes, an open request or an unhandled message must not be closed, whatever the reason: unread
 // bytes are a request that arrived in time.
 func TestCloseIsNotClaimedOverUnreadBytes(t *testing.T) {
-	for reason := range closeEvicted + 1 {
+	for reason := range closeReasonEvicted + 1 {
 		client, server := transporttest.ConnPair(t)
 		c := &Conn{Conn: server, listener: &Listener{}, sentMessage: true}
 		transporttest.Write(t, client, "x")
@@ -80,32 +80,32 @@
 // connection while there are others whose clients have only begun a message, or sent nothing.
 func TestSlowWriterIsEvictedLast(t *testing.T) {
 	l := &Listener{limit: 3, conns: map[*Conn]struct{}{}}
-	add := func(lastActive time.Time) *Conn {
+	addConn := func(lastActive time.Time) *Conn {
 		_, server := transporttest.ConnPair(t)
-		c := &Conn{Conn: server, listener: l, lastActive: lastActive}
+		c := &Conn{Conn: server, listener: l, lastActiveAt: lastActive}
 		l.conns[c] = struct{}{}
 		return c
 	}
 	now := time.Now()
-	slowWriter := add(now.Add(-time.Second))
+	slowWriter := addConn(now.Add(-time.Second))
 	slowWriter.RecordRead(false, true)
 	slowWriter.RecordRead(false, true)
-	slowWriter.lastRead = now.Add(-200 * time.Millisecond)
-	stopped := add(now.Add(-100 * time.Millisecond))
-	stopped.RecordRead(false, true)
-	stopped.lastRead = now.Add(-100 * time.Millisecond)
-	silent := add(now.Add(-50 * time.Millisecond))
+	slowWriter.lastReadAt = now.Add(-200 * time.Millisecond)
+	stoppedSender := addConn(now.Add(-100 * time.Millisecond))
+	stoppedSender.RecordRead(false, true)
+	stoppedSender.lastReadAt = now.Add(-100 * time.Millisecond)
+	silentClient := addConn(now.Add(-50 * time.Millisecond))
 
-	for _, victim := range []*Conn{stopped, silent} {
+	for _, victim := range []*Conn{stoppedSender, silentClient} {
 		require.True(t, l.makeRoom())
 		require.NotContains(t, l.conns, victim)
 		require.Contains(t, l.conns, slowWriter)
-		add(time.Now().Add(-time.Millisecond))
+		addConn(time.Now().Add(-time.Millisecond))
 	}
 	require.False(t, l.makeRoom(), "the new connections are protected by minEvictionAge, and the slow writer is not evicted instead")
 	for c := range l.conns {
 		if c != slowWriter {
-			c.openRequests = 1
+			c.openRequestCount = 1
 		}
 	}
 	require.True(t, l.makeRoom(), "the slow writer is evicted where all others have open requests")
--- a/internal/transport/upstream/cancel.go
+++ b/internal/transport/upstream/cancel.go
@@ -29,13 +29,13 @@
 		cancel()
 		return routing.Result{Outcome: decide.OutcomeCancelled}
 	}
-	cancelLost(a, cancel)
+	cancelLostAttempt(a, cancel)
 	return lostResult(err)
 }
 
-// cancelLost cancels an attempt whose answers were lost. It waits for the cancellation where no other attempt
+// cancelLostAttempt cancels an attempt whose answers were lost. It waits for the cancellation where no other attempt
 // may run at the same time.
-func cancelLost(a routing.AttemptSpec, cancel func()) {
+func cancelLostAttempt(a routing.AttemptSpec, cancel func()) {
 	if a.Exclusive {
 		cancel()
 	} else {
@@ -44,29 +44,29 @@
 }
 
 // prepareCancel returns a function that cancels an attempt at its endpoint. From now on, further attempts of
-// the call at that address wait until the function has returned. expiry is the deadline of the request, after
-// which it has no attempts.
-func (e *engineClient) prepareCancel(a routing.AttemptSpec, lastCallAt, expiry time.Time) (cancel func()) {
-	done := e.conns.pool.cancellations.begin(e.addr, a.CallID, expiry)
+// the call at that address wait until the function has returned. requestDeadline is the time after which the
+// request has no attempts.
+func (e *engineClient) prepareCancel(a routing.AttemptSpec, lastCallAt, requestDeadline time.Time) (cancel func()) {
+	endCancellation := e.conns.pool.cancellations.begin(e.addr, a.CallID, requestDeadline)
 	return func() {
-		endsBy := netconn.Earlier(lastCallAt.Add(orphanTimeout), expiry)
-		done(e.sendCancel(engine.EncodeCancel(e.addr, a.CallID), a.Exclusive, endsBy))
+		attemptEndsBy := netconn.Earlier(lastCallAt.Add(orphanTimeout), requestDeadline)
+		endCancellation(e.sendCancel(engine.EncodeCancel(e.addr, a.CallID), a.Exclusive, attemptEndsBy))
 	}
 }
 
 // sendCancel makes the call that cancels an attempt. For an exclusive attempt it repeats the call until it is
-// answered, the connection is refused because the endpoint's process has ended, or the time endsBy is reached,
+// answered, the connection is refused because the endpoint's process has ended, or the time attemptEndsBy is reached,
 // by which the endpoint has ended the attempt without a cancellation.
-func (e *engineClient) sendCancel(message []byte, exclusive bool, endsBy time.Time) error {
+func (e *engineClient) sendCancel(message []byte, exclusive bool, attemptEndsBy time.Time) error {
 	deadline := time.Now().Add(shortCallTimeout)
-	if exclusive && endsBy.After(deadline) {
-		deadline = endsBy
+	if exclusive && attemptEndsBy.After(deadline) {
+		deadline = attemptEndsBy
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	for {
 		_, _, err := e.shortCall(ctx, message)
-		if err == nil || !exclusive || errors.Is(err, syscall.ECONNREFUSED) || !time.Now().Before(endsBy) {
+		if err == nil || !exclusive || errors.Is(err, syscall.ECONNREFUSED) || !time.Now().Before(attemptEndsBy) {
 			return err
 		}
 		time.Sleep(descriptorRetryInterval)
--- a/internal/transport/upstream/cancel_test.go
+++ b/internal/transport/upstream/cancel_test.go
@@ -40,18 +40,18 @@
 // Guards against a cancellation that ends a later attempt: an attempt was cancelled while the next one of the same call was
 // dialling the same engine, and the engine read the cancellation after the next attempt had started.
 func TestAttemptDoesNotOvertakePendingCancellation(t *testing.T) {
-	var posts atomic.Int64
-	secondAttempt, cancelling := make(chan struct{}), make(chan struct{})
+	var postCount atomic.Int64
+	secondAttemptArrived, cancellationArrived := make(chan struct{}), make(chan struct{})
 	client := fakeEngine(t, func(method string, w http.ResponseWriter, r *http.Request) {
 		switch {
 		case method == "DELETE":
-			close(cancelling)
+			close(cancellationArrived)
 			select { // unanswered until the coordinator gives up, or the next attempt has arrived
-			case <-secondAttempt:
+			case <-secondAttemptArrived:
 			case <-r.Context().Done():
 			}
-		case method == "POST" && posts.Add(1) == 2:
-			close(secondAttempt)
+		case method == "POST" && postCount.Add(1) == 2:
+			close(secondAttemptArrived)
 			fallthrough
 		default: // an invalid answer, by which the attempt is lost
 			w.WriteHeader(418)
@@ -60,13 +60,13 @@
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, attempt("1")).Outcome)
-	transporttest.Receive(t, cancelling)
-	second := client.Run(ctx, attempt("1"))
-	require.Equal(t, decide.OutcomeNotSent, second.Outcome, "the cancellation was never answered")
-	require.Equal(t, int64(1), posts.Load())
-	other := client.Run(ctx, attempt("2"))
-	require.Equal(t, decide.OutcomeAnswerLost, other.Outcome, "cancellations of other calls have no effect")
-	require.Equal(t, int64(2), posts.Load())
+	transporttest.Receive(t, cancellationArrived)
+	secondResult := client.Run(ctx, attempt("1"))
+	require.Equal(t, decide.OutcomeNotSent, secondResult.Outcome, "the cancellation was never answered")
+	require.Equal(t, int64(1), postCount.Load())
+	otherCallResult := client.Run(ctx, attempt("2"))
+	require.Equal(t, decide.OutcomeAnswerLost, otherCallResult.Outcome, "cancellations of other calls have no effect")
+	require.Equal(t, int64(2), postCount.Load())
 }
 
 // Guards against a panic: where an engine reports progress and closes the connection, and the attempt is cancelled before the
@@ -89,17 +89,17 @@
 
 // Once the cancellation is answered the next attempt starts, also where another engine has got the address.
 func TestAttemptFollowsAnsweredCancellation(t *testing.T) {
-	cancelling, proceed := make(chan struct{}), make(chan struct{})
-	var order []string // needs no lock: the handlers run one after the other
+	cancellationArrived, answerCancellation := make(chan struct{}), make(chan struct{})
+	var handledMethods []string // needs no lock: the handlers run one after the other
 	client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
 		switch {
 		case method == "DELETE":
-			close(cancelling)
-			<-proceed
-			order = append(order, method)
+			close(cancellationArrived)
+			<-answerCancellation
+			handledMethods = append(handledMethods, method)
 			w.WriteHeader(204)
-		case method == "POST" && len(order) > 0:
-			order = append(order, method)
+		case method == "POST" && len(handledMethods) > 0:
+			handledMethods = append(handledMethods, method)
 			w.Header().Set("X-Batches", "1")
 			_, _ = io.WriteString(w, "a\tb\tc\n")
 		default:
@@ -109,34 +109,34 @@
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	require.Equal(t, decide.OutcomeAnswerLost, client.Run(ctx, attempt("1")).Outcome)
-	transporttest.Receive(t, cancelling)
+	transporttest.Receive(t, cancellationArrived)
 	otherEndpoint := &engineClient{addr: client.addr, conns: client.conns.pool.endpoint("b", client.addr)}
 	result := make(chan routing.Result, 1)
 	go func() { result <- otherEndpoint.Run(ctx, attempt("1")) }()
-	close(proceed)
+	close(answerCancellation)
 	require.Equal(t, decide.OutcomeSucceeded, transporttest.Receive(t, result).Outcome)
-	require.Equal(t, []string{"DELETE", "POST"}, order)
+	require.Equal(t, []string{"DELETE", "POST"}, handledMethods)
 }
 
 // Guards against two concurrent attempts of a request that must not have them: the end of an attempt was reported while its
 // engine still ran it, as the cancellation was lost or its connection was established too late, and the next attempt started.
 func TestExclusiveAttemptEndsOnceCancelled(t *testing.T) {
-	for name, want := range map[string]decide.Outcome{"cancelled": decide.OutcomeCancelled, "lost": decide.OutcomeAnswerLost} {
-		var deletes atomic.Int64
-		var cancelled atomic.Bool
+	for caseName, wantOutcome := range map[string]decide.Outcome{"cancelled": decide.OutcomeCancelled, "lost": decide.OutcomeAnswerLost} {
+		var deleteCount atomic.Int64
+		var cancelAnswered atomic.Bool
 		ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 		defer cancel()
 		client := fakeEngine(t, func(method string, w http.ResponseWriter, _ *http.Request) {
 			switch {
-			case method == "DELETE" && deletes.Add(1) <= 3: // reset without an answer; the client tries each call twice
+			case method == "DELETE" && deleteCount.Add(1) <= 3: // reset without an answer; the client tries each call twice
 				c, _, err := w.(http.Hijacker).Hijack()
 				require.NoError(t, err)
 				_ = c.(*net.TCPConn).SetLinger(0)
 				_ = c.Close()
 			case method == "DELETE":
-				cancelled.Store(true)
+				cancelAnswered.Store(true)
 				w.WriteHeader(204)
-			case name == "cancelled":
+			case caseName == "cancelled":
 				cancel()
 				w.WriteHeader(202)
 			default:
@@ -145,8 +145,8 @@
 		})
 		a := attempt("1")
 		a.Exclusive = true
-		require.Equal(t, want, client.Run(ctx, a).Outcome, name)
-		require.True(t, cancelled.Load(), name)
+		require.Equal(t, wantOutcome, client.Run(ctx, a).Outcome, caseName)
+		require.True(t, cancelAnswered.Load(), caseName)
 	}
 }
 
--- a/internal/transport/upstream/endpointpool.go
+++ b/internal/transport/upstream/endpointpool.go
@@ -15,10 +15,10 @@
 const (
 	// protocolSlack is added to each time limit of the protocol for the delays of sockets.
 	protocolSlack = 50 * time.Millisecond
-	// minIdle is how long a connection stays unused between two calls. A duplicate of an answer may
+	// minIdleTime is how long a connection stays unused between two calls. A duplicate of an answer may
 	// arrive late; on a connection in use it would be taken for the result of the next query. Bytes that
 	// arrive on an unused connection cause it to be closed.
-	minIdle = protocolSlack
+	minIdleTime = protocolSlack
 	// maxRedials is how often a connection is dialled again that was reset while it was established.
 	maxRedials = 2
 	// schedulingLag is the delay beyond which a connect timeout counts as noticed late, for lack of CPU
@@ -39,9 +39,9 @@
 	name string // name of the endpoint, for the log
 	addr string
 
-	idle   []*pooledConn // idle connections, the most recently used last
-	open   int           // number of connections, idle or in use
-	closed bool          // close was called: connections in use are dropped after their calls
+	idleConns []*pooledConn // idle connections, the most recently used last
+	openCount int           // number of connections, idle or in use
+	isClosed  bool          // close was called: connections in use are dropped after their calls
 }
 
 // recordViolation counts a protocol violation of the endpoint.
@@ -53,7 +53,7 @@
 func (e *endpointPool) connections() (busy, idle int) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	return e.open - len(e.idle), len(e.idle)
+	return e.openCount - len(e.idleConns), len(e.idleConns)
 }
 
 // get returns an idle connection that is still usable, or a new one.
@@ -72,7 +72,7 @@
 			return nil
 		}
 		switch {
-		case time.Since(c.idleSince) >= e.pool.maxIdle:
+		case time.Since(c.idleSince) >= e.pool.maxIdleTime:
 			e.pool.counts.expired.Add(1)
 		case !netconn.IsReusable(c.Raw()):
 			e.pool.counts.stale.Add(1)
@@ -84,13 +84,13 @@
 	}
 }
 
-// popIdle removes and returns the most recently used connection that has been idle for at least minIdle, or nil.
+// popIdle removes and returns the most recently used connection that has been idle for at least minIdleTime, or nil.
 func (e *endpointPool) popIdle() *pooledConn {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	for i := len(e.idle) - 1; i >= 0; i-- {
-		if c := e.idle[i]; time.Since(c.idleSince) >= minIdle {
-			e.idle = slices.Delete(e.idle, i, i+1)
+	for i := len(e.idleConns) - 1; i >= 0; i-- {
+		if c := e.idleConns[i]; time.Since(c.idleSince) >= minIdleTime {
+			e.idleConns = slices.Delete(e.idleConns, i, i+1)
 			return c
 		}
 	}
@@ -103,17 +103,17 @@
 	p := e.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open < p.limit {
-		p.open++
-		e.open++
+	if p.openCount < p.maxOpen {
+		p.openCount++
+		e.openCount++
 		return true
 	}
 	for other := range p.endpoints {
-		if len(other.idle) > 0 {
-			_ = other.idle[0].Close()
-			other.idle = other.idle[1:]
-			other.open--
-			e.open++
+		if len(other.idleConns) > 0 {
+			_ = other.idleConns[0].Close()
+			other.idleConns = other.idleConns[1:]
+			other.openCount--
+			e.openCount++
 			p.counts.stolen.Add(1)
 			return true
 		}
@@ -125,8 +125,8 @@
 // release returns a descriptor to the budget.
 func (e *endpointPool) release() {
 	e.pool.mu.Lock()
-	e.pool.open--
-	e.open--
+	e.pool.openCount--
+	e.openCount--
 	e.pool.mu.Unlock()
 }
 
@@ -135,13 +135,13 @@
 	if !e.reserve() {
 		return nil, errNoDescriptors
 	}
-	began := time.Now()
+	dialStart := time.Now()
 	c, err := e.connect(ctx)
-	if netconn.IsTimeout(err) && time.Since(began) > e.pool.connectTimeout+schedulingLag {
+	if netconn.IsTimeout(err) && time.Since(dialStart) > e.pool.connectTimeout+schedulingLag {
 		// The timeout was noticed late: the process may have lacked the CPU time to notice the connection.
 		c, err = e.connectOnce(ctx)
 	}
-	e.pool.log.Debug("endpoint dialled", "endpoint", e.name, "latency_ms", time.Since(began).Milliseconds(), "err", err)
+	e.pool.log.Debug("endpoint dialled", "endpoint", e.name, "latency_ms", time.Since(dialStart).Milliseconds(), "err", err)
 	if err != nil {
 		e.release()
 		return nil, err
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, e.pool.connectTimeout)
 	defer cancel()
 	c, err := e.dialTCP(ctx)
-	for n := 0; n < maxRedials && netconn.IsReset(err); n++ {
+	for redialCount := 0; redialCount < maxRedials && netconn.IsReset(err); redialCount++ {
 		c, err = e.dialTCP(ctx)
 	}
 	return c, err
@@ -196,18 +196,18 @@
 func (e *endpointPool) put(c *pooledConn) {
 	c.idleSince = time.Now()
 	e.pool.mu.Lock()
-	var expired []*pooledConn
-	for len(e.idle) > 0 && time.Since(e.idle[0].idleSince) >= e.pool.maxIdle {
-		expired, e.idle = append(expired, e.idle[0]), e.idle[1:]
+	var connsToDrop []*pooledConn
+	for len(e.idleConns) > 0 && time.Since(e.idleConns[0].idleSince) >= e.pool.maxIdleTime {
+		connsToDrop, e.idleConns = append(connsToDrop, e.idleConns[0]), e.idleConns[1:]
 	}
-	if e.closed {
-		expired = append(expired, c)
+	if e.isClosed {
+		connsToDrop = append(connsToDrop, c)
 	} else {
-		e.idle = append(e.idle, c)
+		e.idleConns = append(e.idleConns, c)
 	}
 	e.pool.mu.Unlock()
-	for _, old := range expired {
-		e.drop(old)
+	for _, connToDrop := range connsToDrop {
+		e.drop(connToDrop)
 	}
 }
 
@@ -232,11 +232,11 @@
 // close drops the idle connections. Connections in use are dropped when their calls end.
 func (e *endpointPool) close() {
 	e.pool.mu.Lock()
-	idle := e.idle
-	e.idle, e.closed = nil, true
+	idleConns := e.idleConns
+	e.idleConns, e.isClosed = nil, true
 	delete(e.pool.endpoints, e)
 	e.pool.mu.Unlock()
-	for _, c := range idle {
+	for _, c := range idleConns {
 		e.drop(c)
 	}
 }
--- a/internal/transport/upstream/engineclient.go
+++ b/internal/transport/upstream/engineclient.go
@@ -102,9 +102,9 @@
 // connection. That starts nothing at the endpoint, so it is safe for loads too. lastCallAt is the time of the
 // latest call for the query. Where ctx ends between two calls, result and error are nil.
 func (e *engineClient) converse(ctx context.Context, c *pooledConn, q *engine.Query, onProgress func(decide.ProgressKind, float64), onWritten func()) (res *engine.Result, lastCallAt time.Time, err error) {
-	out := q.EncodeStart()
+	nextCall := q.EncodeStart()
 	for lostAnswers := 0; ; {
-		step, answered, err := e.exchange(ctx, c, q, out, onProgress, &lastCallAt, onWritten)
+		step, answered, err := e.exchange(ctx, c, q, nextCall, onProgress, &lastCallAt, onWritten)
 		if answered {
 			lostAnswers = 0
 		}
@@ -116,46 +116,46 @@
 				return nil, lastCallAt, err
 			}
 		}
-		newConn, derr := e.conns.redial(ctx)
-		if derr != nil {
-			return nil, lastCallAt, errors.Join(err, derr)
+		newConn, dialErr := e.conns.redial(ctx)
+		if dialErr != nil {
+			return nil, lastCallAt, errors.Join(err, dialErr)
 		}
 		c = newConn
-		out = q.EncodeResume()
+		nextCall = q.EncodeResume()
 	}
 }
 
 // exchange makes calls on one connection until the query ends or needs a new connection, and returns the
 // connection to the pool or drops it. answered reports whether any answer was valid.
-func (e *engineClient) exchange(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, onProgress func(decide.ProgressKind, float64), lastCallAt *time.Time, onWritten func()) (step engine.Step, answered bool, err error) {
+func (e *engineClient) exchange(ctx context.Context, c *pooledConn, q *engine.Query, nextCall []byte, onProgress func(decide.ProgressKind, float64), lastCallAt *time.Time, onWritten func()) (step engine.Step, anyAnswered bool, err error) {
 	e.conns.use(ctx, c, func() (reusable bool) {
 		for step.Result == nil && !step.NeedsNewConnection && err == nil {
 			*lastCallAt = time.Now()
-			step, err = call(ctx, c, q, out, onWritten)
-			answered = answered || err == nil
-			out = step.Send
-			if n := step.Progress; err == nil && n != nil {
-				onProgress(progressKinds[n.Kind], n.Value)
+			step, err = call(ctx, c, q, nextCall, onWritten)
+			anyAnswered = anyAnswered || err == nil
+			nextCall = step.Send
+			if progress := step.Progress; err == nil && progress != nil {
+				onProgress(progressKindOf[progress.Kind], progress.Value)
 			} else if step.InvalidProgress {
 				e.conns.recordViolation(&e.conns.pool.invalidProgress, "note")
 			}
 		}
 		return step.KeepConnection
 	})
-	return step, answered, err
+	return step, anyAnswered, err
 }
 
-// progressKinds maps the kinds of progress of the protocol to those of the decisions.
-var progressKinds = map[engine.ProgressKind]decide.ProgressKind{
+// progressKindOf maps the kinds of progress of the protocol to those of the decisions.
+var progressKindOf = map[engine.ProgressKind]decide.ProgressKind{
 	engine.ProgressRatio:   decide.ProgressRatio,
 	engine.ProgressSpilled: decide.ProgressSpilled,
 	engine.ProgressWaiting: decide.ProgressWaiting,
 }
 
 // call writes one call, calls onWritten, and reads the answer, which must be complete within answerTimeout.
-func call(ctx context.Context, c *pooledConn, q *engine.Query, out []byte, onWritten func()) (engine.Step, error) {
+func call(ctx context.Context, c *pooledConn, q *engine.Query, nextCall []byte, onWritten func()) (engine.Step, error) {
 	deadline := time.Now().Add(answerTimeout)
-	err := c.Write(ctx, out, deadline)
+	err := c.Write(ctx, nextCall, deadline)
 	onWritten()
 	if err != nil {
 		return engine.Step{}, fmt.Errorf("write: %w", err)
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -26,12 +26,12 @@
 // Pool holds the connections to all endpoints within a budget of descriptors. It is safe for
 // concurrent use.
 type Pool struct {
-	limit          int           // maximum number of open connections
+	maxOpen        int           // maximum number of open connections
 	connectTimeout time.Duration // time limit to establish a connection
-	maxIdle        time.Duration // how long a connection is kept idle
+	maxIdleTime    time.Duration // how long a connection is kept idle
 	log            *slog.Logger
 	// counts holds the numbers of dialled connections, of reused ones, of idle connections closed to give
-	// their descriptor to another endpoint (stolen), after maxIdle (expired) or as unusable (stale), of
+	// their descriptor to another endpoint (stolen), after maxIdleTime (expired) or as unusable (stale), of
 	// dials that found no descriptor (exhausted), and of new connections to resume a query (resumed).
 	counts          struct{ dialled, reused, stolen, expired, stale, exhausted, resumed atomic.Int64 }
 	invalidReports  violations.Counter // load reports with an invalid field
@@ -40,14 +40,14 @@
 
 	// mu guards the fields below and the state of each endpointPool.
 	mu        sync.Mutex
-	open      int // number of connections, idle or in use
+	openCount int // number of connections, idle or in use
 	endpoints map[*endpointPool]struct{}
 }
 
 // NewPool returns a pool of at most limit connections. A connection must be established within
-// connectTimeout and is kept idle for at most maxIdle.
-func NewPool(limit int, connectTimeout, maxIdle time.Duration, log *slog.Logger) *Pool {
-	return &Pool{limit: limit, connectTimeout: connectTimeout, maxIdle: maxIdle, log: log,
+// connectTimeout and is kept idle for at most maxIdleTime.
+func NewPool(limit int, connectTimeout, maxIdleTime time.Duration, log *slog.Logger) *Pool {
+	return &Pool{maxOpen: limit, connectTimeout: connectTimeout, maxIdleTime: maxIdleTime, log: log,
 		endpoints: map[*endpointPool]struct{}{}, cancellations: newCancellations()}
 }
 
@@ -57,7 +57,7 @@
 	defer p.mu.Unlock()
 	c := &p.counts
 	return fmt.Sprintf("counters engine_connections open=%d limit=%d dialled=%d reused=%d stolen=%d expired=%d stale=%d spent=%d resumed=%d odd_reports=%d odd_notes=%d\n",
-		p.open, p.limit, c.dialled.Load(), c.reused.Load(), c.stolen.Load(), c.expired.Load(), c.stale.Load(), c.exhausted.Load(), c.resumed.Load(),
+		p.openCount, p.maxOpen, c.dialled.Load(), c.reused.Load(), c.stolen.Load(), c.expired.Load(), c.stale.Load(), c.exhausted.Load(), c.resumed.Load(),
 		p.invalidReports.Count(), p.invalidProgress.Count())
 }
 
--- a/internal/transport/upstream/pool_test.go
+++ b/internal/transport/upstream/pool_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// lateDuplicateAnswer runs the case once. It returns false, without a verdict, where the machine stalled for minIdle or
+// lateDuplicateAnswer runs the case once. It returns false, without a verdict, where the machine stalled for minIdleTime or
 // longer.
 func lateDuplicateAnswer(t *testing.T) (conclusive bool) {
 	addr := duplicatingEngine(t)
@@ -34,16 +34,16 @@
 	ctx, cancel := context.WithTimeout(t.Context(), transporttest.WaitTimeout)
 	defer cancel()
 	require.Equal(t, "first\tb\tc\n", string(client.Run(ctx, attempt("first")).Body))
-	idleSince := client.conns.idle[0].idleSince       // a copy of the value, which a call on the connection changes
+	idleSince := client.conns.idleConns[0].idleSince  // a copy of the value, which a call on the connection changes
 	for time.Since(idleSince) < 25*time.Millisecond { // the duplicate has not been sent yet
 		time.Sleep(time.Millisecond)
 	}
-	second := client.Run(ctx, attempt("second"))
+	secondResult := client.Run(ctx, attempt("second"))
 	if time.Since(idleSince) >= 50*time.Millisecond {
 		return false
 	}
-	require.Equal(t, "second\tb\tc\n", string(second.Body))
-	require.Eventually(t, func() bool { return netconn.HasUnread(client.conns.idle[0].Raw()) }, transporttest.WaitTimeout, time.Millisecond, "the duplicate")
+	require.Equal(t, "second\tb\tc\n", string(secondResult.Body))
+	require.Eventually(t, func() bool { return netconn.HasUnread(client.conns.idleConns[0].Raw()) }, transporttest.WaitTimeout, time.Millisecond, "the duplicate")
 	require.Equal(t, "third\tb\tc\n", string(client.Run(ctx, attempt("third")).Body))
 	return true
 }
@@ -69,7 +69,7 @@
 
 func answerTwice(c net.Conn, secondReceived chan struct{}) {
 	defer func() { _ = c.Close() }()
-	row := func(call string) string {
+	oneRowAnswer := func(call string) string {
 		body := call + "\tb\tc\n"
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Batches: 1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
@@ -84,9 +84,9 @@
 			close(secondReceived)
 			time.Sleep(time.Millisecond) // lets the duplicate arrive before this answer, if both use the same connection
 		}
-		_, _ = io.WriteString(c, row(call))
+		_, _ = io.WriteString(c, oneRowAnswer(call))
 		if call == "first" {
-			go func() { <-secondReceived; _, _ = io.WriteString(c, row(call)) }()
+			go func() { <-secondReceived; _, _ = io.WriteString(c, oneRowAnswer(call)) }()
 		}
 	}
 }
@@ -110,10 +110,10 @@
 			openConns = append(openConns, c)
 		}
 	}()
-	for name, race := range map[string]func(own, other *endpointPool) (got *pooledConn, stolen bool){
+	for raceName, runRace := range map[string]func(own, other *endpointPool) (reusedConn *pooledConn, stolen bool){
 		"reused first": func(own, other *endpointPool) (*pooledConn, bool) {
-			got := own.reuse()
-			return got, other.reserve()
+			reusedConn := own.reuse()
+			return reusedConn, other.reserve()
 		},
 		"stolen first": func(own, other *endpointPool) (*pooledConn, bool) {
 			stolen := other.reserve()
@@ -123,8 +123,8 @@
 			start, stolen := make(chan struct{}), make(chan bool, 1)
 			go func() { <-start; stolen <- other.reserve() }()
 			close(start)
-			got := own.reuse()
-			return got, transporttest.Receive(t, stolen)
+			reusedConn := own.reuse()
+			return reusedConn, transporttest.Receive(t, stolen)
 		},
 	} {
 		for range 200 {
@@ -133,21 +133,21 @@
 			c, err := own.dial(t.Context())
 			require.NoError(t, err)
 			own.put(c)
-			c.idleSince = time.Now().Add(-2 * minIdle) // long enough to be reused
-			got, stolen := race(own, other)
-			require.NotEqual(t, stolen, got != nil, name)
-			if name != "concurrently" {
-				require.Equal(t, name == "stolen first", stolen, name)
+			c.idleSince = time.Now().Add(-2 * minIdleTime) // long enough to be reused
+			reusedConn, stolen := runRace(own, other)
+			require.NotEqual(t, stolen, reusedConn != nil, raceName)
+			if raceName != "concurrently" {
+				require.Equal(t, raceName == "stolen first", stolen, raceName)
 			}
 			if stolen {
 				other.release()
 			} else {
-				_, err := got.Raw().Write([]byte("x"))
+				_, err := reusedConn.Raw().Write([]byte("x"))
 				require.NoError(t, err, "the connection is open")
-				own.drop(got)
+				own.drop(reusedConn)
 			}
 			pool.mu.Lock()
-			require.Zero(t, pool.open)
+			require.Zero(t, pool.openCount)
 			pool.mu.Unlock()
 		}
 	}
--- a/internal/transport/upstream/restclient.go
+++ b/internal/transport/upstream/restclient.go
@@ -51,7 +51,7 @@
 	}
 	cancel := func() { r.cancel(ctx, a, q, err) }
 	if ctx.Err() == nil && errors.Is(err, errResultSink) { // not a failure of the endpoint
-		cancelLost(a, cancel)
+		cancelLostAttempt(a, cancel)
 		return routing.Result{Outcome: decide.OutcomeAnswerLost, Reason: err.Error()}
 	}
 	return r.abandon(ctx, a, err, cancel)
@@ -78,9 +78,9 @@
 // converse makes calls for a query until it ends, as engineClient.converse does. In this protocol a query can't be
 // polled before the first answer has named a URI.
 func (r *restClient) converse(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, sink routing.ResultSink, onWritten func()) (*rest.Result, error) {
-	out := q.EncodeStart()
+	nextCall := q.EncodeStart()
 	for lostAnswers := 0; ; {
-		step, answered, err := r.exchange(ctx, c, q, out, sink, onWritten)
+		step, answered, err := r.exchange(ctx, c, q, nextCall, sink, onWritten)
 		if answered {
 			lostAnswers = 0
 		}
@@ -93,12 +93,12 @@
 		if err != nil {
 			lostAnswers++
 		}
-		out = q.EncodeResume()
-		newConn, derr := r.conns.redial(ctx) // without a URI to poll, this still shows whether the endpoint is up
-		if derr != nil {
-			return nil, errors.Join(err, derr)
+		nextCall = q.EncodeResume()
+		newConn, dialErr := r.conns.redial(ctx) // without a URI to poll, this still shows whether the endpoint is up
+		if dialErr != nil {
+			return nil, errors.Join(err, dialErr)
 		}
-		if out == nil || lostAnswers > maxLostAnswers {
+		if nextCall == nil || lostAnswers > maxLostAnswers {
 			r.conns.put(newConn)
 			return nil, err
 		}
@@ -108,30 +108,30 @@
 
 // exchange makes calls on one connection until the query ends or needs a new connection, and returns the
 // connection to the pool or drops it. answered reports whether any answer was valid.
-func (r *restClient) exchange(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, sink routing.ResultSink, onWritten func()) (step rest.Step, answered bool, err error) {
+func (r *restClient) exchange(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, nextCall []byte, sink routing.ResultSink, onWritten func()) (step rest.Step, anyAnswered bool, err error) {
 	r.conns.use(ctx, c, func() (reusable bool) {
 		for deadline := time.Now().Add(restAnswerTimeout); step.Result == nil && !step.NeedsNewConnection && err == nil; {
-			if len(out) > 0 {
+			if len(nextCall) > 0 {
 				deadline = time.Now().Add(restAnswerTimeout)
 			}
-			step, err = restCall(ctx, c, q, out, deadline, onWritten)
+			step, err = restCall(ctx, c, q, nextCall, deadline, onWritten)
 			if err == nil && len(step.Page) > 0 {
-				if serr := sink.WritePage(ctx, step.Page); serr != nil {
-					step.Result, err = nil, fmt.Errorf("%w: %w", errResultSink, serr)
+				if sinkErr := sink.WritePage(ctx, step.Page); sinkErr != nil {
+					step.Result, err = nil, fmt.Errorf("%w: %w", errResultSink, sinkErr)
 				}
 			}
-			out = step.Send
-			answered = answered || err == nil && (step.Result != nil || step.NeedsNewConnection || len(out) > 0)
+			nextCall = step.Send
+			anyAnswered = anyAnswered || err == nil && (step.Result != nil || step.NeedsNewConnection || len(nextCall) > 0)
 		}
 		return step.KeepConnection
 	})
-	return step, answered, err
+	return step, anyAnswered, err
 }
 
 // restCall writes a call, if there is one, calls onWritten, and feeds the bytes of one read to the query.
-func restCall(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, out []byte, deadline time.Time, onWritten func()) (rest.Step, error) {
-	if len(out) > 0 {
-		err := c.Write(ctx, out, deadline)
+func restCall(ctx context.Context, c *pooledConn, q *rest.UpstreamQuery, nextCall []byte, deadline time.Time, onWritten func()) (rest.Step, error) {
+	if len(nextCall) > 0 {
+		err := c.Write(ctx, nextCall, deadline)
 		onWritten()
 		if err != nil {
 			return rest.Step{}, err
--- a/internal/transport/upstream/shortcalls.go
+++ b/internal/transport/upstream/shortcalls.go
@@ -12,7 +12,8 @@
 	"aniseloft/internal/transport/netconn"
 )
 
-// HTTP status codes of answers to short calls.
+// HTTP status codes of answers to short calls: calls that the endpoint answers at once, such as cancellations and
+// probes.
 const (
 	statusOK        = 200
 	statusNoContent = 204
@@ -109,12 +110,12 @@
 	if invalid {
 		e.conns.recordViolation(&e.conns.pool.invalidReports, "report")
 	}
-	figure := func(name string) float64 {
+	figureOrMissing := func(name string) float64 {
 		if v, ok := figures[name]; ok {
 			return v
 		}
 		return missingFigure
 	}
-	return &decide.LoadReport{InFlight: figure("inflight"), Queue: figure("queue"), Utilization: figure("util"),
-		Latency: figure("latency_ms"), Memory: figure("x0"), Disk: figure("x1")}
+	return &decide.LoadReport{InFlight: figureOrMissing("inflight"), Queue: figureOrMissing("queue"), Utilization: figureOrMissing("util"),
+		Latency: figureOrMissing("latency_ms"), Memory: figureOrMissing("x0"), Disk: figureOrMissing("x1")}
 }
--- a/internal/transport/upstream/wire_bytes_test.go
+++ b/internal/transport/upstream/wire_bytes_test.go
@@ -18,7 +18,7 @@
 // go test ./internal/transport/upstream -run WireBytes -update
 
 // Covers the calls to an engine of the platform's protocol: an attempt whose answer is lost and that is resumed, and the
-// short calls.
+// short calls (a probe, a change of priority and a cancellation).
 func TestEngineClientWireBytes(t *testing.T) {
 	emptyOK := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	addr, out := transporttest.TranscriptServer(t,
