--- a/internal/fleetconf/fleetconf_test.go
+++ b/internal/fleetconf/fleetconf_test.go
@@ -8,7 +8,7 @@
 
 func TestParseReportsInvalidField(t *testing.T) {
 	const seats = `"seats":[{"name":"a","addr":"127.0.0.1:1"},{"name":"b","addr":"127.0.0.1:2"},{"name":"c","addr":"127.0.0.1:3"}]`
-	for raw, pointer := range map[string]string{
+	for raw, wantPointer := range map[string]string{
 		`{"installation":"x","generation":1,"directory":"d",` + seats + `}`: "",
 		`{}`:                                  "",
 		`{"installation":""}`:                 "",
@@ -34,14 +34,14 @@
 		`{"installation":"x","by":"record","lease_ms":1}`:                                                                                                                     "/lease_ms",
 	} {
 		_, err := Parse([]byte(raw))
-		if pointer == "" {
+		if wantPointer == "" {
 			require.NoError(t, err, raw)
 			continue
 		}
-		var f FieldError
-		require.ErrorAs(t, err, &f, raw)
-		require.Equal(t, pointer, f.Pointer, raw)
-		require.NotEmpty(t, f.Remedy)
+		var fieldErr FieldError
+		require.ErrorAs(t, err, &fieldErr, raw)
+		require.Equal(t, wantPointer, fieldErr.Pointer, raw)
+		require.NotEmpty(t, fieldErr.Remedy)
 	}
 }
 
--- a/internal/fleetconf/json_test.go
+++ b/internal/fleetconf/json_test.go
@@ -18,10 +18,10 @@
 	want := Config{Schema: "../schema/fleet.schema.json", Installation: "harbour-east", Generation: 4, Backend: BackendConsensus,
 		Replicas: []Replica{{Name: "n0", Addr: "127.0.0.1:7400"}}, Directory: "/var/lib/aniseloft/fleet",
 		Jobs: []string{lease.JobPruneRecord, lease.JobReadJournal}, LeaseMS: 3000, DriftBound: 0.02, Capacity: 2.5}
-	read, err := Parse(raw)
+	parsedConfig, err := Parse(raw)
 	require.NoError(t, err)
-	require.Equal(t, want, read)
-	written, err := json.Marshal(read)
+	require.Equal(t, want, parsedConfig)
+	written, err := json.Marshal(parsedConfig)
 	require.NoError(t, err)
 	require.Equal(t, string(raw), string(written)+"\n")
 }
--- a/internal/fleetconf/validate.go
+++ b/internal/fleetconf/validate.go
@@ -33,9 +33,9 @@
 // fieldErrors collects faults in the order in which they are found.
 type fieldErrors []FieldError
 
-// addIf adds a fault if bad is true. pointer is the JSON pointer to the field, as a format string for args.
-func (l *fieldErrors) addIf(bad bool, problem, remedy, pointer string, args ...any) {
-	if bad {
+// addIf adds a fault if isFault is true. pointer is the JSON pointer to the field, as a format string for args.
+func (l *fieldErrors) addIf(isFault bool, problem, remedy, pointer string, args ...any) {
+	if isFault {
 		*l = append(*l, FieldError{fmt.Sprintf(pointer, args...), problem, remedy})
 	}
 }
@@ -65,21 +65,21 @@
 }
 
 func (c Config) validateConsensusBackend(l *fieldErrors) {
-	n := len(c.Replicas)
+	replicaCount := len(c.Replicas)
 	l.addIf(c.Backend != "" && c.Backend != BackendConsensus, fmt.Sprintf("%q is not a lease backend", c.Backend), `set by to "council" or "record"`, "/by")
-	l.addIf(n != 1 && n != 3 && n != 5, fmt.Sprintf("%d replicas (seats)", n), "list 1, 3 or 5: an even number tolerates no more failures than one replica less", "/seats")
+	l.addIf(replicaCount != 1 && replicaCount != 3 && replicaCount != 5, fmt.Sprintf("%d replicas (seats)", replicaCount), "list 1, 3 or 5: an even number tolerates no more failures than one replica less", "/seats")
 	l.addIf(c.Generation == 0, "missing or 0", "start with 1 and add 1 with each change of the replicas (seats)", "/generation")
 	l.addIf(c.Directory == "", "missing", "name a directory that survives restarts: a replica stores its votes there", "/directory")
-	names, addrs := map[string]int{}, map[string]int{}
+	indexByName, indexByAddr := map[string]int{}, map[string]int{}
 	for i, r := range c.Replicas {
 		_, addrErr := netip.ParseAddrPort(r.Addr)
-		sameName, nameTaken := names[r.Name]
-		sameAddr, addrTaken := addrs[r.Addr]
+		sameNameIndex, nameTaken := indexByName[r.Name]
+		sameAddrIndex, addrTaken := indexByAddr[r.Addr]
 		l.addIf(r.Name == "", "missing", "enter the name of the coordinator from its configuration", "/seats/%d/name", i)
 		l.addIf(addrErr != nil, fmt.Sprintf("%q is not an IP address and port", r.Addr), "write it as 127.0.0.1:7400; host names are not resolved", "/seats/%d/addr", i)
-		l.addIf(nameTaken, fmt.Sprintf("%q is already the name of /seats/%d", r.Name, sameName), "list each coordinator once", "/seats/%d/name", i)
-		l.addIf(addrTaken, fmt.Sprintf("%s is already the address of /seats/%d", r.Addr, sameAddr), "give each replica its own address", "/seats/%d/addr", i)
-		names[r.Name], addrs[r.Addr] = i, i
+		l.addIf(nameTaken, fmt.Sprintf("%q is already the name of /seats/%d", r.Name, sameNameIndex), "list each coordinator once", "/seats/%d/name", i)
+		l.addIf(addrTaken, fmt.Sprintf("%s is already the address of /seats/%d", r.Addr, sameAddrIndex), "give each replica its own address", "/seats/%d/addr", i)
+		indexByName[r.Name], indexByAddr[r.Addr] = i, i
 	}
 }
 
--- a/internal/protocol/admin/parser.go
+++ b/internal/protocol/admin/parser.go
@@ -22,17 +22,17 @@
 	if p.done {
 		return Command{}, true, errAlreadyRead
 	}
-	end := bytes.IndexByte(b, '\n')
-	size := len(b)
-	if end >= 0 {
-		size = end
+	lineEnd := bytes.IndexByte(b, '\n')
+	lineBytes := len(b)
+	if lineEnd >= 0 {
+		lineBytes = lineEnd
 	}
-	if len(p.buffer)+size >= MaxLineBytes {
+	if len(p.buffer)+lineBytes >= MaxLineBytes {
 		p.done = true
 		return Command{}, true, ErrTooLong
 	}
-	p.buffer = append(p.buffer, b[:size]...)
-	if end < 0 {
+	p.buffer = append(p.buffer, b[:lineBytes]...)
+	if lineEnd < 0 {
 		return Command{}, false, nil
 	}
 	p.done = true
--- a/internal/protocol/engine/golden_test.go
+++ b/internal/protocol/engine/golden_test.go
@@ -20,10 +20,10 @@
 }
 
 func TestFeedParsesRecordedResponses(t *testing.T) {
-	start := func() *Query {
+	newQuery := func() *Query {
 		return NewQuery("127.0.0.1:9001", StartRequest{CallID: "9b1f03aa5c7e2d41", Class: "trip-lookup", Statement: []byte("select 1"), TimeoutMS: 900})
 	}
-	q := start()
+	q := newQuery()
 	for headers, want := range map[string]*Progress{"so_far\r\nX-Num: 0.5": {ProgressRatio, 0.5}, "lacking\r\nX-Num: 120": {ProgressSpilled, 120}, "waiting\r\nX-Num: 2": {ProgressWaiting, 2}} {
 		step, err := q.Feed([]byte("HTTP/1.1 202 Accepted\r\nOutcome: " + headers + "\r\nContent-Length: 0\r\n\r\n"))
 		require.NoError(t, err)
@@ -43,7 +43,7 @@
 	require.Equal(t, map[string]float64{"inflight": 7, "util": 0.61, "x0": 0.5, "x1": 0.25}, load)
 	for head, want := range map[string]Outcome{"503 Service Unavailable\r\nNever-Ran: 1": OutcomeOverloaded, "504 Gateway Timeout\r\nNever-Ran: 1": OutcomeExpired,
 		"500 Internal Server Error": OutcomeFailed} {
-		step, err := start().Feed([]byte("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n"))
+		step, err := newQuery().Feed([]byte("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n"))
 		require.NoError(t, err)
 		require.Equal(t, want, step.Result.Outcome, head)
 	}
--- a/internal/protocol/engine/loadreport.go
+++ b/internal/protocol/engine/loadreport.go
@@ -16,22 +16,22 @@
 // 0, above maxLoadValue or repeated is left out and makes the report invalid; the others can be used.
 func ParseLoadReport(text string) (values map[string]float64, invalid bool) {
 	values = map[string]float64{}
-	repeated := map[string]bool{}
+	repeatedNames := map[string]bool{}
 	for _, part := range strings.SplitN(text, ";", maxLoadFields) {
 		name, number, ok := strings.Cut(part, ":")
 		name = strings.TrimSpace(name)
-		v, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
-		inRange := v >= 0 && v <= maxLoadValue // false for NaN
+		value, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
+		inRange := value >= 0 && value <= maxLoadValue // false for NaN
 		if !ok || err != nil || !inRange {
 			invalid = true
 			continue
 		}
 		if _, isRepeated := values[name]; isRepeated {
-			repeated[name], invalid = true, true
+			repeatedNames[name], invalid = true, true
 		}
-		values[name] = v
+		values[name] = value
 	}
-	for name := range repeated {
+	for name := range repeatedNames {
 		delete(values, name)
 	}
 	return values, invalid
--- a/internal/protocol/engine/query.go
+++ b/internal/protocol/engine/query.go
@@ -20,7 +20,7 @@
 	maxPageBytes   = 6000     // size of one page of a result
 	maxPages       = 4096     // number of pages of a result
 	maxBodyBytes   = 16 << 10 // body of any response: a page, or a line of text
-	columns        = 3        // per row
+	columnCount    = 3        // per row
 )
 
 // Errors of a query's connection.
@@ -76,10 +76,10 @@
 type state int
 
 const (
-	starting state = iota // the engine has not responded yet
-	running               // the engine has acknowledged the query, or the query was resumed on a new connection
-	paging                // at least one page received
-	ended
+	stateStarting state = iota // the engine has not responded yet
+	stateRunning               // the engine has acknowledged the query, or the query was resumed on a new connection
+	statePaging                // at least one page received
+	stateEnded
 )
 
 // Query is one query at one engine. It is not safe for concurrent use.
@@ -122,8 +122,8 @@
 // not bound to a connection, and a request for a page starts nothing.
 func (q *Query) EncodeResume() []byte {
 	q.parser = httpmsg.NewResponseParser(maxBodyBytes)
-	if q.state == starting {
-		q.state = running
+	if q.state == stateStarting {
+		q.state = stateRunning
 	}
 	return q.encodePageRequest()
 }
@@ -136,7 +136,7 @@
 // Feed takes bytes from the engine. An empty step means that more bytes are needed. After an error EncodeResume can
 // repeat the request.
 func (q *Query) Feed(b []byte) (Step, error) {
-	if q.state == ended {
+	if q.state == stateEnded {
 		return Step{}, errAfterEnd
 	}
 	q.parser.Feed(b)
@@ -151,7 +151,7 @@
 		return Step{}, err
 	}
 	if result != nil {
-		q.state = ended
+		q.state = stateEnded
 		return Step{Result: result, KeepConnection: reusable}, nil
 	}
 	step := Step{NeedsNewConnection: !reusable}
@@ -167,18 +167,18 @@
 // handleResponse handles a complete response and the bytes received after it. The result is nil while the query runs or
 // there are more pages to request.
 func (q *Query) handleResponse(m *httpmsg.Message, trailing []byte) (*Result, error) {
-	if q.state == paging {
+	if q.state == statePaging {
 		return q.handlePage(m, trailing)
 	}
 	q.result.LoadReport = m.Header.Get(headerLoadReport)
 	neverRan := m.Header.Get(headerNeverRan) == "1"
 	switch {
 	case m.Status == 202:
-		q.state, q.acknowledged = running, true
+		q.state, q.acknowledged = stateRunning, true
 		return nil, nil
 	case m.Status == 200:
 		return q.handleFirstPage(m, trailing)
-	case m.Status == 500 && q.state == running && !q.acknowledged:
+	case m.Status == 500 && q.state == stateRunning && !q.acknowledged:
 		return q.end(OutcomeAnswerLost, "unknown to the engine after the connection was lost"), nil
 	case m.Status == 500:
 		return q.end(OutcomeFailed, "status 500"), nil
@@ -191,13 +191,13 @@
 }
 
 func (q *Query) handleFirstPage(m *httpmsg.Message, trailing []byte) (*Result, error) {
-	pages, err := strconv.Atoi(strings.TrimSpace(m.Header.Get(headerPageCount)))
-	if err != nil || pages < 0 || pages > maxPages {
+	pageCount, err := strconv.Atoi(strings.TrimSpace(m.Header.Get(headerPageCount)))
+	if err != nil || pageCount < 0 || pageCount > maxPages {
 		return nil, fmt.Errorf("%w: invalid number of pages", ErrCorruptResponse)
 	}
 	q.result.ActualWorkMS = parseNumber(m, headerWorkMS)
 	q.result.ActualMemoryMB = parseNumber(m, headerMemoryMB)
-	q.pageCount = pages
+	q.pageCount = pageCount
 	return q.appendPage(m, trailing)
 }
 
@@ -222,7 +222,7 @@
 	if len(q.result.Body)+len(m.Body) > MaxResultBytes {
 		return q.end(OutcomeFailed, "result too large"), nil
 	}
-	q.state = paging
+	q.state = statePaging
 	if q.result.Body == nil {
 		q.result.Body = make([]byte, 0, min(len(m.Body)*max(q.pageCount, 1), MaxResultBytes))
 	}
@@ -241,7 +241,7 @@
 		return fmt.Errorf("%w: incomplete page or not text", ErrCorruptResponse)
 	}
 	for row := range bytes.Lines(page) {
-		if bytes.Count(row, tab) != columns-1 {
+		if bytes.Count(row, tab) != columnCount-1 {
 			return fmt.Errorf("%w: wrong number of columns", ErrCorruptResponse)
 		}
 	}
@@ -254,7 +254,7 @@
 
 // IsRow reports whether text is one row of a result, without its line feed.
 func IsRow(b []byte) bool {
-	return bytes.Count(b, tab) == columns-1 && bytes.IndexByte(b, '\n') < 0 && isText(b)
+	return bytes.Count(b, tab) == columnCount-1 && bytes.IndexByte(b, '\n') < 0 && isText(b)
 }
 
 func (q *Query) end(o Outcome, reason string) *Result {
--- a/internal/protocol/fleet/fleet.go
+++ b/internal/protocol/fleet/fleet.go
@@ -82,13 +82,13 @@
 
 // Append appends an encoded frame to b.
 func Append(b []byte, installation uint64, f Frame) []byte {
-	start := len(b)
+	frameStart := len(b)
 	b = append(b, magic...)
 	b = append(b, Version, byte(f.Kind), 0, 0, 0)
 	b = binary.LittleEndian.AppendUint64(b, installation)
 	b = binary.LittleEndian.AppendUint64(b, f.GroupID)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(f.Payload)))
-	b = binary.LittleEndian.AppendUint64(b, checksum(b[start:], f.Payload))
+	b = binary.LittleEndian.AppendUint64(b, checksum(b[frameStart:], f.Payload))
 	return append(b, f.Payload...)
 }
 
--- a/internal/protocol/fleet/wire_test.go
+++ b/internal/protocol/fleet/wire_test.go
@@ -24,23 +24,23 @@
 	for _, kind := range []Kind{Announcement, RaftMessage, KeepAliveRequest, KeepAliveResponse, AdminRequest, AdminResponse, Publication} {
 		frames = append(frames, Frame{Kind: kind, GroupID: 0x0102030405060708, Payload: fmt.Appendf(nil, `{"kind":%d}`, kind)})
 	}
-	var lines strings.Builder
+	var encodedLines strings.Builder
 	for _, f := range frames {
-		fmt.Fprintln(&lines, hex.EncodeToString(Append(nil, installation, f)))
+		fmt.Fprintln(&encodedLines, hex.EncodeToString(Append(nil, installation, f)))
 	}
 	if *update {
-		require.NoError(t, os.WriteFile(framesFile, []byte(lines.String()), 0o644))
+		require.NoError(t, os.WriteFile(framesFile, []byte(encodedLines.String()), 0o644))
 	}
 	want, err := os.ReadFile(framesFile)
 	require.NoError(t, err)
-	require.Equal(t, string(want), lines.String())
+	require.Equal(t, string(want), encodedLines.String())
 	var stream []byte
 	for line := range strings.Lines(string(want)) {
 		raw, err := hex.DecodeString(strings.TrimSpace(line))
 		require.NoError(t, err)
 		stream = append(stream, raw...)
 	}
-	read, err := NewDecoder(installation).Feed(stream)
+	decodedFrames, err := NewDecoder(installation).Feed(stream)
 	require.NoError(t, err)
-	require.Equal(t, frames, read)
+	require.Equal(t, frames, decodedFrames)
 }
--- a/internal/protocol/httpmsg/head.go
+++ b/internal/protocol/httpmsg/head.go
@@ -41,14 +41,14 @@
 
 // headSize returns the size in bytes of the head with its blank line, or 0 while the blank line has not been received.
 func (p *Parser) headSize() (int, error) {
-	end, size := bytes.Index(p.buffer, []byte("\r\n\r\n")), 0
-	if end >= 0 {
-		size = end + len("\r\n\r\n")
+	headEnd, size := bytes.Index(p.buffer, []byte("\r\n\r\n")), 0
+	if headEnd >= 0 {
+		size = headEnd + len("\r\n\r\n")
 	}
-	if bare := bytes.Index(p.buffer, []byte("\n\n")); bare >= 0 && (end < 0 || bare < end) {
-		end, size = bare, bare+len("\n\n")
+	if bareHeadEnd := bytes.Index(p.buffer, []byte("\n\n")); bareHeadEnd >= 0 && (headEnd < 0 || bareHeadEnd < headEnd) {
+		headEnd, size = bareHeadEnd, bareHeadEnd+len("\n\n")
 	}
-	if end < 0 && len(p.buffer) > MaxHeadBytes || end > MaxHeadBytes {
+	if headEnd < 0 && len(p.buffer) > MaxHeadBytes || headEnd > MaxHeadBytes {
 		return 0, ErrTooLarge
 	}
 	return size, nil
@@ -68,24 +68,24 @@
 	return firstLine, header, nil
 }
 
-func (p *Parser) parseFirstLine(line string) error {
-	first, rest, ok := strings.Cut(line, " ")
-	second, third, _ := strings.Cut(rest, " ")
+func (p *Parser) parseFirstLine(firstLine string) error {
+	firstWord, afterFirstWord, ok := strings.Cut(firstLine, " ")
+	secondWord, thirdWord, _ := strings.Cut(afterFirstWord, " ")
 	if !ok {
 		return fmt.Errorf("%w: first line", ErrMalformed)
 	}
 	m := p.message
-	if p.responses {
-		status, err := strconv.Atoi(second)
-		if err != nil || len(second) != 3 || !strings.HasPrefix(first, "HTTP/1.") {
+	if p.parsesResponses {
+		status, err := strconv.Atoi(secondWord)
+		if err != nil || len(secondWord) != 3 || !strings.HasPrefix(firstWord, "HTTP/1.") {
 			return fmt.Errorf("%w: status line", ErrMalformed)
 		}
-		m.Proto, m.Status = first, status
+		m.Proto, m.Status = firstWord, status
 	} else {
-		if first == "" || second == "" || !strings.HasPrefix(third, "HTTP/1.") {
+		if firstWord == "" || secondWord == "" || !strings.HasPrefix(thirdWord, "HTTP/1.") {
 			return fmt.Errorf("%w: request line", ErrMalformed)
 		}
-		m.Method, m.Target, m.Proto = first, second, third
+		m.Method, m.Target, m.Proto = firstWord, secondWord, thirdWord
 	}
 	connection := strings.ToLower(m.Header.Get("Connection"))
 	m.Close = connection == "close" || m.Proto == "HTTP/1.0" && connection != "keep-alive"
@@ -95,7 +95,7 @@
 // chooseFraming determines how the body ends. Two lengths, or a length together with a chunked encoding, are rejected:
 // parties that interpret them differently would disagree on where the next message begins.
 func (p *Parser) chooseFraming() (m *Message, needsBytes bool, err error) {
-	if p.responses && p.message.Status < 200 {
+	if p.parsesResponses && p.message.Status < 200 {
 		return nil, false, p.skipInterim()
 	}
 	lengths, encodings := p.message.Header["Content-Length"], p.message.Header["Transfer-Encoding"]
@@ -114,7 +114,7 @@
 			return nil, false, ErrTooLarge
 		}
 		p.phase, p.remaining = readingBody, int(length)
-	case !p.responses || p.message.Status == 204 || p.message.Status == 304:
+	case !p.parsesResponses || p.message.Status == 204 || p.message.Status == 304:
 		return p.finishMessage(), false, nil
 	default: // the body would end with the connection, so that a truncated body could not be detected
 		return nil, false, fmt.Errorf("%w: no length", ErrMalformed)
--- a/internal/protocol/httpmsg/parser.go
+++ b/internal/protocol/httpmsg/parser.go
@@ -30,24 +30,24 @@
 	readingChunkSize
 	readingChunk
 	readingTrailer
-	broken
+	parseFailed
 )
 
 // Parser splits a stream of bytes into messages. It is not safe for concurrent use.
 type Parser struct {
-	responses    bool // the stream consists of responses; false: of requests
-	maxBodyBytes int  // larger bodies are rejected
-	phase        phase
-	buffer       []byte   // received bytes that are not parsed yet
-	message      *Message // the message being read
-	remaining    int      // size in bytes of the body or chunk that is read next
-	interimCount int      // 1xx heads before the next response
-	err          error    // error that was found in the stream; set if phase is broken
+	parsesResponses bool // the stream consists of responses; false: of requests
+	maxBodyBytes    int  // larger bodies are rejected
+	phase           phase
+	buffer          []byte   // received bytes that are not parsed yet
+	message         *Message // the message being read
+	remaining       int      // size in bytes of the body or chunk that is read next
+	interimCount    int      // 1xx heads before the next response
+	err             error    // error that was found in the stream; set if phase is parseFailed
 }
 
 // NewResponseParser returns a parser of responses with bodies of at most maxBodyBytes.
 func NewResponseParser(maxBodyBytes int) *Parser {
-	return &Parser{responses: true, maxBodyBytes: maxBodyBytes}
+	return &Parser{parsesResponses: true, maxBodyBytes: maxBodyBytes}
 }
 
 // NewRequestParser returns a parser of requests with bodies of at most maxBodyBytes.
@@ -68,7 +68,7 @@
 	for p.err == nil {
 		m, needsBytes, err := p.step()
 		if err != nil {
-			p.phase, p.err, p.buffer = broken, err, nil
+			p.phase, p.err, p.buffer = parseFailed, err, nil
 			break
 		}
 		if m != nil || needsBytes {
@@ -109,8 +109,8 @@
 	if !ok || err != nil {
 		return nil, true, err
 	}
-	text, _, _ := strings.Cut(line, ";")
-	size, parseErr := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
+	sizeText, _, _ := strings.Cut(line, ";")
+	size, parseErr := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
 	if parseErr != nil {
 		return nil, false, fmt.Errorf("%w: chunk size", ErrMalformed)
 	}
@@ -147,15 +147,15 @@
 
 // nextLine consumes one line of the chunked encoding; ok is false while the line is incomplete.
 func (p *Parser) nextLine() (line string, ok bool, err error) {
-	end := bytes.IndexByte(p.buffer, '\n')
-	if end < 0 {
+	lineEnd := bytes.IndexByte(p.buffer, '\n')
+	if lineEnd < 0 {
 		if len(p.buffer) > MaxHeadBytes {
 			return "", false, ErrTooLarge
 		}
 		return "", false, nil
 	}
-	line = strings.TrimRight(string(p.buffer[:end]), "\r")
-	p.buffer = p.buffer[end+1:]
+	line = strings.TrimRight(string(p.buffer[:lineEnd]), "\r")
+	p.buffer = p.buffer[lineEnd+1:]
 	return line, true, nil
 }
 
--- a/internal/protocol/journal/journal.go
+++ b/internal/protocol/journal/journal.go
@@ -57,9 +57,9 @@
 	return batch, nil
 }
 
-// EncodePoll returns the request of a long poll for the events after a position. The service answers within waitMS.
-func EncodePoll(host string, after int64, waitMS int) []byte {
-	target := "/journal?tail=" + strconv.FormatInt(after, 10) + "&max_wait=" + strconv.Itoa(waitMS)
+// EncodePoll returns the request of a long poll for the events after afterPosition. The service answers within waitMS.
+func EncodePoll(host string, afterPosition int64, waitMS int) []byte {
+	target := "/journal?tail=" + strconv.FormatInt(afterPosition, 10) + "&max_wait=" + strconv.Itoa(waitMS)
 	return httpmsg.AppendRequest(nil, "GET", target, host, nil, nil)
 }
 
--- a/internal/protocol/jsonrpc/parser.go
+++ b/internal/protocol/jsonrpc/parser.go
@@ -17,8 +17,8 @@
 
 // Parser splits the bytes of one connection into messages. It is not safe for concurrent use.
 type Parser struct {
-	buffer  []byte // an unfinished line
-	scanned int    // number of bytes at the start of buffer that are known to hold no line feed
+	buffer       []byte // an unfinished line
+	scannedBytes int    // number of bytes at the start of buffer that are known to hold no line feed
 }
 
 // Buffered returns the size of the unfinished message in bytes.
@@ -29,37 +29,37 @@
 func (p *Parser) Feed(b []byte) ([]Message, error) {
 	p.buffer = append(p.buffer, b...)
 	var messages []Message
-	rest := p.buffer
+	unparsed := p.buffer
 	for {
-		end := bytes.IndexByte(rest[p.scanned:], '\n')
-		if end < 0 {
+		lineEnd := bytes.IndexByte(unparsed[p.scannedBytes:], '\n')
+		if lineEnd < 0 {
 			break
 		}
-		end += p.scanned
-		if end > MaxLineBytes {
+		lineEnd += p.scannedBytes
+		if lineEnd > MaxLineBytes {
 			return messages, ErrLineTooLong
 		}
-		line := bytes.TrimSpace(rest[:end])
-		rest, p.scanned = rest[end+1:], 0
+		line := bytes.TrimSpace(unparsed[:lineEnd])
+		unparsed, p.scannedBytes = unparsed[lineEnd+1:], 0
 		if len(line) > 0 {
 			messages = append(messages, parseMessage(line))
 		}
 	}
-	p.scanned = len(rest)
-	if len(rest) > MaxLineBytes {
+	p.scannedBytes = len(unparsed)
+	if len(unparsed) > MaxLineBytes {
 		return messages, ErrLineTooLong
 	}
-	p.storeUnfinished(rest)
+	p.storeUnfinished(unparsed)
 	return messages, nil
 }
 
 // storeUnfinished stores the unfinished line. It copies the line only if complete lines before it were consumed, so
 // that a long line is not copied at each read.
-func (p *Parser) storeUnfinished(rest []byte) {
+func (p *Parser) storeUnfinished(unfinishedLine []byte) {
 	switch {
-	case len(rest) == 0:
+	case len(unfinishedLine) == 0:
 		p.buffer = nil
-	case len(rest) < len(p.buffer):
-		p.buffer = append([]byte(nil), rest...)
+	case len(unfinishedLine) < len(p.buffer):
+		p.buffer = append([]byte(nil), unfinishedLine...)
 	}
 }
--- a/internal/protocol/rest/golden_test.go
+++ b/internal/protocol/rest/golden_test.go
@@ -36,7 +36,7 @@
 func TestResponsesMatchGolden(t *testing.T) {
 	const host = "127.0.0.1:8080"
 	pages := ParsePages([]byte("1\tvienna\t17.5\n2\tgraz\t3\n"), 16)
-	results := func(e *QueryError) QueryResults {
+	failedResults := func(e *QueryError) QueryResults {
 		return QueryResults{ID: "q-1", InfoURI: "http://" + host + "/v1/info", Stats: Stats{State: "FAILED"}, Error: e}
 	}
 	golden.Equal(t, "testdata/answers.golden", slices.Concat(
@@ -44,10 +44,10 @@
 			Stats: Stats{State: "QUEUED", Queued: true}}, 0),
 		EncodeResults(200, QueryResults{ID: "q-1", InfoURI: "http://" + host + "/v1/info", NextURI: PageURI(host, "q-1", "s-1", 2),
 			Columns: DescribeColumns(pages), Data: pages[0], Stats: Stats{State: "RUNNING"}}, 0),
-		EncodeResults(200, results(&ErrorRejected), 1200*time.Millisecond),
-		EncodeResults(200, results(&ErrorFailed), 0),
-		EncodeResults(200, results(&ErrorCanceled), 0),
-		EncodeResults(200, results(&ErrorExpired), 0),
+		EncodeResults(200, failedResults(&ErrorRejected), 1200*time.Millisecond),
+		EncodeResults(200, failedResults(&ErrorFailed), 0),
+		EncodeResults(200, failedResults(&ErrorCanceled), 0),
+		EncodeResults(200, failedResults(&ErrorExpired), 0),
 		EncodeText(429, "refused"), EncodeText(409, "another statement under this key"), EncodeText(500, "no record"), EncodeText(418, "tea"),
 		EncodeNoContent(), EncodeInfo(true), EncodeInfo(false),
 	))
--- a/internal/protocol/rest/upstream.go
+++ b/internal/protocol/rest/upstream.go
@@ -64,15 +64,15 @@
 
 // UpstreamQuery is one query at an engine that speaks this protocol. It is not safe for concurrent use.
 type UpstreamQuery struct {
-	host      string
-	start     StartRequest
-	parser    *httpmsg.Parser
-	nextPath  string  // path of the last page request; empty until the first response
-	responses int     // number of responses with a next URI
-	body      []byte  // rows received so far; empty for a stream
-	page      []byte  // rows of the latest page of a stream, for the Step that Feed returns
-	workMS    float64 // largest CPU time reported so far
-	memoryMB  float64 // largest peak memory reported so far
+	host          string
+	start         StartRequest
+	parser        *httpmsg.Parser
+	nextPath      string  // path of the last page request; empty until the first response
+	responseCount int     // number of responses with a next URI
+	body          []byte  // rows received so far; empty for a stream
+	latestPage    []byte  // rows of the latest page of a stream, for the Step that Feed returns
+	workMS        float64 // largest CPU time reported so far
+	memoryMB      float64 // largest peak memory reported so far
 }
 
 // NewUpstreamQuery returns a query that has not been sent.
@@ -130,17 +130,17 @@
 	}
 	// Bytes after a response would be parsed as the start of the next one.
 	reusable := !m.Close && q.parser.Idle()
-	q.page = nil
+	q.latestPage = nil
 	result, err := q.handleResponse(m)
 	switch {
 	case err != nil:
 		return Step{}, err
 	case result != nil:
-		return Step{Result: result, Page: q.page, KeepConnection: reusable}, nil
+		return Step{Result: result, Page: q.latestPage, KeepConnection: reusable}, nil
 	case !reusable:
-		return Step{NeedsNewConnection: true, Page: q.page}, nil
+		return Step{NeedsNewConnection: true, Page: q.latestPage}, nil
 	}
-	return Step{Send: q.encodeNext(), Page: q.page}, nil
+	return Step{Send: q.encodeNext(), Page: q.latestPage}, nil
 }
 
 // upstreamResults is the part of a response that is read. Values of rows may be of any JSON type.
@@ -192,15 +192,15 @@
 	q.memoryMB = max(q.memoryMB, r.Stats.MemoryBytes/(1<<20))
 	q.nextPath = nextPath
 	if q.start.Stream {
-		q.page = page
+		q.latestPage = page
 	} else {
 		q.body = append(q.body, page...)
 	}
 	if nextPath == "" {
 		return q.end(OutcomeSucceeded, ""), nil
 	}
-	q.responses++
-	if q.responses > maxResponses {
+	q.responseCount++
+	if q.responseCount > maxResponses {
 		return q.end(OutcomeFailed, "too many pages"), nil
 	}
 	return nil, nil
@@ -214,7 +214,7 @@
 // with a tab.
 func encodeRows(rows [][]any) (page []byte, ok bool) {
 	for _, row := range rows {
-		start := len(page)
+		rowStart := len(page)
 		for i, value := range row {
 			if i > 0 {
 				page = append(page, '\t')
@@ -227,7 +227,7 @@
 				page = fmt.Append(page, v)
 			}
 		}
-		if !engine.IsRow(page[start:]) {
+		if !engine.IsRow(page[rowStart:]) {
 			return nil, false
 		}
 		page = append(page, '\n')
--- a/internal/store/fence.go
+++ b/internal/store/fence.go
@@ -15,7 +15,7 @@
 	job TEXT NOT NULL, fence BIGINT NOT NULL, holder TEXT NOT NULL, since_ms BIGINT NOT NULL, acts BIGINT NOT NULL, PRIMARY KEY (job, fence))`
 
 // Exec executes a statement within a transaction and returns the number of rows that it changed.
-type Exec func(query string, args ...any) (changed int64, err error)
+type Exec func(query string, args ...any) (changedRows int64, err error)
 
 // RunFenced runs an operation of a job for the whole fleet, in one transaction with the check of its fence. If an
 // operation of a later grant has run, it changes nothing and returns a lease.StaleFenceError. If the outcome of the
@@ -51,23 +51,23 @@
 
 // highestFence returns the highest fence under which an operation of a job has run, with its holder.
 func (s *Store) highestFence(ctx context.Context, tx *sql.Tx, job string) (record lease.FenceRecord, err error) {
-	var fence int64
+	var fenceNumber int64
 	statement := s.placeholders(`SELECT fence, holder FROM fence WHERE job = $1 ORDER BY fence DESC LIMIT 1`)
-	if err := tx.QueryRowContext(ctx, statement, job).Scan(&fence, &record.Holder); err != nil {
+	if err := tx.QueryRowContext(ctx, statement, job).Scan(&fenceNumber, &record.Holder); err != nil {
 		return record, fmt.Errorf("store: %w", err)
 	}
-	record.Fence = lease.Fence(fence)
+	record.Fence = lease.Fence(fenceNumber)
 	return record, nil
 }
 
 // DeleteExpiredFenced deletes the queries that had expired at now, on behalf of the whole fleet. Errors are those of
 // RunFenced.
-func (s *Store) DeleteExpiredFenced(ctx context.Context, now time.Time, fence lease.Fence, holder string) (deleted int64, err error) {
+func (s *Store) DeleteExpiredFenced(ctx context.Context, now time.Time, fence lease.Fence, holder string) (deletedCount int64, err error) {
 	err = s.RunFenced(ctx, lease.JobPruneRecord, fence, holder, func(exec Exec) error {
-		deleted, err = exec(deleteExpired, now.UnixMilli())
+		deletedCount, err = exec(deleteExpired, now.UnixMilli())
 		return err
 	})
-	return deleted, err
+	return deletedCount, err
 }
 
 // FenceRow describes a grant of a job and the operations that have run under its fence.
@@ -88,11 +88,11 @@
 	defer func() { _ = rows.Close() }()
 	for rows.Next() {
 		var row FenceRow
-		var fence int64
-		if err := rows.Scan(&row.Job, &fence, &row.Holder, &row.SinceMS, &row.Acts); err != nil {
+		var fenceNumber int64
+		if err := rows.Scan(&row.Job, &fenceNumber, &row.Holder, &row.SinceMS, &row.Acts); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
 		}
-		row.Fence = lease.Fence(fence)
+		row.Fence = lease.Fence(fenceNumber)
 		grants = append(grants, row)
 	}
 	return grants, rows.Err()
--- a/internal/store/fence_test.go
+++ b/internal/store/fence_test.go
@@ -16,37 +16,37 @@
 // transaction of its operation.
 func TestStaleFenceChangesNothing(t *testing.T) {
 	path, now := filepath.Join(testdir.Dir(t), "record.db"), time.Now()
-	open := func() *Store {
+	openStore := func() *Store {
 		s, err := Open(t.Context(), path)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = s.Close() })
 		return s
 	}
-	s, other := open(), open()
+	s, otherStore := openStore(), openStore()
 	insertExpired := func(id string) {
 		_, err := s.Begin(t.Context(), Query{ID: id, Slug: "s", Class: "c", Owner: "o", ExpiresAt: now.Add(-time.Hour)})
 		require.NoError(t, err)
 		require.NoError(t, s.Finish(t.Context(), id, StateSucceeded, nil, 0, now.Add(-time.Hour)))
 	}
 	insertExpired("a")
-	n, err := s.DeleteExpiredFenced(t.Context(), now, 3, "n1/1")
+	deletedCount, err := s.DeleteExpiredFenced(t.Context(), now, 3, "n1/1")
 	require.NoError(t, err)
-	require.EqualValues(t, 1, n)
+	require.EqualValues(t, 1, deletedCount)
 	insertExpired("b")
 	for _, attempt := range []struct {
 		fence  lease.Fence
 		holder string
 	}{{2, "n2/1"}, {3, "n2/1"}, {0, "n1/1"}} {
-		_, err = other.DeleteExpiredFenced(t.Context(), now, attempt.fence, attempt.holder)
+		_, err = otherStore.DeleteExpiredFenced(t.Context(), now, attempt.fence, attempt.holder)
 		var stale lease.StaleFenceError
 		require.ErrorAs(t, err, &stale)
 		require.EqualValues(t, 3, stale.Highest)
 		_, err = s.Get(t.Context(), "b")
 		require.NoError(t, err, "a rejected operation has deleted a row")
 	}
-	n, err = other.DeleteExpiredFenced(t.Context(), now, 5, "n2/1")
+	deletedCount, err = otherStore.DeleteExpiredFenced(t.Context(), now, 5, "n2/1")
 	require.NoError(t, err)
-	require.EqualValues(t, 1, n)
+	require.EqualValues(t, 1, deletedCount)
 	_, err = s.DeleteExpiredFenced(t.Context(), now, 3, "n1/1")
 	require.Error(t, err)
 	rows, err := s.Fences(t.Context())
@@ -62,7 +62,7 @@
 func TestFenceHoldsBetweenConnections(t *testing.T) {
 	path := filepath.Join(testdir.Dir(t), "record.db")
 	var mu sync.Mutex
-	var laterActedAt time.Time // when the first operation of the later grant had returned
+	var laterHolderActedAt time.Time // when the first operation of the later grant had returned
 	var holders sync.WaitGroup
 	for fence := lease.Fence(1); fence <= 2; fence++ {
 		s, err := Open(t.Context(), path)
@@ -74,10 +74,10 @@
 				calledAt := time.Now()
 				_, err := s.DeleteExpiredFenced(t.Context(), calledAt, fence, "holder")
 				mu.Lock()
-				if err == nil && fence == 2 && laterActedAt.IsZero() {
-					laterActedAt = time.Now()
+				if err == nil && fence == 2 && laterHolderActedAt.IsZero() {
+					laterHolderActedAt = time.Now()
 				}
-				if err == nil && fence == 1 && !laterActedAt.IsZero() && calledAt.After(laterActedAt) {
+				if err == nil && fence == 1 && !laterHolderActedAt.IsZero() && calledAt.After(laterHolderActedAt) {
 					t.Error("the earlier holder acted after the later one")
 				}
 				mu.Unlock()
@@ -85,5 +85,5 @@
 		})
 	}
 	holders.Wait()
-	require.False(t, laterActedAt.IsZero())
+	require.False(t, laterHolderActedAt.IsZero())
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -25,22 +25,22 @@
 // recordedQueries returns the queries of the record, one for each state.
 func recordedQueries() []Query {
 	template := Query{Class: "trip-lookup", Owner: "ana", ExpiresAt: recordedExpiry}
-	var all []Query
-	for i, st := range []State{StateRunning, StateSucceeded, StateRejected, StateFailed, StateCanceled} {
+	var queries []Query
+	for i, state := range []State{StateRunning, StateSucceeded, StateRejected, StateFailed, StateCanceled} {
 		q := template
-		q.ID, q.Slug, q.Digest, q.State = "q-"+string(st), "s-"+string(st), "d-"+string(st), st
-		if q.IdempotencyKey = "k-" + string(st); i%2 == 1 {
+		q.ID, q.Slug, q.Digest, q.State = "q-"+string(state), "s-"+string(state), "d-"+string(state), state
+		if q.IdempotencyKey = "k-" + string(state); i%2 == 1 {
 			q.IdempotencyKey = ""
 		}
-		switch st {
+		switch state {
 		case StateSucceeded:
 			q.Pages = []byte("1\tvienna\t17.5\n")
 		case StateRejected:
 			q.RetryAfter = 1200 * time.Millisecond
 		}
-		all = append(all, q)
+		queries = append(queries, q)
 	}
-	return all
+	return queries
 }
 
 func writeRecorded(t *testing.T) {
--- a/internal/store/query.go
+++ b/internal/store/query.go
@@ -50,20 +50,20 @@
 
 // Begin stores a query as running before its first attempt. If the owner's idempotency key is in use, it stores
 // nothing and returns the query that has the key.
-func (s *Store) Begin(ctx context.Context, q Query) (existing *Query, err error) {
-	var key any // NULL does not conflict with any key
+func (s *Store) Begin(ctx context.Context, q Query) (existingQuery *Query, err error) {
+	var storedKey any // NULL does not conflict with any key
 	if q.IdempotencyKey != "" {
-		key = q.IdempotencyKey
+		storedKey = q.IdempotencyKey
 		// An expired query no longer holds its key, even if its row has not been deleted yet.
 		if _, err := s.exec(ctx, `DELETE FROM query WHERE owner = $1 AND idem_key = $2 AND expiry_ms < $3 AND state <> 'running'`,
 			q.Owner, q.IdempotencyKey, time.Now().UnixMilli()); err != nil {
 			return nil, err
 		}
 	}
-	inserted, err := s.exec(ctx, `INSERT INTO query (id, slug, owner, idem_key, digest, class, state, pages, come_back_ms, expiry_ms, node)
+	insertedRows, err := s.exec(ctx, `INSERT INTO query (id, slug, owner, idem_key, digest, class, state, pages, come_back_ms, expiry_ms, node)
 		VALUES ($1, $2, $3, $4, $5, $6, 'running', '', 0, $7, $8) ON CONFLICT (owner, idem_key) DO NOTHING`,
-		q.ID, q.Slug, q.Owner, key, q.Digest, q.Class, q.ExpiresAt.UnixMilli(), q.Coordinator)
-	if err != nil || inserted == 1 {
+		q.ID, q.Slug, q.Owner, storedKey, q.Digest, q.Class, q.ExpiresAt.UnixMilli(), q.Coordinator)
+	if err != nil || insertedRows == 1 {
 		return nil, err
 	}
 	return s.queryOne(ctx, "owner = $1 AND idem_key = $2", q.Owner, q.IdempotencyKey)
@@ -72,14 +72,14 @@
 // Finish stores the final state of a query before the client is answered. A rejected query releases its idempotency
 // key: it never ran, and the client is told that a retry is safe. ErrNotFound is returned if the query is not
 // running.
-func (s *Store) Finish(ctx context.Context, id string, final State, pages []byte, retryAfter time.Duration, expiresAt time.Time) error {
-	updated, err := s.exec(ctx, `UPDATE query SET state = $1, pages = $2, come_back_ms = $3, expiry_ms = $4,
+func (s *Store) Finish(ctx context.Context, id string, finalState State, pages []byte, retryAfter time.Duration, expiresAt time.Time) error {
+	updatedRows, err := s.exec(ctx, `UPDATE query SET state = $1, pages = $2, come_back_ms = $3, expiry_ms = $4,
 		idem_key = CASE WHEN $5 = 'refused' THEN NULL ELSE idem_key END WHERE id = $6 AND state = 'running'`,
-		string(final), string(pages), retryAfter.Milliseconds(), expiresAt.UnixMilli(), string(final), id)
+		string(finalState), string(pages), retryAfter.Milliseconds(), expiresAt.UnixMilli(), string(finalState), id)
 	if err != nil {
 		return err
 	}
-	if updated != 1 {
+	if updatedRows != 1 {
 		return ErrNotFound
 	}
 	return nil
@@ -91,11 +91,11 @@
 }
 
 // queryOne reads the query that matches a condition, or returns ErrNotFound.
-func (s *Store) queryOne(ctx context.Context, where string, args ...any) (*Query, error) {
+func (s *Store) queryOne(ctx context.Context, condition string, args ...any) (*Query, error) {
 	var q Query
 	var pages string
 	var retryAfterMS, expiresAtMS int64
-	statement := s.placeholders("SELECT " + queryColumns + " FROM query WHERE " + where)
+	statement := s.placeholders("SELECT " + queryColumns + " FROM query WHERE " + condition)
 	err := s.database.QueryRowContext(ctx, statement, args...).Scan(&q.ID, &q.Slug, &q.Owner, &q.IdempotencyKey, &q.Digest,
 		&q.Class, &q.State, &pages, &retryAfterMS, &expiresAtMS)
 	if errors.Is(err, sql.ErrNoRows) {
@@ -112,17 +112,17 @@
 
 // FailUnfinished marks the queries that an earlier process of this coordinator left running as failed: they may have
 // run, and are never sent again. Queries of other coordinators are not changed.
-func (s *Store) FailUnfinished(ctx context.Context, coordinator string) (failed int64, err error) {
+func (s *Store) FailUnfinished(ctx context.Context, coordinator string) (failedCount int64, err error) {
 	err = retryWhileBusy(ctx, func() (err error) {
-		failed, err = s.exec(ctx, `UPDATE query SET state = 'failed' WHERE state = 'running' AND (node = $1 OR node = '')`, coordinator)
+		failedCount, err = s.exec(ctx, `UPDATE query SET state = 'failed' WHERE state = 'running' AND (node = $1 OR node = '')`, coordinator)
 		return err
 	})
-	return failed, err
+	return failedCount, err
 }
 
 const deleteExpired = `DELETE FROM query WHERE expiry_ms < $1 AND state <> 'running'`
 
 // DeleteExpired deletes the queries that had expired at now, except running ones.
-func (s *Store) DeleteExpired(ctx context.Context, now time.Time) (deleted int64, err error) {
+func (s *Store) DeleteExpired(ctx context.Context, now time.Time) (deletedCount int64, err error) {
 	return s.exec(ctx, deleteExpired, now.UnixMilli())
 }
