--- a/internal/spool/bench_test.go
+++ b/internal/spool/bench_test.go
@@ -13,17 +13,17 @@
 // BenchmarkAgainstCopy compares spooling and sealing a result of 64 MB with writing and syncing
 // the same bytes to a plain file. Only the ratio of the two within one run is meaningful.
 func BenchmarkAgainstCopy(b *testing.B) {
-	const pages, size = 256, 256 << 10
-	page := make([]byte, size)
+	const pageCount, pageBytes = 256, 256 << 10
+	page := make([]byte, pageBytes)
 	for i := range page {
 		page[i] = byte(i * 7)
 	}
 	b.Run("copy", func(b *testing.B) {
-		b.SetBytes(pages * size)
+		b.SetBytes(pageCount * pageBytes)
 		for range b.N {
 			f, err := os.Create(filepath.Join(b.TempDir(), "plain"))
 			require.NoError(b, err)
-			for range pages {
+			for range pageCount {
 				_, err := f.Write(page)
 				require.NoError(b, err)
 			}
@@ -32,7 +32,7 @@
 		}
 	})
 	b.Run("spool", func(b *testing.B) {
-		b.SetBytes(pages * size)
+		b.SetBytes(pageCount * pageBytes)
 		for range b.N {
 			d, err := OpenDirectory(b.TempDir())
 			require.NoError(b, err)
@@ -41,7 +41,7 @@
 			require.NoError(b, err)
 			w, err := st.Begin("a", "x", "report", 0)
 			require.NoError(b, err)
-			for range pages {
+			for range pageCount {
 				require.NoError(b, w.WritePage(page))
 			}
 			require.NoError(b, w.Seal())
--- a/internal/spool/collection.go
+++ b/internal/spool/collection.go
@@ -61,13 +61,13 @@
 	if err != nil { // a directory that is damaged, or written by a later release, is left to its coordinator
 		return nil
 	}
-	expired, err := s.Expire()
-	remaining := s.Usage().Results
+	expiredCount, err := s.Expire()
+	remainingCount := s.Usage().Results
 	if err = errors.Join(err, s.Close()); err != nil {
 		return err
 	}
-	c.Expired += expired
-	if remaining > 0 {
+	c.Expired += expiredCount
+	if remainingCount > 0 {
 		return nil
 	}
 	c.Removed++
--- a/internal/spool/collection_test.go
+++ b/internal/spool/collection_test.go
@@ -61,7 +61,7 @@
 	_, err = collect(4, "n1/1")
 	require.ErrorAs(t, err, new(lease.StaleFenceError), "the highest fence is stored in the directory")
 	closeHere()
-	require.NoError(t, os.WriteFile(filepath.Join(root, fencesFile), []byte("{"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(root, fencesFileName), []byte("{"), 0o600))
 	_, err = collect(6, "n2/1")
 	require.ErrorContains(t, err, "move it away")
 }
@@ -69,27 +69,27 @@
 // A holder that is suspended during its operation delays a later holder, which must not run its operation concurrently.
 func TestLaterHolderWaitsForAnOperationInProgress(t *testing.T) {
 	root := testdir.Dir(t)
-	begun, resume, order := make(chan struct{}), make(chan struct{}), make(chan string, 2)
+	earlierBegun, resumeEarlier, endedOperations := make(chan struct{}), make(chan struct{}), make(chan string, 2)
 	go func() {
 		_ = RunFenced(root, "job", 1, "a", func() error {
-			close(begun)
-			<-resume
-			order <- "earlier"
+			close(earlierBegun)
+			<-resumeEarlier
+			endedOperations <- "earlier"
 			return nil
 		})
 	}()
-	<-begun
-	done := make(chan error, 1)
+	<-earlierBegun
+	laterDone := make(chan error, 1)
 	go func() {
-		done <- RunFenced(root, "job", 2, "b", func() error { order <- "later"; return nil })
+		laterDone <- RunFenced(root, "job", 2, "b", func() error { endedOperations <- "later"; return nil })
 	}()
 	select {
-	case err := <-done:
+	case err := <-laterDone:
 		t.Fatal("the later operation ended while the earlier one was in progress", err)
 	case <-time.After(100 * time.Millisecond):
 	}
-	close(resume)
-	require.NoError(t, <-done)
-	require.Equal(t, "earlier", <-order)
-	require.Equal(t, "later", <-order)
+	close(resumeEarlier)
+	require.NoError(t, <-laterDone)
+	require.Equal(t, "earlier", <-endedOperations)
+	require.Equal(t, "later", <-endedOperations)
 }
--- a/internal/spool/contents.go
+++ b/internal/spool/contents.go
@@ -4,15 +4,15 @@
 // interrupted a compaction, the later record counts.
 type contents struct {
 	results    map[ID]*foundResult
-	order      []ID // IDs of the results, in the order of their first records
+	orderedIDs []ID // IDs of the results, in the order of their first records
 	tombstones map[ID]location
 }
 
 // foundResult is one result as its records describe it.
 type foundResult struct {
-	pages     map[uint32]location
-	pageCount uint32    // number of pages of the complete result, as the seal states it
-	seal      *location // where the seal is stored; nil: the result is not sealed
+	pageLocations map[uint32]location
+	pageCount     uint32    // number of pages of the complete result, as the seal states it
+	sealLocation  *location // where the seal is stored; nil: the result is not sealed
 	sealRecord
 }
 
@@ -24,16 +24,16 @@
 func (c *contents) add(h header, at location, payload []byte) {
 	r := c.results[h.resultID]
 	if r == nil {
-		r = &foundResult{pages: map[uint32]location{}}
+		r = &foundResult{pageLocations: map[uint32]location{}}
 		c.results[h.resultID] = r
-		c.order = append(c.order, h.resultID)
+		c.orderedIDs = append(c.orderedIDs, h.resultID)
 	}
 	switch h.kind {
 	case kindPage:
-		r.pages[h.page] = at
+		r.pageLocations[h.page] = at
 	case kindSeal:
 		if seal, err := parseSeal(payload); err == nil {
-			r.seal, r.pageCount, r.sealRecord = &at, h.page, seal
+			r.sealLocation, r.pageCount, r.sealRecord = &at, h.page, seal
 		}
 	case kindTombstone:
 		c.tombstones[h.resultID] = at
@@ -42,11 +42,11 @@
 
 // completePages returns the pages of a sealed result in order. ok is false if the result is not sealed or lacks a page.
 func (r *foundResult) completePages() (pages []location, ok bool) {
-	if r.seal == nil {
+	if r.sealLocation == nil {
 		return nil, false
 	}
 	for number := range r.pageCount {
-		page, ok := r.pages[number]
+		page, ok := r.pageLocations[number]
 		if !ok {
 			return nil, false
 		}
--- a/internal/spool/crash_test.go
+++ b/internal/spool/crash_test.go
@@ -10,40 +10,40 @@
 
 // writeHistory writes, seals, aborts and drops results. It returns the page counts of the results whose seal was
 // acknowledged, the names of those whose drop was acknowledged, and the page counts of all that a restart may find.
-func writeHistory(st *Store, now *float64) (sealed map[string]int, dropped map[string]bool, possible map[string]int) {
-	sealed, dropped, possible = map[string]int{}, map[string]bool{}, map[string]int{}
+func writeHistory(st *Store, now *float64) (sealedPageCounts map[string]int, droppedNames map[string]bool, possiblePageCounts map[string]int) {
+	sealedPageCounts, droppedNames, possiblePageCounts = map[string]int{}, map[string]bool{}, map[string]int{}
 	for k := range 14 {
-		name, pages := fmt.Sprint("r", k), 1+k%5
+		name, pageCount := fmt.Sprint("r", k), 1+k%5
 		w, err := st.Begin(name, "x", "report", 10)
 		if err != nil {
 			continue
 		}
-		for i := range pages {
+		for i := range pageCount {
 			if err = w.WritePage(pageOf(name, i)); err != nil {
 				break
 			}
 		}
-		possible[name] = pages
+		possiblePageCounts[name] = pageCount
 		switch {
 		case err != nil:
 			_ = w.Abort()
 		case k == 11: // the result stays open
 		default:
 			if w.Seal() == nil {
-				sealed[name] = pages
+				sealedPageCounts[name] = pageCount
 			}
 		}
 		if k%3 == 2 {
-			previous := fmt.Sprint("r", k-1)
-			possible[previous] = sealed[previous]
-			delete(sealed, previous)
-			if st.Drop(previous) == nil {
-				dropped[previous] = true
+			previousName := fmt.Sprint("r", k-1)
+			possiblePageCounts[previousName] = sealedPageCounts[previousName]
+			delete(sealedPageCounts, previousName)
+			if st.Drop(previousName) == nil {
+				droppedNames[previousName] = true
 			}
 		}
 		*now += 10
 	}
-	return sealed, dropped, possible
+	return sealedPageCounts, droppedNames, possiblePageCounts
 }
 
 // Fails the medium at each of its operations in turn: by a crash, which loses any part of the unsynced bytes, and by
@@ -61,10 +61,10 @@
 		st, _, err := Open(m, options(&now))
 		require.NoError(t, err)
 		writeHistory(st, &now)
-		steps := m.step
-		require.Greater(t, steps, 40)
+		stepCount := m.stepCount
+		require.Greater(t, stepCount, 40)
 		for _, transient := range []bool{false, true} { // a crash, and an error of one operation
-			for step := 1; step <= steps; step++ {
+			for step := 1; step <= stepCount; step++ {
 				crashAt(t, step, transient, options)
 			}
 		}
@@ -78,25 +78,25 @@
 	m := &faultyMedium{segments: map[uint64]*faultySegment{}, failAt: step, transient: transient, partialPercent: rng.IntN(101)}
 	st, _, err := Open(m, options(&now))
 	require.NoError(t, err)
-	sealed, dropped, possible := writeHistory(st, &now)
+	sealedPageCounts, droppedNames, possiblePageCounts := writeHistory(st, &now)
 	if transient {
-		for name, pages := range sealed {
-			requireResult(t, st, name, pages)
+		for name, pageCount := range sealedPageCounts {
+			requireResult(t, st, name, pageCount)
 		}
 	}
-	st, found, err := Open(m.restart(rng), options(&now))
+	st, recovery, err := Open(m.restart(rng), options(&now))
 	require.NoError(t, err, "step %d", step)
-	require.Empty(t, found.Damage, "a truncated record is not damage")
-	for name, pages := range sealed {
-		requireResult(t, st, name, pages)
+	require.Empty(t, recovery.Damage, "a truncated record is not damage")
+	for name, pageCount := range sealedPageCounts {
+		requireResult(t, st, name, pageCount)
 	}
-	for name := range dropped {
+	for name := range droppedNames {
 		_, _, err := st.Read(name, 0)
 		require.ErrorIs(t, err, ErrNotFound, "%s was dropped and is read again, step %d", name, step)
 	}
-	for name, pages := range possible {
+	for name, pageCount := range possiblePageCounts {
 		if _, _, err := st.Read(name, 0); err == nil {
-			requireResult(t, st, name, pages)
+			requireResult(t, st, name, pageCount)
 		}
 	}
 	requireNothingLeaked(t, st, &now, step)
--- a/internal/spool/directory.go
+++ b/internal/spool/directory.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	segmentSuffix = ".seg" // follows the segment's number, which has 16 hexadecimal digits
-	lockFile      = "lock"
-	privateMode   = 0o600 // results hold private data of their owners
-	directoryMode = 0o700
+	segmentSuffix   = ".seg" // follows the segment's number, which has 16 hexadecimal digits
+	lockFileName    = "lock"
+	privateFileMode = 0o600 // results hold private data of their owners
+	directoryMode   = 0o700
 )
 
 // Directory is a Medium that stores segments as files in one directory. Only the process that holds its lock may write
 // to it.
 type Directory struct {
-	path string
-	lock *os.File // the locked file; nil: the directory was opened for reading only
+	path       string
+	lockedFile *os.File // the locked file; nil: the directory was opened for reading only
 }
 
 // ErrInUse is returned if another process holds the spool's lock.
@@ -34,7 +34,7 @@
 	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(path, lockFile), os.O_CREATE|os.O_RDWR, privateMode)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, privateFileMode)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
@@ -60,10 +60,10 @@
 
 // Close releases the lock.
 func (d *Directory) Close() error {
-	if d.lock == nil {
+	if d.lockedFile == nil {
 		return nil
 	}
-	return d.lock.Close()
+	return d.lockedFile.Close()
 }
 
 func (d *Directory) segmentPath(number uint64) string {
@@ -72,7 +72,7 @@
 
 // Create creates a segment's file and syncs the directory, so that the file is found after a crash.
 func (d *Directory) Create(number uint64) (Segment, error) {
-	f, err := os.OpenFile(d.segmentPath(number), os.O_CREATE|os.O_EXCL|os.O_RDWR|os.O_APPEND, privateMode)
+	f, err := os.OpenFile(d.segmentPath(number), os.O_CREATE|os.O_EXCL|os.O_RDWR|os.O_APPEND, privateFileMode)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
@@ -85,7 +85,7 @@
 
 // Open opens a segment's file.
 func (d *Directory) Open(number uint64) (Segment, error) {
-	f, err := os.OpenFile(d.segmentPath(number), os.O_RDWR|os.O_APPEND, privateMode)
+	f, err := os.OpenFile(d.segmentPath(number), os.O_RDWR|os.O_APPEND, privateFileMode)
 	if err != nil {
 		return nil, fmt.Errorf("spool: %w", err)
 	}
--- a/internal/spool/faultymedium_test.go
+++ b/internal/spool/faultymedium_test.go
@@ -11,27 +11,27 @@
 // fails, or only that one if transient is set. restart drops unsynced bytes from any offset on.
 type faultyMedium struct {
 	segments       map[uint64]*faultySegment
-	step           int // number of steps so far
+	stepCount      int // number of steps so far
 	failAt         int // 0: never
 	transient      bool
-	dead           bool   // if set, every further step fails
+	failsAlways    bool   // if set, every further step fails
 	partialPercent int    // percentage of the bytes of a failing write that are written nevertheless
 	onRead         func() // called once, within the next read
 }
 
 type faultySegment struct {
-	medium *faultyMedium
-	data   []byte
-	synced int // number of bytes that survive a restart
+	medium      *faultyMedium
+	data        []byte
+	syncedBytes int // number of bytes that survive a restart
 }
 
 var errNoSpace = errors.New("no space left on device")
 
 // nextStep counts a step, and returns an error if this step must fail.
 func (m *faultyMedium) nextStep() error {
-	m.step++
-	if m.dead || m.step == m.failAt {
-		m.dead = !m.transient
+	m.stepCount++
+	if m.failsAlways || m.stepCount == m.failAt {
+		m.failsAlways = !m.transient
 		return errNoSpace
 	}
 	return nil
@@ -89,7 +89,7 @@
 	if err := s.medium.nextStep(); err != nil {
 		return err
 	}
-	s.synced = len(s.data)
+	s.syncedBytes = len(s.data)
 	return nil
 }
 
@@ -98,7 +98,7 @@
 		return err
 	}
 	s.data = s.data[:n]
-	s.synced = min(s.synced, int(n))
+	s.syncedBytes = min(s.syncedBytes, int(n))
 	return nil
 }
 
@@ -109,8 +109,8 @@
 func (m *faultyMedium) restart(rng *rand.Rand) *faultyMedium {
 	restarted := &faultyMedium{segments: map[uint64]*faultySegment{}}
 	for number, segment := range m.segments {
-		keep := segment.synced + rng.IntN(len(segment.data)-segment.synced+1)
-		restarted.segments[number] = &faultySegment{medium: restarted, data: slices.Clone(segment.data[:keep]), synced: keep}
+		keep := segment.syncedBytes + rng.IntN(len(segment.data)-segment.syncedBytes+1)
+		restarted.segments[number] = &faultySegment{medium: restarted, data: slices.Clone(segment.data[:keep]), syncedBytes: keep}
 	}
 	return restarted
 }
--- a/internal/spool/fences_test.go
+++ b/internal/spool/fences_test.go
@@ -19,14 +19,14 @@
 
 // The fences file of an earlier release must be honoured, and this release must write the same bytes.
 func TestStoredFencesAreReadAndWrittenUnchanged(t *testing.T) {
-	fixture := filepath.Join("testdata", fencesFile)
+	fixture := filepath.Join("testdata", fencesFileName)
 	runFenced := func(root, job string, fence lease.Fence) error {
 		return RunFenced(root, job, fence, "n1/7f3a", func() error { return nil })
 	}
 	root := testdir.Dir(t)
 	require.NoError(t, runFenced(root, lease.JobCollectSpool, 4))
 	require.NoError(t, runFenced(root, "another-job", 9))
-	written, err := os.ReadFile(filepath.Join(root, fencesFile))
+	written, err := os.ReadFile(filepath.Join(root, fencesFileName))
 	require.NoError(t, err)
 	if *updateFences {
 		require.NoError(t, os.WriteFile(fixture, written, 0o644))
@@ -36,7 +36,7 @@
 	require.Equal(t, string(stored), string(written))
 
 	root = testdir.Dir(t)
-	require.NoError(t, os.WriteFile(filepath.Join(root, fencesFile), stored, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(root, fencesFileName), stored, 0o600))
 	var stale lease.StaleFenceError
 	require.ErrorAs(t, runFenced(root, lease.JobCollectSpool, 3), &stale)
 	require.Equal(t, lease.StaleFenceError{Job: lease.JobCollectSpool, Fence: 3, Highest: 4}, stale)
--- a/internal/spool/golden_test.go
+++ b/internal/spool/golden_test.go
@@ -65,14 +65,14 @@
 	inspection, err := Inspect(dir, true)
 	require.NoError(t, err)
 	golden.JSON(t, "testdata/inspection.golden", inspection)
-	st, found, err := Open(dir, recordedOptions(1e12+1))
+	st, recovery, err := Open(dir, recordedOptions(1e12+1))
 	require.NoError(t, err)
-	require.Equal(t, Recovery{Sealed: 1, Discarded: 1}, found)
+	require.Equal(t, Recovery{Sealed: 1, Discarded: 1}, recovery)
 	for n := range 3 {
-		b, last, err := st.Read("sealed", n)
+		b, isLast, err := st.Read("sealed", n)
 		require.NoError(t, err)
 		require.Equal(t, string(recordedPage(n)), string(b))
-		require.Equal(t, n == 2, last)
+		require.Equal(t, n == 2, isLast)
 	}
 	_, _, err = st.Read("dropped", 0)
 	require.ErrorIs(t, err, ErrNotFound)
--- a/internal/spool/inspect.go
+++ b/internal/spool/inspect.go
@@ -39,17 +39,17 @@
 	if err != nil {
 		return inspection, err
 	}
-	names := map[string]string{}
-	for _, id := range index.order {
+	nameByID := map[string]string{}
+	for _, id := range index.orderedIDs {
 		info, damage := index.describe(id)
 		inspection.Results = append(inspection.Results, info)
 		inspection.Damage = append(inspection.Damage, damage...)
 		if info.Name != "" {
-			names[info.ID] = info.Name
+			nameByID[info.ID] = info.Name
 		}
 	}
 	for i, d := range inspection.Damage {
-		if name, known := names[d.Result]; known {
+		if name, known := nameByID[d.Result]; known {
 			inspection.Damage[i].Result = name
 		}
 	}
@@ -61,17 +61,17 @@
 	r := c.results[id]
 	info = ResultInfo{
 		Name: r.Name, ID: fmt.Sprintf("%x", id), Owner: r.Owner, Class: r.Class,
-		Pages: len(r.pages), Bytes: r.Bytes, SealedAt: r.SealedAtMS, State: stateOpen,
+		Pages: len(r.pageLocations), Bytes: r.Bytes, SealedAt: r.SealedAtMS, State: stateOpen,
 	}
-	pages, complete := r.completePages()
-	_, dropped := c.tombstones[id]
+	pages, isComplete := r.completePages()
+	_, wasDropped := c.tombstones[id]
 	switch {
-	case dropped:
+	case wasDropped:
 		info.State = stateDropped
-	case complete:
+	case isComplete:
 		info.State, info.Pages = stateSealed, len(pages)
-	case r.seal != nil:
-		damage = []Damage{{r.seal.segment, r.seal.offset, r.Name, int(r.pageCount), "the result is sealed, but some of its pages are missing"}}
+	case r.sealLocation != nil:
+		damage = []Damage{{r.sealLocation.segment, r.sealLocation.offset, r.Name, int(r.pageCount), "the result is sealed, but some of its pages are missing"}}
 	}
 	return info, damage
 }
@@ -112,11 +112,11 @@
 	}
 	id := IDFromName(name)
 	r := index.results[id]
-	if _, dropped := index.tombstones[id]; r == nil || dropped {
+	if _, wasDropped := index.tombstones[id]; r == nil || wasDropped {
 		return nil, ErrNotFound
 	}
-	pages, complete := r.completePages()
-	if !complete {
+	pages, isComplete := r.completePages()
+	if !isComplete {
 		return nil, fmt.Errorf("%w: the result is not sealed", ErrNotFound)
 	}
 	if page < 0 || page >= len(pages) {
@@ -132,9 +132,9 @@
 	if err = errors.Join(err, file.Close()); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMedium, err)
 	}
-	b, err := decompress(at, stored)
+	pageBytes, err := decompress(at, stored)
 	if err != nil {
 		return nil, fmt.Errorf("%w: segment %016x, page %d, offset %d: %w", ErrCorruptPage, at.segment, page, at.offset, err)
 	}
-	return b, nil
+	return pageBytes, nil
 }
--- a/internal/spool/ledger/admission.go
+++ b/internal/spool/ledger/admission.go
@@ -59,31 +59,31 @@
 
 // admit decides whether a result may hold more bytes under all quotas: the total, the owner's and the class's. If one
 // is exhausted, it selects results to evict, in the order of evictable. A result that is being read is never
-// selected, nor one that is still retained for a client that has not read it to its end. growing is set for a result
+// selected, nor one that is still retained for a client that has not read it to its end. isGrowing is set for a result
 // that has been begun, and not for a new one.
-func (l *Ledger) admit(now float64, e *resultEntry, bytes int64, growing bool) Decision {
+func (l *Ledger) admit(now float64, e *resultEntry, bytes int64, isGrowing bool) Decision {
 	missing := l.shortageOf(e, bytes)
 	if missing.none() {
 		return Decision{Verdict: Reserved}
 	}
 	reason := missing.reason()
-	var evict []string
+	var namesToEvict []string
 	for _, candidate := range l.evictable(now) {
 		if missing.none() {
 			break
 		}
 		sameOwner, sameClass := candidate.owner == e.owner, candidate.class == e.class
 		if missing.relievedBy(sameOwner, sameClass) {
-			evict = append(evict, candidate.name)
+			namesToEvict = append(namesToEvict, candidate.name)
 			missing.relieve(candidate.bytes(), sameOwner, sameClass)
 		}
 	}
 	if missing.none() {
-		return Decision{Verdict: MustEvict, Evict: evict, Reason: reason}
+		return Decision{Verdict: MustEvict, Evict: namesToEvict, Reason: reason}
 	}
 	verdict := Rejected
 	// A growing result can wait until others free bytes, unless it exceeds its quota by itself: it would wait forever.
-	if growing && l.canWait(e) && e.bytes()+bytes <= l.limits.maxFor(e.class) {
+	if isGrowing && l.canWait(e) && e.bytes()+bytes <= l.limits.maxFor(e.class) {
 		verdict = MustWait
 	}
 	return Decision{Verdict: verdict, RetryAfterMS: l.retryAfterMS(now), Reason: reason}
@@ -94,10 +94,10 @@
 func (l *Ledger) shortageOf(e *resultEntry, bytes int64) shortage {
 	missing := shortage{total: max(l.total+bytes-l.limits.Total, 0)}
 	if quota := l.limits.PerOwner; quota > 0 {
-		missing.owner = max(l.owners[e.owner]+bytes-quota, 0)
+		missing.owner = max(l.bytesByOwner[e.owner]+bytes-quota, 0)
 	}
 	if quota := l.limits.PerClass[e.class]; quota > 0 {
-		missing.class = max(l.classes[e.class]+bytes-quota, 0)
+		missing.class = max(l.bytesByClass[e.class]+bytes-quota, 0)
 	}
 	return missing
 }
@@ -105,17 +105,17 @@
 // evictable returns the results that may be dropped: those that are not being read, and that have been read to their
 // end or whose retention is over. They are sorted by the end of their retention, then by age.
 func (l *Ledger) evictable(now float64) []*resultEntry {
-	var list []*resultEntry
+	var entries []*resultEntry
 	for _, e := range l.results {
-		expired := e.phase == PhaseSealed && now >= l.retainedUntil(e)
-		if e.readers == 0 && (e.phase == PhaseRead || expired) {
-			list = append(list, e)
+		isExpired := e.phase == PhaseSealed && now >= l.retainedUntil(e)
+		if e.readerCount == 0 && (e.phase == PhaseRead || isExpired) {
+			entries = append(entries, e)
 		}
 	}
-	slices.SortFunc(list, func(a, b *resultEntry) int {
+	slices.SortFunc(entries, func(a, b *resultEntry) int {
 		return cmp.Or(cmp.Compare(l.retainedUntil(a), l.retainedUntil(b)), cmp.Compare(a.order, b.order))
 	})
-	return list
+	return entries
 }
 
 // canWait reports whether an older result is still open, or any other result is sealed. The oldest open result never
--- a/internal/spool/ledger/ledger.go
+++ b/internal/spool/ledger/ledger.go
@@ -32,23 +32,23 @@
 type resultEntry struct {
 	name, owner, class       string
 	phase                    Phase
-	reserved, used           int64   // bytes
-	readers                  int     // reads in progress
+	reservedBytes, usedBytes int64   // bytes
+	readerCount              int     // reads in progress
 	sealedAtMS, lastReadAtMS float64 // Unix ms; before the first read, lastReadAtMS is the time of Begin or Seal
 	order                    int     // number of the Begin or Restore that added the result; an older result has a lower one
 }
 
 // bytes returns the size that counts against the quotas: the reservation covers the first pages.
-func (e *resultEntry) bytes() int64 { return max(e.reserved, e.used) }
+func (e *resultEntry) bytes() int64 { return max(e.reservedBytes, e.usedBytes) }
 
 // Ledger accounts for one spool. It is not safe for concurrent use: the spool's lock protects it.
 type Ledger struct {
-	limits  Limits
-	results map[string]*resultEntry
-	total   int64            // bytes of all results
-	owners  map[string]int64 // bytes by owner
-	classes map[string]int64 // bytes by class
-	order   int              // order of the result that was added last
+	limits       Limits
+	results      map[string]*resultEntry
+	total        int64            // bytes of all results
+	bytesByOwner map[string]int64 // bytes by owner
+	bytesByClass map[string]int64 // bytes by class
+	order        int              // order of the result that was added last
 }
 
 // New returns an empty ledger, or a wrapped LimitError.
@@ -56,7 +56,7 @@
 	if err := limits.Check(); err != nil {
 		return nil, fmt.Errorf("spool limits: %w", err)
 	}
-	return &Ledger{limits: limits, results: map[string]*resultEntry{}, owners: map[string]int64{}, classes: map[string]int64{}}, nil
+	return &Ledger{limits: limits, results: map[string]*resultEntry{}, bytesByOwner: map[string]int64{}, bytesByClass: map[string]int64{}}, nil
 }
 
 // ReservedBytes returns the bytes that all results hold, reserved or used.
@@ -68,13 +68,13 @@
 // add changes the sums by the bytes that a result gains, or loses if they are negative.
 func (l *Ledger) add(e *resultEntry, bytes int64) {
 	l.total += bytes
-	l.owners[e.owner] += bytes
-	l.classes[e.class] += bytes
-	if l.owners[e.owner] == 0 {
-		delete(l.owners, e.owner)
+	l.bytesByOwner[e.owner] += bytes
+	l.bytesByClass[e.class] += bytes
+	if l.bytesByOwner[e.owner] == 0 {
+		delete(l.bytesByOwner, e.owner)
 	}
-	if l.classes[e.class] == 0 {
-		delete(l.classes, e.class)
+	if l.bytesByClass[e.class] == 0 {
+		delete(l.bytesByClass, e.class)
 	}
 }
 
@@ -96,7 +96,7 @@
 	if bytes < 0 {
 		return Decision{}, fmt.Errorf("%w: %d bytes for %s", ErrInvalidSize, bytes, name)
 	}
-	e := &resultEntry{name: name, owner: owner, class: class, reserved: bytes, lastReadAtMS: now}
+	e := &resultEntry{name: name, owner: owner, class: class, reservedBytes: bytes, lastReadAtMS: now}
 	d := l.admit(now, e, bytes, false)
 	if d.Verdict == Reserved {
 		l.order++
@@ -117,13 +117,13 @@
 	if bytes < 0 {
 		return Decision{}, fmt.Errorf("%w: %d bytes for %s", ErrInvalidSize, bytes, name)
 	}
-	beyondReservation := max(e.used+bytes, e.reserved) - e.bytes()
+	beyondReservation := max(e.usedBytes+bytes, e.reservedBytes) - e.bytes()
 	d := Decision{Verdict: Reserved}
 	if beyondReservation > 0 {
 		d = l.admit(now, e, beyondReservation, true)
 	}
 	if d.Verdict == Reserved {
-		e.used += bytes
+		e.usedBytes += bytes
 		l.add(e, beyondReservation)
 	}
 	return d, nil
@@ -135,12 +135,12 @@
 	if err != nil {
 		return err
 	}
-	if bytes > e.used {
-		return fmt.Errorf("%w: %d of %d bytes of %s", ErrInvalidSize, bytes, e.used, name)
+	if bytes > e.usedBytes {
+		return fmt.Errorf("%w: %d of %d bytes of %s", ErrInvalidSize, bytes, e.usedBytes, name)
 	}
-	before := e.bytes()
-	e.used -= bytes
-	l.add(e, e.bytes()-before)
+	bytesBefore := e.bytes()
+	e.usedBytes -= bytes
+	l.add(e, e.bytes()-bytesBefore)
 	return nil
 }
 
@@ -150,16 +150,16 @@
 	if err != nil {
 		return err
 	}
-	before := e.bytes()
-	e.phase, e.reserved, e.sealedAtMS, e.lastReadAtMS = PhaseSealed, 0, now, now
-	l.add(e, e.bytes()-before)
+	bytesBefore := e.bytes()
+	e.phase, e.reservedBytes, e.sealedAtMS, e.lastReadAtMS = PhaseSealed, 0, now, now
+	l.add(e, e.bytes()-bytesBefore)
 	return nil
 }
 
 // Restore adds a sealed result that was found on the medium at a restart.
 func (l *Ledger) Restore(name, owner, class string, bytes int64, sealedAtMS float64) {
 	l.order++
-	e := &resultEntry{name: name, owner: owner, class: class, phase: PhaseSealed, used: bytes, sealedAtMS: sealedAtMS, lastReadAtMS: sealedAtMS, order: l.order}
+	e := &resultEntry{name: name, owner: owner, class: class, phase: PhaseSealed, usedBytes: bytes, sealedAtMS: sealedAtMS, lastReadAtMS: sealedAtMS, order: l.order}
 	l.results[name] = e
 	l.add(e, bytes)
 }
@@ -171,17 +171,17 @@
 	if e == nil || e.phase != PhaseOpen && now >= l.retainedUntil(e) {
 		return false
 	}
-	e.readers++
+	e.readerCount++
 	return true
 }
 
 // EndRead ends a read; isLast is set if the read returned the last page.
 func (l *Ledger) EndRead(now float64, name string, isLast bool) {
 	e := l.results[name]
-	if e == nil || e.readers == 0 {
+	if e == nil || e.readerCount == 0 {
 		return
 	}
-	e.readers--
+	e.readerCount--
 	e.lastReadAtMS = max(e.lastReadAtMS, now)
 	if isLast && e.phase == PhaseSealed {
 		e.phase = PhaseRead
--- a/internal/spool/ledger/model_test.go
+++ b/internal/spool/ledger/model_test.go
@@ -25,11 +25,11 @@
 }
 
 type modelResult struct {
-	owner, class         string
-	reserved, used       int64
-	sealedAt, lastReadAt float64 // ms
-	isOpen, readToEnd    bool
-	readers              int
+	owner, class             string
+	reservedBytes, usedBytes int64
+	sealedAt, lastReadAt     float64 // ms
+	isOpen, readToEnd        bool
+	readerCount              int
 }
 
 func (r *modelResult) isRetained(now float64) bool {
@@ -55,7 +55,7 @@
 func (m *model) evict(t *rapid.T, d Decision) {
 	for _, name := range d.Evict {
 		r := m.results[name]
-		if r.isOpen || r.readers > 0 || r.isRetained(m.now) && !r.readToEnd {
+		if r.isOpen || r.readerCount > 0 || r.isRetained(m.now) && !r.readToEnd {
 			t.Fatalf("%s must not be evicted: %+v at %v", name, r, m.now)
 		}
 		m.ledger.Drop(name)
@@ -68,9 +68,9 @@
 	name := fmt.Sprint("r", m.begun)
 	r := &modelResult{
 		owner: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "owner"), class: rapid.SampledFrom([]string{"report", "trip"}).Draw(t, "class"),
-		reserved: rapid.Int64Range(0, 70).Draw(t, "bytes"), isOpen: true,
+		reservedBytes: rapid.Int64Range(0, 70).Draw(t, "bytes"), isOpen: true,
 	}
-	d, err := m.ledger.Begin(m.now, name, r.owner, r.class, r.reserved)
+	d, err := m.ledger.Begin(m.now, name, r.owner, r.class, r.reservedBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	case Reserved:
 		m.results[name] = r
 	case MustEvict:
-		if d, _ = m.ledger.Begin(m.now, name, r.owner, r.class, r.reserved); d.Verdict != Reserved {
+		if d, _ = m.ledger.Begin(m.now, name, r.owner, r.class, r.reservedBytes); d.Verdict != Reserved {
 			t.Fatalf("not reserved after the evictions: %+v", d)
 		}
 		m.results[name] = r
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if err == nil && d.Verdict == Reserved {
-		r.used += bytes
+		r.usedBytes += bytes
 	}
 	m.evict(t, d)
 }
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if err == nil {
-		r.isOpen, r.reserved, r.sealedAt, r.lastReadAt = false, 0, m.now, m.now
+		r.isOpen, r.reservedBytes, r.sealedAt, r.lastReadAt = false, 0, m.now, m.now
 	}
 }
 
@@ -117,7 +117,7 @@
 		t.Fatalf("%s: BeginRead is not %t", name, want)
 	}
 	if want {
-		r.readers++
+		r.readerCount++
 	}
 }
 
@@ -125,8 +125,8 @@
 	name, r := m.draw(t)
 	last := rapid.Bool().Draw(t, "last")
 	m.ledger.EndRead(m.now, name, last)
-	if r.readers > 0 {
-		r.readers--
+	if r.readerCount > 0 {
+		r.readerCount--
 		r.lastReadAt = max(r.lastReadAt, m.now)
 		r.readToEnd = r.readToEnd || last && !r.isOpen
 	}
@@ -145,7 +145,7 @@
 	var sum int64
 	owners, classes := map[string]int64{}, map[string]int64{}
 	for _, r := range m.results {
-		bytes := max(r.reserved, r.used)
+		bytes := max(r.reservedBytes, r.usedBytes)
 		sum += bytes
 		owners[r.owner] += bytes
 		classes[r.class] += bytes
--- a/internal/spool/memory.go
+++ b/internal/spool/memory.go
@@ -70,23 +70,23 @@
 	return len(b), nil
 }
 
-func (s *memorySegment) ReadAt(b []byte, offset int64) (read int, err error) {
+func (s *memorySegment) ReadAt(b []byte, offset int64) (readCount int, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	i, exact := slices.BinarySearch(s.offsets, offset)
-	if !exact {
-		i-- // the piece that contains the offset
+	pieceIndex, startsPiece := slices.BinarySearch(s.offsets, offset)
+	if !startsPiece {
+		pieceIndex-- // the piece that contains the offset
 	}
-	for ; read < len(b) && i >= 0 && i < len(s.pieces); i++ {
-		pieceOffset := offset + int64(read) - s.offsets[i]
-		if pieceOffset < int64(len(s.pieces[i])) {
-			read += copy(b[read:], s.pieces[i][pieceOffset:])
+	for ; readCount < len(b) && pieceIndex >= 0 && pieceIndex < len(s.pieces); pieceIndex++ {
+		pieceOffset := offset + int64(readCount) - s.offsets[pieceIndex]
+		if pieceOffset < int64(len(s.pieces[pieceIndex])) {
+			readCount += copy(b[readCount:], s.pieces[pieceIndex][pieceOffset:])
 		}
 	}
-	if read < len(b) {
-		return read, io.EOF
+	if readCount < len(b) {
+		return readCount, io.EOF
 	}
-	return read, nil
+	return readCount, nil
 }
 
 func (s *memorySegment) Truncate(size int64) error {
--- a/internal/spool/reader.go
+++ b/internal/spool/reader.go
@@ -29,14 +29,14 @@
 	switch {
 	case r == nil:
 		return nil, location{}, nil, ErrNotFound
-	case page < 0 || page >= len(r.pages):
+	case page < 0 || page >= len(r.pageLocations):
 		return nil, location{}, nil, ErrNoPage
 	case !s.ledger.BeginRead(s.options.NowMS(), name):
 		return nil, location{}, nil, ErrExpired
 	}
-	at := r.pages[page]
+	at := r.pageLocations[page]
 	seg := s.segments[at.segment]
-	seg.readers++
+	seg.readerCount++
 	return r, at, seg, nil
 }
 
@@ -44,19 +44,19 @@
 func (s *Store) endRead(r *result, page int, seg *segment, succeeded bool) (isLast bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seg.readers--
-	isLast = r.seal != nil && page == len(r.pages)-1
+	seg.readerCount--
+	isLast = r.sealLocation != nil && page == len(r.pageLocations)-1
 	s.ledger.EndRead(s.options.NowMS(), r.name, isLast && succeeded)
 	return isLast
 }
 
 // Pages returns the number of pages written to a result so far, and whether it is sealed.
-func (s *Store) Pages(name string) (count int, sealed bool, err error) {
+func (s *Store) Pages(name string) (count int, isSealed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.results[IDFromName(name)]
 	if r == nil {
 		return 0, false, ErrNotFound
 	}
-	return len(r.pages), r.seal != nil, nil
+	return len(r.pageLocations), r.sealLocation != nil, nil
 }
--- a/internal/spool/reclaim.go
+++ b/internal/spool/reclaim.go
@@ -28,7 +28,7 @@
 	delete(s.results, r.resultID)
 	s.ledger.Drop(r.name)
 	s.markDead(r)
-	if r.seal == nil {
+	if r.sealLocation == nil {
 		return nil
 	}
 	at, err := s.append(header{kind: kindTombstone, resultID: r.resultID, checksum: xxhash.Sum64(nil)}, nil)
@@ -40,16 +40,16 @@
 }
 
 // Expire drops the results whose retention is over and returns their number. Callers run it periodically.
-func (s *Store) Expire() (dropped int, err error) {
+func (s *Store) Expire() (droppedCount int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range s.ledger.Expired(s.options.NowMS()) {
 		if err := s.drop(s.results[IDFromName(name)]); err != nil {
-			return dropped, err
+			return droppedCount, err
 		}
-		dropped++
+		droppedCount++
 	}
-	return dropped, s.reclaim()
+	return droppedCount, s.reclaim()
 }
 
 // compactBelowRatio is the fraction of live bytes at or below which a segment is compacted.
@@ -61,8 +61,8 @@
 	s.forgetTombstones()
 	for _, number := range slices.Sorted(maps.Keys(s.segments)) {
 		seg := s.segments[number]
-		mostlyLive := float64(seg.liveBytes) > compactBelowRatio*float64(seg.size)
-		if seg == s.current || seg.readers > 0 || mostlyLive {
+		isMostlyLive := float64(seg.liveBytes) > compactBelowRatio*float64(seg.size)
+		if seg == s.currentSegment || seg.readerCount > 0 || isMostlyLive {
 			continue
 		}
 		if seg.liveBytes > 0 {
@@ -83,14 +83,14 @@
 // forgetTombstones marks a tombstone as dead, that is no longer needed, once the result that was dropped has no other
 // record in any segment.
 func (s *Store) forgetTombstones() {
-	for id, at := range s.tombstones {
-		records := 0
+	for id, tombstoneLocation := range s.tombstones {
+		recordCount := 0
 		for _, seg := range s.segments {
-			records += seg.records[id]
+			recordCount += seg.recordCounts[id]
 		}
-		onlyTombstone := records <= 1
-		if onlyTombstone {
-			s.segments[at.segment].liveBytes -= at.size()
+		isOnlyRecord := recordCount <= 1
+		if isOnlyRecord {
+			s.segments[tombstoneLocation.segment].liveBytes -= tombstoneLocation.size()
 			delete(s.tombstones, id)
 		}
 	}
@@ -99,8 +99,8 @@
 // compact copies the live records of a segment to the current one. Results refer to the copies only after these are
 // synced, so that the old records stay valid if the sync fails.
 func (s *Store) compact(seg *segment) error {
-	m := mover{store: s, from: seg}
-	ids := slices.SortedFunc(maps.Keys(seg.records), func(a, b ID) int { return slices.Compare(a[:], b[:]) })
+	m := mover{store: s, fromSegment: seg}
+	ids := slices.SortedFunc(maps.Keys(seg.recordCounts), func(a, b ID) int { return slices.Compare(a[:], b[:]) })
 	for _, id := range ids {
 		if err := m.moveResult(id); err != nil {
 			return err
@@ -117,23 +117,23 @@
 
 // mover copies records from one segment and collects the updates that make the store refer to the copies.
 type mover struct {
-	store   *Store
-	from    *segment
-	updates []func()
+	store       *Store
+	fromSegment *segment
+	updates     []func()
 }
 
 // moveResult copies the records of a result that are in the segment: its pages, seal and tombstone.
 func (m *mover) moveResult(id ID) error {
 	if r := m.store.results[id]; r != nil {
-		for i := range r.pages {
+		for i := range r.pageLocations {
 			page := header{kind: kindPage, resultID: id, page: uint32(i)}
-			if err := m.move(page, r.pages[i], func(to location) { r.pages[i] = to }); err != nil {
+			if err := m.move(page, r.pageLocations[i], func(to location) { r.pageLocations[i] = to }); err != nil {
 				return err
 			}
 		}
-		if r.seal != nil {
-			seal := header{kind: kindSeal, resultID: id, page: uint32(len(r.pages))}
-			if err := m.move(seal, *r.seal, func(to location) { r.seal = &to }); err != nil {
+		if r.sealLocation != nil {
+			seal := header{kind: kindSeal, resultID: id, page: uint32(len(r.pageLocations))}
+			if err := m.move(seal, *r.sealLocation, func(to location) { r.sealLocation = &to }); err != nil {
 				return err
 			}
 		}
@@ -147,12 +147,12 @@
 // move copies one record if it is in the segment. The checksum is copied without being verified, so that a corrupt page
 // stays detectable.
 func (m *mover) move(h header, at location, update func(to location)) error {
-	if at.segment != m.from.number {
+	if at.segment != m.fromSegment.number {
 		return nil
 	}
 	payload := make([]byte, at.length)
-	if _, err := m.from.file.ReadAt(payload, at.payloadOffset()); err != nil {
-		return fmt.Errorf("%w: segment %016x: %w", ErrMedium, m.from.number, err)
+	if _, err := m.fromSegment.file.ReadAt(payload, at.payloadOffset()); err != nil {
+		return fmt.Errorf("%w: segment %016x: %w", ErrMedium, m.fromSegment.number, err)
 	}
 	h.flags, h.checksum = at.flags, at.checksum
 	to, err := m.store.append(h, payload)
--- a/internal/spool/recovery.go
+++ b/internal/spool/recovery.go
@@ -23,7 +23,7 @@
 		recovery.Damage = append(recovery.Damage, damage...)
 	}
 	s.tombstones = index.tombstones
-	for _, id := range index.order {
+	for _, id := range index.orderedIDs {
 		s.recoverResult(id, index.results[id], &recovery)
 	}
 	return recovery, s.reclaim()
@@ -39,13 +39,13 @@
 	if err != nil {
 		return nil, err
 	}
-	seg := &segment{number: number, file: file, records: map[ID]int{}, failed: true}
-	s.segments[number], s.nextNumber = seg, number+1
-	end, damage := scan(number, file, size, false, func(h header, at location, payload []byte) {
-		seg.records[h.resultID]++
+	seg := &segment{number: number, file: file, recordCounts: map[ID]int{}, isRetired: true}
+	s.segments[number], s.nextSegmentNumber = seg, number+1
+	endOffset, damage := scan(number, file, size, false, func(h header, at location, payload []byte) {
+		seg.recordCounts[h.resultID]++
 		index.add(h, at, payload)
 	})
-	seg.size = end
+	seg.size = endOffset
 	return damage, nil
 }
 
@@ -60,7 +60,7 @@
 		recovery.Discarded++
 		return
 	}
-	sealed := &result{name: r.Name, resultID: id, owner: r.Owner, class: r.Class, seal: r.seal, bytes: r.Bytes, pages: pages}
+	sealed := &result{name: r.Name, resultID: id, owner: r.Owner, class: r.Class, sealLocation: r.sealLocation, storedBytes: r.Bytes, pageLocations: pages}
 	s.results[id] = sealed
 	s.ledger.Restore(r.Name, r.Owner, r.Class, r.Bytes, r.SealedAtMS)
 	recovery.Sealed++
--- a/internal/spool/scan.go
+++ b/internal/spool/scan.go
@@ -25,40 +25,40 @@
 // and, if verifyPages is set, those of all records. A corrupt seal is skipped; for other records with a corrupt payload,
 // visit is called with a nil payload. scan returns the offset at which the last complete record ends. A truncated record
 // after that is not damage, as a crash during a write leaves one.
-func scan(segment uint64, file io.ReaderAt, size int64, verifyPages bool, visit func(h header, at location, payload []byte)) (end int64, damage []Damage) {
+func scan(segment uint64, file io.ReaderAt, size int64, verifyPages bool, visit func(h header, at location, payload []byte)) (endOffset int64, damage []Damage) {
 	var buffer [headerSize]byte
-	for end < size {
-		h, err := readHeader(file, buffer[:], end, size)
+	for endOffset < size {
+		h, err := readHeader(file, buffer[:], endOffset, size)
 		if errors.Is(err, errTruncated) {
-			return end, damage
+			return endOffset, damage
 		}
 		if err != nil {
-			return end, append(damage, Damage{Segment: segment, Offset: end, Problem: err.Error()})
+			return endOffset, append(damage, Damage{Segment: segment, Offset: endOffset, Problem: err.Error()})
 		}
-		at := location{segment: segment, offset: end, length: h.length, checksum: h.checksum, flags: h.flags}
+		at := location{segment: segment, offset: endOffset, length: h.length, checksum: h.checksum, flags: h.flags}
 		var payload []byte
 		if verifyPages || h.kind == kindSeal {
 			if payload, err = readPayload(file, at); errors.Is(err, errCorruptPayload) {
-				damage = append(damage, Damage{segment, end, fmt.Sprintf("%x", h.resultID), int(h.page), err.Error()})
+				damage = append(damage, Damage{segment, endOffset, fmt.Sprintf("%x", h.resultID), int(h.page), err.Error()})
 			} else if err != nil {
-				return end, append(damage, Damage{Segment: segment, Offset: end, Page: int(h.page), Problem: err.Error()})
+				return endOffset, append(damage, Damage{Segment: segment, Offset: endOffset, Page: int(h.page), Problem: err.Error()})
 			}
 		}
 		if h.kind != kindSeal || payload != nil {
 			visit(h, at, payload)
 		}
-		end += at.size()
+		endOffset += at.size()
 	}
-	return end, damage
+	return endOffset, damage
 }
 
 // readHeader reads the header at an offset. It returns errTruncated if the record extends beyond the segment's size.
 func readHeader(file io.ReaderAt, buffer []byte, offset, size int64) (header, error) {
-	read, err := file.ReadAt(buffer[:min(headerSize, size-offset)], offset)
+	readCount, err := file.ReadAt(buffer[:min(headerSize, size-offset)], offset)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return header{}, err
 	}
-	h, err := parseHeader(buffer[:read])
+	h, err := parseHeader(buffer[:readCount])
 	if err == nil && offset+headerSize+int64(h.length) > size {
 		return header{}, errTruncated
 	}
--- a/internal/spool/segment.go
+++ b/internal/spool/segment.go
@@ -7,18 +7,18 @@
 
 // segment is a file of records with its accounting. The store's lock protects it.
 type segment struct {
-	number    uint64
-	file      Segment
-	size      int64      // bytes
-	liveBytes int64      // bytes of the records that are still needed
-	records   map[ID]int // number of records of each result, dead ones included
-	failed    bool       // no more records are appended, as the last one may be incomplete
-	dirty     bool       // some records were appended after the last sync
-	readers   int        // reads in progress; the segment is not removed while there are any
+	number       uint64
+	file         Segment
+	size         int64      // bytes
+	liveBytes    int64      // bytes of the records that are still needed
+	recordCounts map[ID]int // number of records of each result, dead ones included
+	isRetired    bool       // no more records are appended, as the last one may be incomplete
+	hasUnsynced  bool       // some records were appended after the last sync
+	readerCount  int        // reads in progress; the segment is not removed while there are any
 }
 
-// maxBufferKept is the largest buffer, in bytes, that is kept for the next record.
-const maxBufferKept = 1 << 20
+// maxKeptBufferBytes is the largest buffer, in bytes, that is kept for the next record.
+const maxKeptBufferBytes = 1 << 20
 
 var errShortWrite = errors.New("short write")
 
@@ -28,10 +28,10 @@
 	if err := s.ensureSegment(); err != nil {
 		return location{}, err
 	}
-	seg := s.current
+	seg := s.currentSegment
 	record := appendRecord(s.recordBuffer[:0], h, payload)
 	s.recordBuffer = record
-	if cap(record) > maxBufferKept {
+	if cap(record) > maxKeptBufferBytes {
 		s.recordBuffer = nil
 	}
 	written, err := seg.file.Write(record)
@@ -47,37 +47,37 @@
 	at := location{segment: seg.number, offset: seg.size, length: uint32(len(payload)), checksum: h.checksum, flags: h.flags}
 	seg.size += int64(len(record))
 	seg.liveBytes += int64(len(record))
-	seg.records[h.resultID]++
-	seg.dirty = true
+	seg.recordCounts[h.resultID]++
+	seg.hasUnsynced = true
 	return at, nil
 }
 
 // ensureSegment creates a segment if there is no current one or it is full.
 func (s *Store) ensureSegment() error {
-	if s.current != nil && s.current.size < s.options.SegmentBytes {
+	if s.currentSegment != nil && s.currentSegment.size < s.options.SegmentBytes {
 		return nil
 	}
-	number := s.nextNumber
-	s.nextNumber++ // incremented after a failure too, which may leave a file with that number
+	number := s.nextSegmentNumber
+	s.nextSegmentNumber++ // incremented after a failure too, which may leave a file with that number
 	file, err := s.medium.Create(number)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrMedium, err)
 	}
-	s.current = &segment{number: number, file: file, records: map[ID]int{}}
-	s.segments[number] = s.current
+	s.currentSegment = &segment{number: number, file: file, recordCounts: map[ID]int{}}
+	s.segments[number] = s.currentSegment
 	return nil
 }
 
 // retire ends appending to a segment after an error. Its unsynced records may be lost, so every open result with
 // records in it is marked as damaged.
 func (s *Store) retire(seg *segment) {
-	seg.failed, seg.dirty = true, false
-	if s.current == seg {
-		s.current = nil
+	seg.isRetired, seg.hasUnsynced = true, false
+	if s.currentSegment == seg {
+		s.currentSegment = nil
 	}
 	for _, r := range s.results {
-		if r.seal == nil && seg.records[r.resultID] > 0 {
-			r.damaged = true
+		if r.sealLocation == nil && seg.recordCounts[r.resultID] > 0 {
+			r.isDamaged = true
 		}
 	}
 }
@@ -86,14 +86,14 @@
 // were lost.
 func (s *Store) sync() error {
 	for _, seg := range s.segments {
-		if !seg.dirty {
+		if !seg.hasUnsynced {
 			continue
 		}
 		if err := seg.file.Sync(); err != nil {
 			s.retire(seg)
 			return fmt.Errorf("%w: segment %016x: %w", ErrMedium, seg.number, err)
 		}
-		seg.dirty = false
+		seg.hasUnsynced = false
 	}
 	return nil
 }
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -42,38 +42,38 @@
 // Store is a spool. It is safe for concurrent use: mu protects all fields and the segments' accounting. Only Read
 // accesses the medium without holding it.
 type Store struct {
-	mu           sync.Mutex
-	medium       Medium
-	options      Options
-	ledger       *ledger.Ledger
-	results      map[ID]*result
-	segments     map[uint64]*segment
-	current      *segment // segment to which records are appended; nil: the next append creates one
-	nextNumber   uint64   // number of the next segment
-	recordBuffer []byte   // reused between appends
+	mu                sync.Mutex
+	medium            Medium
+	options           Options
+	ledger            *ledger.Ledger
+	results           map[ID]*result
+	segments          map[uint64]*segment
+	currentSegment    *segment // segment to which records are appended; nil: the next append creates one
+	nextSegmentNumber uint64   // number of the next segment
+	recordBuffer      []byte   // reused between appends
 	// tombstones holds the location of the tombstone of each dropped result that has older records in some segment.
 	tombstones map[ID]location
 }
 
 // result is an open or sealed result of the store.
 type result struct {
-	name     string
-	resultID ID
-	owner    string
-	class    string
-	pages    []location
-	seal     *location // where the seal is stored; nil: the result is open
-	bytes    int64     // stored size of the pages
-	damaged  bool      // some of the result's records may not have reached the medium
+	name          string
+	resultID      ID
+	owner         string
+	class         string
+	pageLocations []location
+	sealLocation  *location // where the seal is stored; nil: the result is open
+	storedBytes   int64     // stored size of the pages
+	isDamaged     bool      // some of the result's records may not have reached the medium
 }
 
 // eachRecord calls f for each live record of the result.
 func (r *result) eachRecord(f func(location)) {
-	for _, page := range r.pages {
+	for _, page := range r.pageLocations {
 		f(page)
 	}
-	if r.seal != nil {
-		f(*r.seal)
+	if r.sealLocation != nil {
+		f(*r.sealLocation)
 	}
 }
 
--- a/internal/spool/store_test.go
+++ b/internal/spool/store_test.go
@@ -22,12 +22,12 @@
 	return bytes.Repeat([]byte(fmt.Sprintf("%s page %d\t", name, i)), 10+i*7)
 }
 
-func requireResult(t *testing.T, st *Store, name string, pages int) {
-	for i := range pages {
-		b, last, err := st.Read(name, i)
+func requireResult(t *testing.T, st *Store, name string, pageCount int) {
+	for i := range pageCount {
+		b, isLast, err := st.Read(name, i)
 		require.NoError(t, err, "%s page %d", name, i)
 		require.Equal(t, pageOf(name, i), b)
-		require.Equal(t, i == pages-1, last)
+		require.Equal(t, i == pageCount-1, isLast)
 	}
 }
 
@@ -56,7 +56,7 @@
 			requireResult(t, st, "c", 4)
 			continue
 		}
-		at := st.results[IDFromName("b")].pages[2]
+		at := st.results[IDFromName("b")].pageLocations[2]
 		faulty.segments[at.segment].data[at.offset+headerSize+5] ^= 1
 		_, _, err = st.Read("b", 2)
 		require.ErrorIs(t, err, ErrCorruptPage)
@@ -81,12 +81,12 @@
 	st, _, err := Open(m, options)
 	require.NoError(t, err)
 	writeSealed(t, st, "a", 4)
-	var uncompressed int64
+	var uncompressedBytes int64
 	for i := range 4 {
-		uncompressed += int64(len(pageOf("a", i)))
+		uncompressedBytes += int64(len(pageOf("a", i)))
 	}
-	reserved := st.Usage().ReservedBytes
-	require.Less(t, reserved, uncompressed/2, "text compresses to less than half")
+	reservedBytes := st.Usage().ReservedBytes
+	require.Less(t, reservedBytes, uncompressedBytes/2, "text compresses to less than half")
 	noise := make([]byte, 2000)
 	rng := rand.New(rand.NewPCG(5, 5))
 	for i := range noise {
@@ -96,7 +96,7 @@
 	require.NoError(t, err)
 	require.NoError(t, w.WritePage(noise))
 	require.NoError(t, w.Seal())
-	require.Zero(t, st.results[IDFromName("noise")].pages[0].flags, "a page that does not shrink is stored uncompressed")
+	require.Zero(t, st.results[IDFromName("noise")].pageLocations[0].flags, "a page that does not shrink is stored uncompressed")
 	b, _, err := st.Read("noise", 0)
 	require.NoError(t, err)
 	require.Equal(t, noise, b)
@@ -107,17 +107,17 @@
 	st, _, err = Open(m, options)
 	require.NoError(t, err)
 	requireResult(t, st, "a", 4)
-	at := st.results[IDFromName("a")].pages[1]
+	at := st.results[IDFromName("a")].pageLocations[1]
 	require.Equal(t, byte(flagZstd), at.flags)
 	m.segments[at.segment].data[at.offset+headerSize+3] ^= 1
 	_, _, err = st.Read("a", 1)
 	require.ErrorIs(t, err, ErrCorruptPage)
 }
 
-func writeSealed(t *testing.T, st *Store, name string, pages int) {
+func writeSealed(t *testing.T, st *Store, name string, pageCount int) {
 	w, err := st.Begin(name, "x", "report", 0)
 	require.NoError(t, err)
-	for i := range pages {
+	for i := range pageCount {
 		require.NoError(t, w.WritePage(pageOf(name, i)))
 	}
 	require.NoError(t, w.Seal())
@@ -131,16 +131,16 @@
 	require.NoError(t, err)
 	writeSealed(t, st, "a", 12)
 	writeSealed(t, st, "b", 12)
-	first := st.results[IDFromName("a")].pages[0].segment
+	firstSegment := st.results[IDFromName("a")].pageLocations[0].segment
 	m.onRead = func() {
 		require.NoError(t, st.Drop("a"))
-		require.Contains(t, m.segments, first)
+		require.Contains(t, m.segments, firstSegment)
 	}
 	b, _, err := st.Read("a", 0)
 	require.NoError(t, err)
 	require.Equal(t, pageOf("a", 0), b)
 	require.NoError(t, st.Drop("b"))
-	require.NotContains(t, m.segments, first, "the segment is removed after the read")
+	require.NotContains(t, m.segments, firstSegment, "the segment is removed after the read")
 }
 
 func TestFailedWriteReservesNothing(t *testing.T) {
@@ -151,7 +151,7 @@
 	w, err := st.Begin("a", "x", "report", 0)
 	require.NoError(t, err)
 	require.NoError(t, w.WritePage(make([]byte, 100)))
-	m.failAt = m.step + 1
+	m.failAt = m.stepCount + 1
 	require.ErrorIs(t, w.WritePage(make([]byte, 100)), ErrMedium)
 	require.EqualValues(t, 100, st.Usage().ReservedBytes)
 	require.NoError(t, w.WritePage(make([]byte, 100)), "the disk has space again")
@@ -166,7 +166,7 @@
 	st, _, err := Open(m, testOptions(&now))
 	require.NoError(t, err)
 	writeSealed(t, st, "a", 3)
-	at := st.results[IDFromName("a")].pages[1]
+	at := st.results[IDFromName("a")].pageLocations[1]
 	m.segments[at.segment].data[at.offset+pageOffset] ^= 2
 	inspection, err := Inspect(m, true)
 	require.NoError(t, err)
@@ -187,20 +187,20 @@
 	w, err := st.Begin("a", "x", "report", 100)
 	require.NoError(t, err)
 	require.NoError(t, w.WritePage(make([]byte, 600)))
-	b, last, err := st.Read("a", 0)
+	b, isLast, err := st.Read("a", 0)
 	require.NoError(t, err)
 	require.Len(t, b, 600)
-	require.False(t, last, "the result is not sealed")
-	var full CapacityError
-	require.ErrorAs(t, w.WritePage(make([]byte, 600)), &full, "the spool fills up in the middle of a result")
+	require.False(t, isLast, "the result is not sealed")
+	var capacityErr CapacityError
+	require.ErrorAs(t, w.WritePage(make([]byte, 600)), &capacityErr, "the spool fills up in the middle of a result")
 	require.NoError(t, w.WritePage(make([]byte, 400)), "a smaller page fits")
 	require.NoError(t, w.Seal())
 	require.ErrorIs(t, w.WritePage(nil), ErrExpired)
 	_, _, err = st.Read("a", 2)
 	require.ErrorIs(t, err, ErrNoPage)
 	_, err = st.Begin("b", "x", "report", 500)
-	require.ErrorAs(t, err, &full)
-	require.Equal(t, 100.0, full.RetryAfterMS)
+	require.ErrorAs(t, err, &capacityErr)
+	require.Equal(t, 100.0, capacityErr.RetryAfterMS)
 	now = 1000
 	_, _, err = st.Read("a", 1)
 	require.ErrorIs(t, err, ErrExpired, "the result expires at the end of its retention")
@@ -214,7 +214,7 @@
 	st, _, err := Open(NewMemory(), Options{SegmentBytes: 2000, NowMS: func() float64 { return 0 },
 		Limits: ledger.Limits{Total: 1 << 20, RetentionMS: 1, MaxRetentionMS: 1}})
 	require.NoError(t, err)
-	done := make(chan error, 64)
+	writerErrs := make(chan error, 64)
 	for k := range 64 {
 		go func() {
 			name := fmt.Sprint("r", k)
@@ -230,27 +230,27 @@
 			if err == nil {
 				err = errors.Join(w.Seal(), st.Drop(name))
 			}
-			done <- err
+			writerErrs <- err
 		}()
 	}
 	for range 64 {
-		require.NoError(t, <-done)
+		require.NoError(t, <-writerErrs)
 	}
 	require.Zero(t, st.Usage().ReservedBytes)
 	require.LessOrEqual(t, st.Usage().Segments, 2)
 }
 
 func FuzzScan(f *testing.F) {
-	good := appendRecord(nil, header{kind: kindPage, resultID: IDFromName("a"), checksum: 7}, []byte("page"))
-	f.Add(good)
-	f.Add(append(good, good[:30]...))
+	validRecord := appendRecord(nil, header{kind: kindPage, resultID: IDFromName("a"), checksum: 7}, []byte("page"))
+	f.Add(validRecord)
+	f.Add(append(validRecord, validRecord[:30]...))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		end, _ := scan(1, bytes.NewReader(b), int64(len(b)), true, func(_ header, at location, _ []byte) {
+		endOffset, _ := scan(1, bytes.NewReader(b), int64(len(b)), true, func(_ header, at location, _ []byte) {
 			if at.offset+at.size() > int64(len(b)) {
 				t.Fatal("a record extends beyond the end of the segment")
 			}
 		})
-		if end > int64(len(b)) {
+		if endOffset > int64(len(b)) {
 			t.Fatal("the returned end is beyond the end of the segment")
 		}
 	})
--- a/internal/spool/writer.go
+++ b/internal/spool/writer.go
@@ -60,9 +60,9 @@
 // ErrMedium if records of it may be lost. The caller holds the store's lock.
 func (w *Writer) checkOpen() error {
 	switch {
-	case w.store.results[w.result.resultID] != w.result || w.result.seal != nil:
+	case w.store.results[w.result.resultID] != w.result || w.result.sealLocation != nil:
 		return ErrExpired
-	case w.result.damaged:
+	case w.result.isDamaged:
 		return ErrMedium
 	}
 	return nil
@@ -85,14 +85,14 @@
 	if err != nil {
 		return err
 	}
-	number := uint32(len(w.result.pages))
+	number := uint32(len(w.result.pageLocations))
 	at, err := s.append(header{kind: kindPage, flags: flags, resultID: w.result.resultID, page: number, checksum: xxhash.Sum64(stored)}, stored)
 	if err != nil {
 		_ = s.ledger.Shrink(w.result.name, size)
 		return err
 	}
-	w.result.pages = append(w.result.pages, at)
-	w.result.bytes += size
+	w.result.pageLocations = append(w.result.pageLocations, at)
+	w.result.storedBytes += size
 	return nil
 }
 
@@ -106,7 +106,7 @@
 		return err
 	}
 	now := s.options.NowMS()
-	text, err := json.Marshal(sealRecord{r.name, r.owner, r.class, r.bytes, now})
+	sealJSON, err := json.Marshal(sealRecord{r.name, r.owner, r.class, r.storedBytes, now})
 	if err != nil {
 		return fmt.Errorf("spool: seal of %s: %w", r.name, err)
 	}
@@ -114,14 +114,14 @@
 	if err := s.sync(); err != nil {
 		return err
 	}
-	at, err := s.append(header{kind: kindSeal, resultID: r.resultID, page: uint32(len(r.pages)), checksum: xxhash.Sum64(text)}, text)
+	at, err := s.append(header{kind: kindSeal, resultID: r.resultID, page: uint32(len(r.pageLocations)), checksum: xxhash.Sum64(sealJSON)}, sealJSON)
 	if err != nil {
 		return err
 	}
 	if err := s.sync(); err != nil {
 		return err
 	}
-	r.seal = &at
+	r.sealLocation = &at
 	return s.ledger.Seal(now, r.name)
 }
 
@@ -135,8 +135,8 @@
 		return err
 	}
 	s.markDead(r)
-	err := s.ledger.Shrink(r.name, r.bytes)
-	r.pages, r.bytes = nil, 0
+	err := s.ledger.Shrink(r.name, r.storedBytes)
+	r.pageLocations, r.storedBytes = nil, 0
 	return errors.Join(err, s.reclaim())
 }
 
