--- a/cmd/aniseloft/admin_test.go
+++ b/cmd/aniseloft/admin_test.go
@@ -25,7 +25,7 @@
 // must come within adminAnswerLimit.
 func (p *coordinator) adminCall(line string) string {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.admin)
+	c, err := net.Dial("tcp", p.adminAddr)
 	require.NoError(p.t, err)
 	defer func() { _ = c.Close() }()
 	start := time.Now()
@@ -46,8 +46,8 @@
 }
 
 // requireLookupsServed sends n quick look-ups one after another, and requires that each is served.
-func requireLookupsServed(t *testing.T, c *client, firstID, n int) {
-	for id := firstID; id < firstID+n; id++ {
+func requireLookupsServed(t *testing.T, c *client, firstID, lookupCount int) {
+	for id := firstID; id < firstID+lookupCount; id++ {
 		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(id, "trip-lookup", "x", 9000))))
 	}
 }
@@ -71,7 +71,7 @@
 		require.True(t, strings.HasPrefix(p.adminCall(line), wantPrefix), "%q", line)
 	}
 	// A call without its newline is rejected, even where its words are complete.
-	c, err := net.Dial("tcp", p.admin)
+	c, err := net.Dial("tcp", p.adminAddr)
 	require.NoError(t, err)
 	_, err = io.WriteString(c, "SUSPEND s-00000001")
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	_ = c.Close()
 
 	require.Equal(t, "ACK serving", p.adminCall("status"))
-	d := dialClient(t, p.listen)
+	d := dialClient(t, p.clientAddr)
 	requireLookupsServed(t, d, 1, 20)
 	require.Positive(t, a.count(&a.attempts, "x"), "no engine was suspended")
 }
@@ -92,7 +92,7 @@
 	p, a, b, j := startWithTwoEngines(t)
 	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
 	require.Contains(t, p.adminCall("SUSPEND s-00000001"), "ACK s-00000001 out already (2 calls")
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	requireLookupsServed(t, c, 1, 20)
 	// The endpoint list reports the engine as active again; the suspension still holds.
 	j.add(false, serverEntry(1, a, "active"))
@@ -119,7 +119,7 @@
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
 	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	start := time.Now()
 	answer := c.call(queryLine(1, "trip-lookup", "x", 9000))
 	require.Contains(t, answer, `"code":-32000`, "nothing ran, so a retry is safe")
@@ -130,9 +130,9 @@
 func TestPauseRejectsClientsAndResumeAdmitsThem(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	idle, busy := dialClient(t, p.listen), dialClient(t, p.listen)
-	requireLookupsServed(t, idle, 1, 1)
-	busy.send(queryLine(1, "ridership-report", "stay", 9000))
+	idleClient, busyClient := dialClient(t, p.clientAddr), dialClient(t, p.clientAddr)
+	requireLookupsServed(t, idleClient, 1, 1)
+	busyClient.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 
 	require.Equal(t, "ACK paused", p.adminCall("PAUSE"))
@@ -141,30 +141,30 @@
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("by_hand paused=true out=\n")
 	// An idle connection is closed at once.
-	require.NoError(t, idle.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
-	_, err := idle.reader.ReadString('\n')
+	require.NoError(t, idleClient.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
+	_, err := idleClient.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF)
 	// On a new connection the first request is still served, as it may have been sent before the pause; an alive
 	// call is answered with "pass":false.
-	newClient := dialClient(t, p.listen)
+	newClient := dialClient(t, p.clientAddr)
 	require.Contains(t, newClient.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
 	// A connection with an open request stays until that is answered; later requests on it are rejected.
 	time.Sleep(1700 * time.Millisecond)
-	rejected := busy.call(queryLine(2, "trip-lookup", "x", 9000))
-	require.Contains(t, rejected, `"code":-32000`)
-	require.Contains(t, rejected, `"pushback":100`)
+	rejectedAnswer := busyClient.call(queryLine(2, "trip-lookup", "x", 9000))
+	require.Contains(t, rejectedAnswer, `"code":-32000`)
+	require.Contains(t, rejectedAnswer, `"pushback":100`)
 	close(e.release)
-	require.Contains(t, busy.readLine(), `"id":1,"result"`)
-	require.NoError(t, busy.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
-	_, err = busy.reader.ReadString('\n')
+	require.Contains(t, busyClient.readLine(), `"id":1,"result"`)
+	require.NoError(t, busyClient.SetReadDeadline(time.Now().Add(adminAnswerLimit)))
+	_, err = busyClient.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF, "the connection is closed once no request is open")
 
 	require.Equal(t, "ACK resumed", p.adminCall("RESUME"))
 	require.Equal(t, "ACK not paused", p.adminCall("RESUME"))
 	require.Equal(t, "ACK serving", p.adminCall("STATUS"))
-	resumed := dialClient(t, p.listen)
-	require.Contains(t, resumed.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":true`)
-	requireLookupsServed(t, resumed, 2, 3)
+	clientAfterResume := dialClient(t, p.clientAddr)
+	require.Contains(t, clientAfterResume.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":true`)
+	requireLookupsServed(t, clientAfterResume, 2, 3)
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("by_hand paused=false out=\n")
 }
@@ -173,29 +173,29 @@
 	t.Parallel()
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
-	p := &coordinator{t: t, dir: testdir.Dir(t), listen: freeAddress(t), admin: freeAddress(t), maxSockets: 384, log: &bytes.Buffer{}}
+	p := &coordinator{t: t, dir: testdir.Dir(t), clientAddr: freeAddress(t), adminAddr: freeAddress(t), maxSockets: 384, log: &bytes.Buffer{}}
 	p.configure(j)
 	p.start(os.Environ())
-	var slow []net.Conn
+	var slowCallers []net.Conn
 	for range 24 { // more than the admin address admits (8 of 384 descriptors): the oldest are closed
-		c, err := net.Dial("tcp", p.admin)
+		c, err := net.Dial("tcp", p.adminAddr)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		_, err = c.Write([]byte("S"))
 		require.NoError(t, err)
-		slow = append(slow, c)
+		slowCallers = append(slowCallers, c)
 	}
 	for i := range 3 {
-		for _, c := range slow[len(slow)-6:] {
+		for _, c := range slowCallers[len(slowCallers)-6:] {
 			_, _ = c.Write([]byte("TATUS"[i : i+1]))
 		}
 		require.Equal(t, "ACK serving", p.adminCall("STATUS"))
 		time.Sleep(time.Second)
 	}
 	// A caller that sends one byte a second is told that its line did not end in time.
-	last := slow[len(slow)-1]
-	require.NoError(t, last.SetReadDeadline(time.Now().Add(maxWait)))
-	answer, err := bufio.NewReader(last).ReadString('\n')
+	lastCaller := slowCallers[len(slowCallers)-1]
+	require.NoError(t, lastCaller.SetReadDeadline(time.Now().Add(maxWait)))
+	answer, err := bufio.NewReader(lastCaller).ReadString('\n')
 	require.NoError(t, err)
 	require.Equal(t, "NAK the line did not end in time\n", answer)
 }
@@ -212,7 +212,7 @@
 	p.waitForLog("state file not used; kept aside")
 	_, err := os.Stat(stateFile)
 	require.ErrorIs(t, err, os.ErrNotExist)
-	requireLookupsServed(t, dialClient(t, p.listen), 1, 3)
+	requireLookupsServed(t, dialClient(t, p.clientAddr), 1, 3)
 	// The next suspension is written to a new and complete file, which a later process can read.
 	require.Equal(t, "ACK s-00000001 out", p.adminCall("SUSPEND s-00000001"))
 	raw, err := os.ReadFile(stateFile)
@@ -226,7 +226,7 @@
 	require.Equal(t, "ACK s-00000001 out", oldProcess.adminCall("SUSPEND s-00000001"))
 	// The new process listens at the same client address beside the old one, with an admin address of its own
 	// and the same $TMPDIR.
-	newProcess := &coordinator{t: t, dir: oldProcess.dir, listen: oldProcess.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
+	newProcess := &coordinator{t: t, dir: oldProcess.dir, clientAddr: oldProcess.clientAddr, adminAddr: freeAddress(t), log: &bytes.Buffer{}}
 	newProcess.configure(j)
 	newProcess.start(os.Environ())
 	require.Equal(t, "ACK serving", newProcess.adminCall("STATUS"))
@@ -235,7 +235,7 @@
 	require.NoError(t, oldProcess.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, oldProcess.Wait())
 	newProcess.waitForCounters("out=s-00000001:1,s-00000002:1")
-	c := dialClient(t, newProcess.listen)
+	c := dialClient(t, newProcess.clientAddr)
 	answer := c.call(queryLine(1, "trip-lookup", "x", 1500))
 	require.Contains(t, answer, `"code":-32000`, "both engines are suspended")
 	require.Equal(t, "ACK s-00000002 back, cold", newProcess.adminCall("RESTORE s-00000002"))
@@ -247,7 +247,7 @@
 func TestSIGTERMWhilePausedAnswersOpenRequests(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	require.Equal(t, "ACK paused", p.adminCall("PAUSE"))
@@ -264,33 +264,33 @@
 // on SIGUSR1.
 func (p *coordinator) acceptedConnections() int {
 	p.t.Helper()
-	printed := strings.Count(p.logged(), "counters client_connections")
+	printedBefore := strings.Count(p.logged(), "counters client_connections")
 	require.NoError(p.t, p.Process.Signal(syscall.SIGUSR1))
-	eventually(p.t, func() bool { return strings.Count(p.logged(), "counters client_connections") > printed })
+	eventually(p.t, func() bool { return strings.Count(p.logged(), "counters client_connections") > printedBefore })
 	text := p.logged()
 	line := text[strings.LastIndex(text, "counters client_connections"):]
 	_, count, found := strings.Cut(line, "taken=")
 	require.True(p.t, found, line)
-	var n int
-	_, err := fmt.Sscanf(count, "%d", &n)
+	var acceptedCount int
+	_, err := fmt.Sscanf(count, "%d", &acceptedCount)
 	require.NoError(p.t, err)
-	return n
+	return acceptedCount
 }
 
 func TestUpgradeLeavesNewConnectionsToTheSuccessor(t *testing.T) {
 	t.Parallel()
 	oldProcess, e, j := startWithOneEngine(t, false)
-	heldClient := dialClient(t, oldProcess.listen) // accepted by the old process, which still listens alone
+	heldClient := dialClient(t, oldProcess.clientAddr) // accepted by the old process, which still listens alone
 	heldClient.send(queryLine(1, "ridership-report", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	newProcess := &coordinator{t: t, dir: oldProcess.dir, listen: oldProcess.listen, admin: freeAddress(t), log: &bytes.Buffer{}}
+	newProcess := &coordinator{t: t, dir: oldProcess.dir, clientAddr: oldProcess.clientAddr, adminAddr: freeAddress(t), log: &bytes.Buffer{}}
 	newProcess.configure(j)
 	newProcess.start(os.Environ())
 	require.NoError(t, oldProcess.Process.Signal(syscall.SIGTERM))
 	oldProcess.waitForLog("a successor serves at the clients' address")
 	acceptedBefore := oldProcess.acceptedConnections()
 	for id := 1; id <= 20; id++ {
-		c := dialClient(t, oldProcess.listen)
+		c := dialClient(t, oldProcess.clientAddr)
 		requireLookupsServed(t, c, id, 1)
 		_ = c.Close()
 	}
@@ -300,13 +300,13 @@
 	_, err := heldClient.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF, "the connection is closed after its last answer")
 	require.NoError(t, oldProcess.Wait())
-	requireLookupsServed(t, dialClient(t, newProcess.listen), 21, 3)
+	requireLookupsServed(t, dialClient(t, newProcess.clientAddr), 21, 3)
 }
 
 func TestSIGTERMAnswersLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "ridership-report", "stay", 20000))
 	c.send(queryLine(2, "timetable-load", "stay load", 20000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") >= 1 && e.count(&e.attempts, "stay load") == 1 })
@@ -331,7 +331,7 @@
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p := startWithSettings(t, testdir.Dir(t), j, "", 0, "", shortDeadlines)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "timetable-load", "stay", 6000)) // clients may wait for four times the deadline
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	start := time.Now()
@@ -346,15 +346,15 @@
 func TestSIGTERMEndsInTimeWhileClientsKeepSending(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "ridership-report", "stay", 20000)) // keeps the connection open
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	answered := make(chan int, 1)
+	answerCount := make(chan int, 1)
 	go func() {
 		n := 0
 		for {
 			if _, err := c.reader.ReadString('\n'); err != nil {
-				answered <- n
+				answerCount <- n
 				return
 			}
 			n++
@@ -362,9 +362,9 @@
 	}()
 	start := time.Now()
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	sent := 1
-	for ; time.Since(start) < 3700*time.Millisecond; sent++ {
-		line := strings.Replace(queryLine(sent+1, "trip-lookup", "x", 9000), `"work":500`, `"work":1`, 1)
+	sentCount := 1
+	for ; time.Since(start) < 3700*time.Millisecond; sentCount++ {
+		line := strings.Replace(queryLine(sentCount+1, "trip-lookup", "x", 9000), `"work":500`, `"work":1`, 1)
 		if _, err := io.WriteString(c, line+"\n"); err != nil {
 			break
 		}
@@ -372,6 +372,6 @@
 	}
 	require.NoError(t, p.Wait())
 	require.Less(t, time.Since(start), 3700*time.Millisecond, "the process exits before the kill")
-	require.Greater(t, <-answered, 100)
-	require.Greater(t, sent, 100)
+	require.Greater(t, <-answerCount, 100)
+	require.Greater(t, sentCount, 100)
 }
--- a/cmd/aniseloft/coordinator_test.go
+++ b/cmd/aniseloft/coordinator_test.go
@@ -37,9 +37,9 @@
 	*exec.Cmd
 	t            *testing.T
 	dir          string
-	listen       string // clients' address of the JSON-RPC front
-	rest         string // clients' address of the REST front; empty: that front is off
-	admin        string // address for operators' calls
+	clientAddr   string // clients' address of the JSON-RPC front
+	restAddr     string // clients' address of the REST front; empty: that front is off
+	adminAddr    string // address for operators' calls
 	settings     string // the configuration's "settings"; empty: firstSettings
 	extraMembers string // further members of the configuration, each followed by a comma
 	maxSockets   int    // limit of file descriptors; 0: 64
@@ -71,33 +71,33 @@
 
 func (p *coordinator) logged() string { p.mu.Lock(); defer p.mu.Unlock(); return p.log.String() }
 
-// startCoordinator starts the program in dir, which a restart can use again. If rest is set, the REST front is on.
-func startCoordinator(t *testing.T, dir string, j *fakeJournal, rest bool) *coordinator {
-	if rest {
+// startCoordinator starts the program in dir, which a restart can use again. If withREST is set, the REST front is on.
+func startCoordinator(t *testing.T, dir string, j *fakeJournal, withREST bool) *coordinator {
+	if withREST {
 		return startWithStore(t, dir, j, filepath.Join(dir, "record.db"))
 	}
 	return startWithStore(t, dir, j, "")
 }
 
-// startWithStore starts the program with the REST front on and its record in store, unless store is empty.
-func startWithStore(t *testing.T, dir string, j *fakeJournal, store string) *coordinator {
-	return startWithSpool(t, dir, j, store, 600, `{}`)
+// startWithStore starts the program with the REST front on and its record in storePath, unless storePath is empty.
+func startWithStore(t *testing.T, dir string, j *fakeJournal, storePath string) *coordinator {
+	return startWithSpool(t, dir, j, storePath, 600, `{}`)
 }
 
 // startWithSpool starts the program like startWithStore, with a spool, which is off if spoolJSON is {}. Ended queries
 // can be read for keepSeconds.
-func startWithSpool(t *testing.T, dir string, j *fakeJournal, store string, keepSeconds int, spoolJSON string) *coordinator {
-	return startWithSettings(t, dir, j, store, keepSeconds, spoolJSON, "")
+func startWithSpool(t *testing.T, dir string, j *fakeJournal, storePath string, keepSeconds int, spoolJSON string) *coordinator {
+	return startWithSettings(t, dir, j, storePath, keepSeconds, spoolJSON, "")
 }
 
 // startWithSettings starts the program like startWithSpool, with settings instead of firstSettings unless they are empty.
-func startWithSettings(t *testing.T, dir string, j *fakeJournal, store string, keepSeconds int, spoolJSON, settings string) *coordinator {
-	p := &coordinator{t: t, dir: dir, listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{}, settings: settings}
+func startWithSettings(t *testing.T, dir string, j *fakeJournal, storePath string, keepSeconds int, spoolJSON, settings string) *coordinator {
+	p := &coordinator{t: t, dir: dir, clientAddr: freeAddress(t), adminAddr: freeAddress(t), log: &bytes.Buffer{}, settings: settings}
 	p.configure(j)
-	if store != "" {
-		p.rest = freeAddress(t)
+	if storePath != "" {
+		p.restAddr = freeAddress(t)
 		require.NoError(t, os.MkdirAll(filepath.Join(dir, "deploy"), 0o700))
-		text := fmt.Sprintf(`{"listen":%q,"store":%q,"keep_seconds":%d,"engine_kinds":["rest-16"],"spool":%s}`, p.rest, store, keepSeconds, spoolJSON)
+		text := fmt.Sprintf(`{"listen":%q,"store":%q,"keep_seconds":%d,"engine_kinds":["rest-16"],"spool":%s}`, p.restAddr, storePath, keepSeconds, spoolJSON)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "deploy", "rest.json"), []byte(text), 0o600))
 	}
 	p.start(os.Environ())
@@ -108,12 +108,12 @@
 // that it serves.
 func (p *coordinator) start(env []string) {
 	t := p.t
-	tmp := filepath.Join(p.dir, "tmp")
-	require.NoError(t, os.MkdirAll(tmp, 0o700))
+	tmpDir := filepath.Join(p.dir, "tmp")
+	require.NoError(t, os.MkdirAll(tmpDir, 0o700))
 	p.Cmd = exec.Command(binary)
 	p.Dir, p.Stdout, p.Stderr = p.dir, p, p
 	// By default a program built with the race detector waits for a second at its exit.
-	p.Env = slices.Concat(env, []string{"LB_CONFIG=" + filepath.Join(p.dir, "config.json"), "TMPDIR=" + tmp, "GORACE=atexit_sleep_ms=0"})
+	p.Env = slices.Concat(env, []string{"LB_CONFIG=" + filepath.Join(p.dir, "config.json"), "TMPDIR=" + tmpDir, "GORACE=atexit_sleep_ms=0"})
 	require.NoError(t, p.Start())
 	t.Cleanup(func() {
 		if p.ProcessState == nil {
@@ -129,7 +129,7 @@
 	// During an upgrade two processes listen at the clients' address, so the status is read at the admin address, which
 	// belongs to this process alone.
 	eventually(t, func() bool {
-		c, err := net.Dial("tcp", p.admin)
+		c, err := net.Dial("tcp", p.adminAddr)
 		if err != nil {
 			return false
 		}
@@ -143,7 +143,7 @@
 // configure writes the configuration, with j as the journal service.
 func (p *coordinator) configure(j *fakeJournal) {
 	p.writeConfig(fmt.Sprintf(`{"name":"n0","listen":%q,"admin":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":32,"sockets":%d},"journal":%q,"known":%s,%s"settings":%s}`,
-		p.listen, p.admin, max(p.maxSockets, 64), j.Listener.Addr(), j.batch(0), p.extraMembers, cmp.Or(p.settings, firstSettings)))
+		p.clientAddr, p.adminAddr, max(p.maxSockets, 64), j.Listener.Addr(), j.batch(0), p.extraMembers, cmp.Or(p.settings, firstSettings)))
 }
 
 func (p *coordinator) writeConfig(conf string) {
--- a/cmd/aniseloft/engine_test.go
+++ b/cmd/aniseloft/engine_test.go
@@ -27,14 +27,14 @@
 	hijacked                        []net.Conn      // connections taken over from the server for damaged answers
 }
 
-// newFakeEngine starts an engine that speaks the paged REST protocol if rest is set, else the protocol of servePaged.
-func newFakeEngine(t *testing.T, rest bool) *fakeEngine {
+// newFakeEngine starts an engine that speaks the paged REST protocol if speaksREST is set, else the protocol of servePaged.
+func newFakeEngine(t *testing.T, speaksREST bool) *fakeEngine {
 	e := &fakeEngine{attempts: map[string]int{}, cancelled: map[string]int{}, maxRunning: map[string]int{}, running: map[string]int{}, requested: map[string]bool{}, release: make(chan struct{})}
-	h := e.servePaged
-	if rest {
-		h = e.serveREST
+	handler := e.servePaged
+	if speaksREST {
+		handler = e.serveREST
 	}
-	e.Server = httptest.NewServer(http.HandlerFunc(h))
+	e.Server = httptest.NewServer(http.HandlerFunc(handler))
 	t.Cleanup(func() {
 		for _, c := range e.hijacked {
 			_ = c.Close()
@@ -45,10 +45,10 @@
 	return e
 }
 
-func (e *fakeEngine) count(m *map[string]int, s string) int {
+func (e *fakeEngine) count(countsByStatement *map[string]int, statement string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return (*m)[s]
+	return (*countsByStatement)[statement]
 }
 
 // requestedBefore reports whether a page has been requested before, and notes the request.
@@ -60,38 +60,38 @@
 	return before
 }
 
-func (e *fakeEngine) countStart(r *http.Request, s string) {
+func (e *fakeEngine) countStart(r *http.Request, statement string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.attempts[s]++
-	e.running[s]++
-	e.maxRunning[s] = max(e.maxRunning[s], e.running[s])
+	e.attempts[statement]++
+	e.running[statement]++
+	e.maxRunning[statement] = max(e.maxRunning[statement], e.running[statement])
 	e.headers = append(e.headers, r.Header.Clone())
 }
 
-func (e *fakeEngine) countStop(s string) {
+func (e *fakeEngine) countStop(statement string) {
 	e.mu.Lock()
-	e.running[s]--
+	e.running[statement]--
 	e.mu.Unlock()
 }
 
 // pagesOf returns the pages of a statement's result as text.
-func pagesOf(s string) []string {
-	var n int
-	if i := strings.Index(s, "rows "); i < 0 {
+func pagesOf(statement string) []string {
+	var pageCount int
+	if i := strings.Index(statement, "rows "); i < 0 {
 		return []string{"a\tb\tc\n"}
-	} else if _, err := fmt.Sscanf(s[i:], "rows %d", &n); err != nil {
+	} else if _, err := fmt.Sscanf(statement[i:], "rows %d", &pageCount); err != nil {
 		return nil
 	}
-	var out []string
-	for i := range n {
-		out = append(out, fmt.Sprintf("%d\t%s\tz\n%d\ty\tz\n", i, strings.Repeat("x", 4000), i))
+	var pages []string
+	for i := range pageCount {
+		pages = append(pages, fmt.Sprintf("%d\t%s\tz\n%d\ty\tz\n", i, strings.Repeat("x", 4000), i))
 	}
-	return out
+	return pages
 }
 
-func (e *fakeEngine) stays(s string) bool {
-	if !strings.Contains(s, "stay") {
+func (e *fakeEngine) stays(statement string) bool {
+	if !strings.Contains(statement, "stay") {
 		return false
 	}
 	select {
@@ -111,22 +111,22 @@
 
 func (e *fakeEngine) servePaged(w http.ResponseWriter, r *http.Request) {
 	pathParts := strings.Split(r.URL.Path, "/")
-	var id, s string
+	var id, statement string
 	switch {
 	case r.URL.Path == "/-/gauges":
 		w.Header().Set("Load-Report", "inflight:0;util:0.1;x1:0;x0:0")
 		return
 	case r.Method == "POST":
 		body, _ := io.ReadAll(r.Body)
-		id, s = r.Header.Get("Request-Id"), string(body)
-		if strings.Contains(s, "unread") && firstConnection(id) {
+		id, statement = r.Header.Get("Request-Id"), string(body)
+		if strings.Contains(statement, "unread") && firstConnection(id) {
 			c, _, _ := w.(http.Hijacker).Hijack()
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 			return
 		}
-		e.countStart(r, s)
-		statementByID.Store(id, s)
+		e.countStart(r, statement)
+		statementByID.Store(id, statement)
 	default:
 		id = pathParts[2]
 		v, ok := statementByID.Load(id)
@@ -134,7 +134,7 @@
 			w.WriteHeader(500)
 			return
 		}
-		s = v.(string)
+		statement = v.(string)
 	}
 	page := 0
 	if r.Method == "GET" {
@@ -143,35 +143,35 @@
 	switch {
 	case r.Method == "DELETE":
 		e.mu.Lock()
-		e.cancelled[s]++
+		e.cancelled[statement]++
 		e.mu.Unlock()
-		e.countStop(s)
+		e.countStop(statement)
 		w.WriteHeader(204)
-	case strings.Contains(s, "fail"):
-		e.countStop(s)
+	case strings.Contains(statement, "fail"):
+		e.countStop(statement)
 		w.WriteHeader(500)
-	case strings.Contains(s, "full"):
-		e.countStop(s)
+	case strings.Contains(statement, "full"):
+		e.countStop(statement)
 		w.Header().Set("Never-Ran", "1")
 		w.WriteHeader(503)
-	case e.stays(s):
-		if strings.Contains(s, "odd") {
+	case e.stays(statement):
+		if strings.Contains(statement, "odd") {
 			w.Header().Set("Outcome", "singing")
 		}
 		w.WriteHeader(202)
 	default:
-		rows := pagesOf(s)
+		pages := pagesOf(statement)
 		if page == 0 {
-			e.countStop(s)
-			w.Header().Set("X-Batches", fmt.Sprint(len(rows)))
+			e.countStop(statement)
+			w.Header().Set("X-Batches", fmt.Sprint(len(pages)))
 			w.Header().Set("X-Spent", "500")
 			w.Header().Set("X-Wanted", "4")
-			if strings.Contains(s, "odd") {
+			if strings.Contains(statement, "odd") {
 				w.Header().Set("Load-Report", "inflight:-3;x0:lots")
 			}
 		} else {
 			w.Header().Set("X-Batch", fmt.Sprint(page))
 		}
-		e.writePage(w, s, id, page, rows[page])
+		e.writePage(w, statement, id, page, pages[page])
 	}
 }
--- a/cmd/aniseloft/jsonrpc_test.go
+++ b/cmd/aniseloft/jsonrpc_test.go
@@ -42,7 +42,7 @@
 func TestServesAllPagesInOrderAndForwardsFields(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	statement := "select 'lake_9.x' from sales_17.orders -- rows 5"
 	got := answerText(t, c.call(queryLine(1, "ridership-report", statement, 9000)))
 	require.Equal(t, strings.Join(pagesOf(statement), ""), got)
@@ -57,20 +57,20 @@
 func TestRejectionHasRetryAfterAndFailureHasNone(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
-	rejected := c.call(queryLine(1, "timetable-load", "full", 9000))
-	require.Contains(t, rejected, `"code":-32000`)
-	require.Contains(t, rejected, `"pushback":2000`)
+	c := dialClient(t, p.clientAddr)
+	rejectedAnswer := c.call(queryLine(1, "timetable-load", "full", 9000))
+	require.Contains(t, rejectedAnswer, `"code":-32000`)
+	require.Contains(t, rejectedAnswer, `"pushback":2000`)
 	require.Positive(t, e.count(&e.attempts, "full"))
-	failed := c.call(queryLine(2, "timetable-load", "fail", 9000))
-	require.Contains(t, failed, `"code":-32001`)
+	failedAnswer := c.call(queryLine(2, "timetable-load", "fail", 9000))
+	require.Contains(t, failedAnswer, `"code":-32001`)
 	require.Equal(t, 1, e.count(&e.attempts, "fail"), "a load that may have run is never sent again")
 }
 
 func TestInvalidRequestsGetStandardErrorsAndKeepTheConnection(t *testing.T) {
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for line, code := range map[string]string{
 		`{"jsonrpc":`: "-32700", `[]`: "-32600", `{"jsonrpc":"1.0","id":1,"method":"alive"}`: "-32600", `7`: "-32600",
 		`{"jsonrpc":"2.0","method":"trip-lookup"}`:                                                      "-32600",
@@ -101,16 +101,16 @@
 func TestTwoRequestsUnderOneIDGetOneError(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	require.Contains(t, c.call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"error":{"code":-32600`)
 	eventually(t, func() bool { return e.count(&e.cancelled, "stay") == 1 })
 	require.Contains(t, c.call(queryLine(2, "trip-lookup", "y", 9000)), `"id":2,"result"`, "no second answer for id 1 came first")
 	require.Zero(t, e.count(&e.attempts, "x"))
-	for id, second := range []string{queryLine(3, "no-such-class", "x", 9000), queryLine(4, "trip-lookup", "x", -1), `{"jsonrpc":"2.0","id":5,"method":"alive"}`} {
+	for id, secondRequest := range []string{queryLine(3, "no-such-class", "x", 9000), queryLine(4, "trip-lookup", "x", -1), `{"jsonrpc":"2.0","id":5,"method":"alive"}`} {
 		c.send(queryLine(id+3, "trip-lookup", fmt.Sprint("stay ", id), 9000))
-		require.Contains(t, c.call(second), fmt.Sprintf(`"id":%d,"error":{"code":-32600`, id+3), "also where the second request is invalid")
+		require.Contains(t, c.call(secondRequest), fmt.Sprintf(`"id":%d,"error":{"code":-32600`, id+3), "also where the second request is invalid")
 	}
 }
 
@@ -119,16 +119,16 @@
 func TestCallIDInUseIsRejectedOnAnyConnection(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c, d := dialClient(t, p.listen), dialClient(t, p.listen)
-	first := queryLine(1, "trip-lookup", "stay", 9000)
-	c.send(first)
+	c, otherClient := dialClient(t, p.clientAddr), dialClient(t, p.clientAddr)
+	firstRequest := queryLine(1, "trip-lookup", "stay", 9000)
+	c.send(firstRequest)
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	other := strings.Replace(first, base64.StdEncoding.EncodeToString([]byte("stay")), "eA==", 1)
-	require.Contains(t, d.call(other), `"code":-32001`)
+	requestWithSameCall := strings.Replace(firstRequest, base64.StdEncoding.EncodeToString([]byte("stay")), "eA==", 1)
+	require.Contains(t, otherClient.call(requestWithSameCall), `"code":-32001`)
 	require.Zero(t, e.count(&e.attempts, "x"))
 	close(e.release)
 	require.Contains(t, c.readLine(), `"id":1,"result"`)
-	require.Contains(t, d.call(strings.Replace(other, `"id":1`, `"id":2`, 1)), `"id":2,"result"`, "the call id is free again")
+	require.Contains(t, otherClient.call(strings.Replace(requestWithSameCall, `"id":1`, `"id":2`, 1)), `"id":2,"result"`, "the call id is free again")
 }
 
 // Guards against clients that never close their connections and so fill all slots, while others wait unread in the
@@ -137,11 +137,11 @@
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, true)
 	for range 40 { // of 64 descriptors, 21 are for clients
-		require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
-		dialClient(t, p.listen)
+		require.Contains(t, dialClient(t, p.clientAddr).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
+		dialClient(t, p.clientAddr)
 	}
 	for range 10 { // of 64 descriptors, 5 are for clients of the REST front
-		dialClient(t, p.rest)
+		dialClient(t, p.restAddr)
 		require.Equal(t, 200, p.post("trip-lookup", "", "x").status)
 	}
 }
@@ -149,13 +149,13 @@
 func TestConnectionsWithoutACompleteMessageAreClosed(t *testing.T) {
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, true)
-	for addr, text := range map[string]string{p.listen: `{"jsonrpc":"2.0",`, p.rest: "POST /v1/statement HTTP/1.1\r\nContent-Length: 9\r\n\r\nsel"} {
-		for _, first := range []string{"", text} {
+	for addr, incompleteMessage := range map[string]string{p.clientAddr: `{"jsonrpc":"2.0",`, p.restAddr: "POST /v1/statement HTTP/1.1\r\nContent-Length: 9\r\n\r\nsel"} {
+		for _, sentBytes := range []string{"", incompleteMessage} {
 			c := dialClient(t, addr)
-			_, _ = io.WriteString(c, first)
+			_, _ = io.WriteString(c, sentBytes)
 			_, err := c.reader.ReadByte()
 			require.Error(t, err)
-			require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "%s %q", addr, first)
+			require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "%s %q", addr, sentBytes)
 		}
 	}
 }
@@ -169,11 +169,11 @@
 	p, _, _ := startWithOneEngine(t, false)
 	var clients []*client
 	for range 200 {
-		c := dialClient(t, p.listen)
+		c := dialClient(t, p.clientAddr)
 		_, _ = io.WriteString(c, strings.Repeat("x", 250<<10))
 		clients = append(clients, c)
 	}
-	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
+	require.Contains(t, dialClient(t, p.clientAddr).call(queryLine(1, "trip-lookup", "x", 9000)), `"id":1,"result"`)
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	require.NoError(t, err)
 	_, peak, _ := strings.Cut(string(status), "VmHWM:")
@@ -190,7 +190,7 @@
 	engines, j := []*fakeEngine{newFakeEngine(t, false), newFakeEngine(t, false), newFakeEngine(t, false)}, newFakeJournal(t)
 	j.add(true, serverEntry(1, engines[0], "active"), serverEntry(2, engines[1], "active"), serverEntry(3, engines[2], "active"))
 	p := startCoordinator(t, testdir.Dir(t), j, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for id := range 30 {
 		answerText(t, c.call(queryLine(id+1, "trip-lookup", fmt.Sprintf("select 1 from sales_%d.x", id), 9000)))
 	}
@@ -210,7 +210,7 @@
 func TestStatementsOfOpenRequestsStayWithinTheMemoryLimit(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for id := range 32 {
 		c.send(queryLine(id+1, "ridership-report", "stay "+strings.Repeat("x", 180<<10), 9000))
 	}
@@ -225,10 +225,10 @@
 func TestDamagedPagesAreRequestedAgain(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
-	statement := func(i int) string { return fmt.Sprintf("insert into sales_%d.x -- rows 3 spoil %s", i, damageKinds[i]) }
+	c := dialClient(t, p.clientAddr)
+	statementFor := func(i int) string { return fmt.Sprintf("insert into sales_%d.x -- rows 3 spoil %s", i, damageKinds[i]) }
 	for i := range damageKinds {
-		c.send(queryLine(i+1, "timetable-load", statement(i), 9500))
+		c.send(queryLine(i+1, "timetable-load", statementFor(i), 9500))
 	}
 	for range damageKinds {
 		line := c.readLine()
@@ -236,14 +236,14 @@
 		require.NoError(t, json.Unmarshal([]byte(line), &a))
 		require.Contains(t, line, "result", damageKinds[a.ID-1])
 		require.Equal(t, strings.Join(pagesOf("rows 3"), ""), answerText(t, line), damageKinds[a.ID-1])
-		require.Equal(t, 1, e.count(&e.attempts, statement(a.ID-1)))
+		require.Equal(t, 1, e.count(&e.attempts, statementFor(a.ID-1)))
 	}
 }
 
 func TestCancelAndDisconnectCancelTheAttempt(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "trip-lookup", "stay 1", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay 1") == 1 })
 	c.send(`{"jsonrpc":"2.0","method":"cancelRequest","params":{"id":1}}`)
@@ -258,7 +258,7 @@
 func TestExpiredRequestGetsOneAnswerAndIsCancelled(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	require.Contains(t, c.call(queryLine(1, "timetable-load", "stay", 400)), `"code":-32001`)
 	eventually(t, func() bool { return e.count(&e.cancelled, "stay") == 1 })
 	require.Contains(t, c.call(`{"jsonrpc":"2.0","id":2,"method":"alive"}`), `"id":2`, "no second answer for id 1 came first")
@@ -269,13 +269,13 @@
 func TestLoadsOfAGroupRunOneAtATime(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	statement := "insert into sales_4.fares select stay from staging.new"
 	for id := range 5 {
 		c.send(queryLine(id+1, "timetable-load", statement, 9000))
 	}
-	other := "insert into sales_5.fares select 1"
-	require.Contains(t, c.call(queryLine(6, "timetable-load", other, 9000)), `"id":6,"result"`, "a load of another group does not wait")
+	otherGroupLoad := "insert into sales_5.fares select 1"
+	require.Contains(t, c.call(queryLine(6, "timetable-load", otherGroupLoad, 9000)), `"id":6,"result"`, "a load of another group does not wait")
 	close(e.release)
 	for range 5 {
 		require.Contains(t, c.readLine(), `"result"`)
@@ -288,7 +288,7 @@
 	t.Parallel()
 	p, oldEngine, j := startWithOneEngine(t, false)
 	newEngine := newFakeEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return oldEngine.count(&oldEngine.attempts, "stay") == 1 })
 	j.add(false, serverEntry(1, oldEngine, "leaving"), serverEntry(2, newEngine, "active"))
@@ -306,15 +306,15 @@
 func TestSIGTERMKeepsServingFinishesAndExitsCleanly(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	eventually(t, func() bool { return strings.Contains(p.logged(), "now=draining") })
-	require.Contains(t, dialClient(t, p.listen).call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
+	require.Contains(t, dialClient(t, p.clientAddr).call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`), `"pass":false`)
 	// A new request is still served. Then the connection, with nothing open on it, is closed, so that the client's
 	// next request goes to the successor or another coordinator.
-	d := dialClient(t, p.listen)
+	d := dialClient(t, p.clientAddr)
 	require.Contains(t, d.call(queryLine(2, "trip-lookup", "x", 9000)), `"id":2,"result"`)
 	_, err := d.reader.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF)
@@ -327,7 +327,7 @@
 func TestSIGUSR1PrintsTheCounters(t *testing.T) {
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.call(queryLine(1, "trip-lookup", "x", 9000))
 	require.NoError(t, p.Process.Signal(syscall.SIGUSR1))
 	p.waitForLog("class=trip-lookup taken=1 sent=1")
@@ -338,7 +338,7 @@
 func TestIdleEngineConnectionIsReused(t *testing.T) {
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for i := range 3 {
 		require.Contains(t, c.call(queryLine(i+1, "trip-lookup", "x", 9000)), `"result"`)
 		time.Sleep(700 * time.Millisecond)
@@ -357,7 +357,7 @@
 	path := filepath.Join(dir, "deploy", "log.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"level":"debug","counters_every_ms":100}`), 0o600))
 	p := startCoordinator(t, dir, j, false)
-	dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 9000))
+	dialClient(t, p.clientAddr).call(queryLine(1, "trip-lookup", "x", 9000))
 	for _, line := range []string{`msg="endpoint listed" endpoint=s-00000001 state=1`, `msg="request admitted" `, `msg="endpoint probed" endpoint=s-00000001 outcome=served`,
 		`msg="endpoint dialled" endpoint=s-00000001`, `msg="attempt started" `, "class=0 attempt=0 endpoint=s-00000001 outcome=served", "kind=served attempts=1", "counters class=trip-lookup taken=1"} {
 		p.waitForLog(line)
@@ -373,7 +373,7 @@
 func TestSIGUSR1PrintsTheBalancersLoadBesideTheConnections(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "ridership-report", "stay 1", 9000))
 	c.send(queryLine(2, "ridership-report", "stay 2", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay 1")+e.count(&e.attempts, "stay 2") == 2 })
@@ -391,7 +391,7 @@
 func TestSIGHUPMovesToTheNewJournalAndAnInvalidFileChangesNothing(t *testing.T) {
 	t.Parallel()
 	p, oldEngine, j := startWithOneEngine(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	p.writeConfig("{")
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	p.waitForLog("not reloaded")
@@ -418,7 +418,7 @@
 func TestSlowClientIsServedWhileManyOthersConnect(t *testing.T) {
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, false)
-	slow := dialClient(t, p.listen)
+	slow := dialClient(t, p.clientAddr)
 	line := queryLine(1, "trip-lookup", "x", 9000) + "\n"
 	done := make(chan struct{})
 	go func() {
@@ -431,7 +431,7 @@
 		}
 	}()
 	for i := range 60 { // of 64 descriptors, 21 are for clients; these idle or stop in the middle of a line
-		c := dialClient(t, p.listen)
+		c := dialClient(t, p.clientAddr)
 		if i%2 == 1 {
 			_, _ = io.WriteString(c, `{"jsonrpc":"2.0",`)
 		}
--- a/cmd/aniseloft/lifecycle_test.go
+++ b/cmd/aniseloft/lifecycle_test.go
@@ -33,7 +33,7 @@
 		j.add(true, strings.Replace(serverEntry(1, e, "active"), unknown[0], unknown[1], 1))
 		settings := strings.Replace(firstSettings, `"name":"timetable-load"`, `"confinedTo":[0],"boundTo":[0],"name":"timetable-load"`, 1)
 		p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, settings)
-		c := dialClient(t, p.listen)
+		c := dialClient(t, p.clientAddr)
 		require.Contains(t, c.call(queryLine(1, "timetable-load", "bound", 1000)), `"code":-32000`, unknown)
 		require.Zero(t, e.count(&e.attempts, "bound"), unknown)
 		require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(2, "trip-lookup", "free", 9000))), unknown)
@@ -62,7 +62,7 @@
 			headers, len(statement), statement)
 	}
 	sendAndDisconnect := func(takenCount, text, counters string) {
-		c := dialClient(t, p.rest)
+		c := dialClient(t, p.restAddr)
 		_, err := io.WriteString(c, text)
 		require.NoError(t, err)
 		p.waitForCounters("class=trip-lookup taken=" + takenCount)
@@ -72,7 +72,7 @@
 	sendAndDisconnect("1", post("left", ""), "gone=1")
 	sendAndDisconnect("2", post("kept", "Idempotency-Key: k\r\n"), "gone=1 answered_served=0 answered_refused=1")
 	sendAndDisconnect("3", post("before", "")+post("behind "+strings.Repeat("x", 8<<10), "")+post("last", "Idempotency-Key: l\r\n"), "gone=2 answered_served=0 answered_refused=1")
-	p.waitForCounters("client_connections addr=" + p.rest + " open=0")
+	p.waitForCounters("client_connections addr=" + p.restAddr + " open=0")
 	j.add(false, serverEntry(1, e, "active"))
 	_, text := followPages(t, p.post("trip-lookup", "k", "kept"))
 	require.Equal(t, "a\tb\tc\n", text)
@@ -94,43 +94,43 @@
 	record.SetMaxOpenConns(1)
 	_, err = record.Exec("BEGIN EXCLUSIVE")
 	require.NoError(t, err)
-	again := restartCommand(p)
-	again.Stdout, again.Stderr = p, p
-	require.NoError(t, again.Start())
-	c := dialClient(t, p.listen) // the front listens, but nothing is served while the record is locked
+	restarted := restartCommand(p)
+	restarted.Stdout, restarted.Stderr = p, p
+	require.NoError(t, restarted.Start())
+	c := dialClient(t, p.clientAddr) // the front listens, but nothing is served while the record is locked
 	c.send(queryLine(1, "trip-lookup", "x", 9000))
-	require.NoError(t, again.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, restarted.Process.Signal(syscall.SIGTERM))
 	_, err = record.Exec("ROLLBACK")
 	require.NoError(t, err)
 	require.NoError(t, record.Close())
 	require.Contains(t, c.readLine(), `"id":1,"result"`)
-	require.NoError(t, again.Wait(), "exit code 0")
+	require.NoError(t, restarted.Wait(), "exit code 0")
 }
 
 // After PAUSE, two SIGTERMs and a SIGHUP the open request is answered, and idle connections are closed and not reset.
 func TestSIGTERMTwiceWhilePaused(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, false)
-	open, idle := dialClient(t, p.listen), dialClient(t, p.listen)
-	open.send(queryLine(1, "trip-lookup", "stay", 9000))
+	openClient, idleClient := dialClient(t, p.clientAddr), dialClient(t, p.clientAddr)
+	openClient.send(queryLine(1, "trip-lookup", "stay", 9000))
 	eventually(t, func() bool { return e.count(&e.attempts, "stay") == 1 })
-	require.Contains(t, idle.call(queryLine(2, "trip-lookup", "x", 9000)), `"id":2,"result"`)
-	a, err := net.Dial("tcp", p.admin)
+	require.Contains(t, idleClient.call(queryLine(2, "trip-lookup", "x", 9000)), `"id":2,"result"`)
+	adminConn, err := net.Dial("tcp", p.adminAddr)
 	require.NoError(t, err)
-	defer func() { _ = a.Close() }()
-	_, _ = io.WriteString(a, "PAUSE\n")
-	answer, err := io.ReadAll(a)
+	defer func() { _ = adminConn.Close() }()
+	_, _ = io.WriteString(adminConn, "PAUSE\n")
+	answer, err := io.ReadAll(adminConn)
 	require.NoError(t, err)
 	require.Equal(t, "ACK paused\n", string(answer))
-	_, err = idle.reader.ReadByte()
+	_, err = idleClient.reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	p.waitForLog("now=draining")
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
 	close(e.release)
-	require.Contains(t, open.readLine(), `"id":1,"result"`)
-	_, err = open.reader.ReadByte()
+	require.Contains(t, openClient.readLine(), `"id":1,"result"`)
+	_, err = openClient.reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.NoError(t, p.Wait(), "exit code 0")
 }
@@ -139,20 +139,20 @@
 func TestIdleConnectionsAreClosedAtShutdown(t *testing.T) {
 	t.Parallel()
 	p, _, _ := startWithOneEngine(t, true)
-	var idle []*client
+	var idleClients []*client
 	for id := range 6 {
-		c := dialClient(t, p.listen)
+		c := dialClient(t, p.clientAddr)
 		require.Contains(t, c.call(queryLine(id+1, "trip-lookup", "x", 9000)), `"result"`)
-		idle = append(idle, c)
+		idleClients = append(idleClients, c)
 	}
-	info := dialClient(t, p.rest)
-	_, _ = io.WriteString(info, "GET /v1/info HTTP/1.1\r\nHost: a\r\n\r\n")
-	answer, err := http.ReadResponse(info.reader, nil)
+	restClient := dialClient(t, p.restAddr)
+	_, _ = io.WriteString(restClient, "GET /v1/info HTTP/1.1\r\nHost: a\r\n\r\n")
+	answer, err := http.ReadResponse(restClient.reader, nil)
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, answer.Body)
 	require.NoError(t, err)
 	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	for _, c := range append(idle, info) {
+	for _, c := range append(idleClients, restClient) {
 		_, err := c.reader.ReadByte()
 		require.ErrorIs(t, err, io.EOF, "the connection is closed, not reset")
 	}
@@ -168,7 +168,7 @@
 	otherListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = otherListener.Close() }()
-	p := &coordinator{t: t, dir: testdir.Dir(t), listen: otherListener.Addr().String(), admin: freeAddress(t), log: &bytes.Buffer{}}
+	p := &coordinator{t: t, dir: testdir.Dir(t), clientAddr: otherListener.Addr().String(), adminAddr: freeAddress(t), log: &bytes.Buffer{}}
 	p.configure(j)
 	tmp := filepath.Join(p.dir, "tmp")
 	require.NoError(t, os.MkdirAll(tmp, 0o700))
@@ -206,38 +206,38 @@
 // for engines: updates are received once the service is back, and queries are served throughout.
 func TestIdleClientsLeaveDescriptorsForDiscoveryAndEngines(t *testing.T) {
 	t.Parallel()
-	const limit = 64
+	const descriptorLimit = 64
 	oldEngine, newEngine, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, oldEngine, "active"))
 	p := startCoordinator(t, testdir.Dir(t), j, false)
-	require.NoError(t, unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: limit}, nil))
+	require.NoError(t, unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}, nil))
 	service := &restartableJournal{j, j.Listener.Addr().String()}
 	service.down()
-	var idle []*client
-	for id := range 2 * limit { // more than the limit; earlier connections are closed for them
-		c := dialClient(t, p.listen)
+	var idleClients []*client
+	for id := range 2 * descriptorLimit { // more than the limit; earlier connections are closed for them
+		c := dialClient(t, p.clientAddr)
 		c.send(`{"jsonrpc":"2.0","id":1,"method":"alive"}`)
 		if line, err := c.reader.ReadString('\n'); err == nil {
 			require.Contains(t, line, `"pass":true`, id)
 		}
-		idle = append(idle, c)
+		idleClients = append(idleClients, c)
 	}
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
+	openDescriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(open), limit)
-	require.Contains(t, dialClient(t, p.listen).call(queryLine(2, "trip-lookup", "before", 9000)), `"result"`)
+	require.LessOrEqual(t, len(openDescriptors), descriptorLimit)
+	require.Contains(t, dialClient(t, p.clientAddr).call(queryLine(2, "trip-lookup", "before", 9000)), `"result"`)
 	service.up(t)
 	j.add(false, serverEntry(1, oldEngine, "leaving"), serverEntry(2, newEngine, "active"))
 	eventually(t, func() bool {
-		return strings.Contains(dialClient(t, p.listen).call(queryLine(3, "trip-lookup", "after", 9000)), `"result"`) && newEngine.count(&newEngine.attempts, "after") > 0
+		return strings.Contains(dialClient(t, p.clientAddr).call(queryLine(3, "trip-lookup", "after", 9000)), `"result"`) && newEngine.count(&newEngine.attempts, "after") > 0
 	})
-	require.Len(t, idle, 2*limit, "the test keeps all connections to the end")
+	require.Len(t, idleClients, 2*descriptorLimit, "the test keeps all connections to the end")
 }
 
 // Thirty processes start at the same time with discovery up, down, down for 8 s, and silent. Nine in ten must be ready
 // within 10 s, and each must then answer its clients; where discovery comes back, each must receive the updates since.
 func TestThirtyRestartedProcessesAreReadyAgain(t *testing.T) {
-	const processes, maxLate, outage = 30, 3, 8 * time.Second
+	const processCount, maxLateCount, outage = 30, 3, 8 * time.Second
 	for _, discovery := range []string{"up", "down", "down for a while", "silent"} {
 		e, newEngine, j := newFakeEngine(t, false), newFakeEngine(t, false), newFakeJournal(t)
 		service, comesBack := &restartableJournal{j, j.Listener.Addr().String()}, discovery == "down for a while"
@@ -248,44 +248,44 @@
 		case "silent":
 			j.stopAnswering()
 		}
-		all := startAndKill(t, processes, j) // all have served once, and are restarted at the same time
+		coordinators := startAndKill(t, processCount, j) // all have served once, and are restarted at the same time
 		if comesBack {
 			service.down()
 			j.add(false, serverEntry(1, e, "leaving"), serverEntry(2, newEngine, "active"))
 		}
-		m := &massRestart{t: t, discovery: discovery, startedAt: time.Now()}
+		restarts := &massRestart{t: t, discovery: discovery, startedAt: time.Now()}
 		if comesBack {
-			m.newEngine, m.updateDue = newEngine, outage+maxWait
+			restarts.newEngine, restarts.updateDue = newEngine, outage+maxWait
 		}
 		var group sync.WaitGroup
-		for i, p := range all {
-			group.Go(func() { m.restart(p, i) })
+		for i, p := range coordinators {
+			group.Go(func() { restarts.restart(p, i) })
 		}
 		if comesBack {
-			time.Sleep(time.Until(m.startedAt.Add(outage)))
+			time.Sleep(time.Until(restarts.startedAt.Add(outage)))
 			service.up(t)
 		}
 		group.Wait()
-		require.LessOrEqual(t, m.late, maxLate, "discovery %s", discovery)
-		t.Logf("discovery %s: %d of %d late, all answered after %v", discovery, m.late, processes, time.Since(m.startedAt).Round(time.Millisecond))
+		require.LessOrEqual(t, restarts.lateCount, maxLateCount, "discovery %s", discovery)
+		t.Logf("discovery %s: %d of %d late, all answered after %v", discovery, restarts.lateCount, processCount, time.Since(restarts.startedAt).Round(time.Millisecond))
 	}
 }
 
 // startAndKill starts coordinators one after another and kills all of them once the last one serves.
 func startAndKill(t *testing.T, count int, j *fakeJournal) []*coordinator {
-	var all []*coordinator
+	var coordinators []*coordinator
 	for range count {
-		p := &coordinator{t: t, dir: testdir.Dir(t), listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{}}
+		p := &coordinator{t: t, dir: testdir.Dir(t), clientAddr: freeAddress(t), adminAddr: freeAddress(t), log: &bytes.Buffer{}}
 		p.configure(j)
-		all = append(all, p)
+		coordinators = append(coordinators, p)
 	}
-	for _, p := range all {
+	for _, p := range coordinators {
 		p.start(os.Environ())
 	}
-	for _, p := range all {
+	for _, p := range coordinators {
 		p.kill()
 	}
-	return all
+	return coordinators
 }
 
 // massRestart is the shared state of many restarts at the same time, each on a goroutine of its own.
@@ -296,8 +296,8 @@
 	newEngine *fakeEngine   // if set, an engine that is listed only by an update after the restart
 	updateDue time.Duration // time after startedAt by which the update must be received
 
-	mu   sync.Mutex
-	late int // coordinators that were not ready in time
+	mu        sync.Mutex
+	lateCount int // coordinators that were not ready in time
 }
 
 // restart starts a coordinator again, and checks that it is ready, serves and receives the update.
@@ -310,12 +310,12 @@
 		return
 	}
 	defer func() { _ = command.Process.Kill(); _ = command.Wait() }()
-	c := dialClient(m.t, p.listen)
+	c := dialClient(m.t, p.clientAddr)
 	line := c.call(`{"jsonrpc":"2.0","id":1,"method":"alive"}`)
 	took := time.Since(m.startedAt)
 	if took > readyLimit || !strings.Contains(line, `"pass":true`) {
 		m.mu.Lock()
-		m.late++
+		m.lateCount++
 		m.mu.Unlock()
 	}
 	if line := c.call(queryLine(2, "trip-lookup", "x", 9000)); !strings.Contains(line, `"result"`) {
@@ -335,7 +335,7 @@
 func TestClassNamesAreCaseSensitive(t *testing.T) {
 	t.Parallel()
 	p, e, _ := startWithOneEngine(t, true)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for id, name := range []string{"Trip-Lookup", "TRIP-LOOKUP", "trip-lookup ", "trip_lookup"} {
 		require.Contains(t, c.call(queryLine(id+1, name, "x", 9000)), `"code":-32601`, name)
 	}
@@ -353,7 +353,7 @@
 	require.NoError(t, err)
 	defer func() { _ = syscall.Close(fd) }()
 	require.NoError(t, syscall.Flock(fd, syscall.LOCK_EX|syscall.LOCK_NB))
-	a, err := net.Dial("tcp", p.admin)
+	a, err := net.Dial("tcp", p.adminAddr)
 	require.NoError(t, err)
 	defer func() { _ = a.Close() }()
 	require.NoError(t, a.SetDeadline(time.Now().Add(maxWait)))
@@ -364,7 +364,7 @@
 	text, err := os.ReadFile(stateFile)
 	require.NoError(t, err)
 	require.Contains(t, string(text), "s-00000001")
-	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 300)), `"error"`)
+	require.Contains(t, dialClient(t, p.clientAddr).call(queryLine(1, "trip-lookup", "x", 300)), `"error"`)
 	require.Zero(t, e.count(&e.attempts, "x"))
 }
 
@@ -391,5 +391,5 @@
 		text, err := os.ReadFile(stateFile)
 		return err == nil && strings.Contains(string(text), "s-00000001") && strings.Contains(string(text), "s-00000002")
 	})
-	require.Contains(t, dialClient(t, p.listen).call(queryLine(1, "trip-lookup", "x", 1500)), `"error"`, "both engines are suspended")
+	require.Contains(t, dialClient(t, p.clientAddr).call(queryLine(1, "trip-lookup", "x", 1500)), `"error"`, "both engines are suspended")
 }
--- a/cmd/aniseloft/rest_test.go
+++ b/cmd/aniseloft/rest_test.go
@@ -56,7 +56,7 @@
 	if key != "" {
 		all = append(all, "Idempotency-Key", key)
 	}
-	return doREST(p.t, "POST", "http://"+p.rest+"/v1/statement", statement, all...)
+	return doREST(p.t, "POST", "http://"+p.restAddr+"/v1/statement", statement, all...)
 }
 
 // followPages follows a query to its end, and returns the last answer and all rows as text.
@@ -123,7 +123,7 @@
 	require.Equal(t, 400, p.post("no-such-class", "", "x").status)
 	require.Equal(t, 400, p.post("trip-lookup", "", "x", "X-Aniseloft-Timeout-Ms", "NaN").status)
 	require.Equal(t, 400, p.post("trip-lookup", "", " ").status)
-	base := "http://" + p.rest
+	base := "http://" + p.restAddr
 	require.Equal(t, 404, doREST(t, "GET", base+"/v1/statement/executing/no/such/0", "").status)
 	require.Equal(t, 404, doREST(t, "GET", base+"/elsewhere", "").status)
 	require.Equal(t, 405, doREST(t, "GET", base+"/v1/statement", "").status)
@@ -165,7 +165,7 @@
 	require.True(t, strings.HasSuffix(third, "/2"))
 	p.kill()
 	q := startCoordinator(t, p.dir, j, true)
-	end, text := followPages(t, doREST(t, "GET", "http://"+q.rest+"/"+third, ""))
+	end, text := followPages(t, doREST(t, "GET", "http://"+q.restAddr+"/"+third, ""))
 	require.Equal(t, "FINISHED", end.Stats.State)
 	require.Equal(t, strings.Join(pagesOf(statement)[2:], ""), text)
 	require.Equal(t, 1, e.count(&e.attempts, statement))
@@ -178,7 +178,7 @@
 	e, j := newFakeEngine(t, true), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p := startCoordinator(t, testdir.Dir(t), j, true)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for i, kind := range []string{"interim", "copy", "noise", "shorter", "cut", "stopped", "replaced", "head", "endless", "huge", "reset"} {
 		c.send(queryLine(i+1, "timetable-load", fmt.Sprintf("insert into sales_%d.x -- rows 2 spoil %s", i, kind), 9500))
 	}
@@ -238,7 +238,7 @@
 	e, j := newFakeEngine(t, restEngine), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p, got := startCoordinator(t, testdir.Dir(t), j, true), map[string]int{}
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for _, class := range []string{"trip-lookup", "ridership-report", "timetable-load"} {
 		for i, word := range outcomeScript {
 			statement := fmt.Sprintf("%s %s %d", word, class, i)
@@ -287,7 +287,7 @@
 	// Each call uses a connection of its own: the drain closes idle connections, and Go's client does not resend a POST
 	// that was sent while its connection was being closed.
 	info := func() string {
-		req, err := http.NewRequest("GET", "http://"+p.rest+"/v1/info", nil)
+		req, err := http.NewRequest("GET", "http://"+p.restAddr+"/v1/info", nil)
 		require.NoError(t, err)
 		req.Close = true
 		res, err := http.DefaultClient.Do(req)
@@ -299,7 +299,7 @@
 	}
 	require.Contains(t, info(), `"starting":false`)
 	// A client that keeps its connection between calls.
-	keptConn, err := net.Dial("tcp", p.rest)
+	keptConn, err := net.Dial("tcp", p.restAddr)
 	require.NoError(t, err)
 	defer func() { _ = keptConn.Close() }()
 	_, err = io.WriteString(keptConn, "GET /v1/info HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/cmd/aniseloft/secondsettings_test.go
+++ b/cmd/aniseloft/secondsettings_test.go
@@ -51,7 +51,7 @@
 func TestKeyOfALoadReachesItsEngineUnchanged(t *testing.T) {
 	t.Parallel()
 	p, e := startWithSecondSettings(t, true)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	key := "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	require.Equal(t, "a\tb\tc\n", answerText(t, c.call(keyedLine(1, "insert into s_1.x", fmt.Sprintf(`"dedupe":%q,"rep":"1",`, key)))))
 	require.Equal(t, "a\tb\tc\n", answerText(t, c.call(queryLine(2, "trip-lookup", "x", 9000))))
@@ -66,7 +66,7 @@
 func TestLoadWithAnInvalidKeyIsNotSent(t *testing.T) {
 	t.Parallel()
 	p, e := startWithSecondSettings(t, true)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	for id, members := range []string{``, `"dedupe":"",`, `"dedupe":7,`, `"dedupe":null,`, `"dedupe":"a b",`, `"dedupe":"a\r\nKind: x",`,
 		`"dedupe":"` + strings.Repeat("5", 65) + `",`, `"dedupe":"k","rep":"yes",`, `"dedupe":"k","rep":{},`} {
 		require.Contains(t, c.call(keyedLine(id+1, "insert into s_1.x", members)), `"code":-32602`, members)
@@ -94,13 +94,13 @@
 	stranger, _ := listenUDP(t)
 	own, ownAddr := listenUDP(t)
 	_ = own.Close()
-	p := &coordinator{t: t, dir: testdir.Dir(t), listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{},
+	p := &coordinator{t: t, dir: testdir.Dir(t), clientAddr: freeAddress(t), adminAddr: freeAddress(t), log: &bytes.Buffer{},
 		settings:     strings.Replace(secondSettings, `"balancers":1`, `"balancers":2`, 1),
 		maxSockets:   128,
 		extraMembers: fmt.Sprintf(`"peer_listen":%q,"peers":[%q,%q],"peers_all":%q,`, ownAddr, ownAddr, peerAddr, peerAddr)}
 	p.configure(j)
 	p.start(os.Environ())
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "ridership-report", "stay", 9000))
 	require.NoError(t, peer.SetReadDeadline(time.Now().Add(maxWait)))
 	var b [512]byte
@@ -155,7 +155,7 @@
 	j.add(true, serverEntry(1, e, "active"))
 	p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, strings.Replace(secondSettings, `"me":0`, `"me":0,"fancy":[1,2]`, 1))
 	p.waitForLog(`msg=settings field=fancy value=[1,2] says="unknown field" then="it is ignored"`)
-	p = &coordinator{t: t, dir: testdir.Dir(t), listen: freeAddress(t), admin: freeAddress(t), log: &bytes.Buffer{},
+	p = &coordinator{t: t, dir: testdir.Dir(t), clientAddr: freeAddress(t), adminAddr: freeAddress(t), log: &bytes.Buffer{},
 		settings: strings.Replace(secondSettings, `"me":0`, `"me":4`, 1)}
 	p.configure(j)
 	c := exec.Command(binary)
@@ -171,7 +171,7 @@
 	t.Parallel()
 	p, e := startWithSecondSettings(t, false)
 	key := `"dedupe":"k1",`
-	first, second, third := dialClient(t, p.listen), dialClient(t, p.listen), dialClient(t, p.listen)
+	first, second, third := dialClient(t, p.clientAddr), dialClient(t, p.clientAddr), dialClient(t, p.clientAddr)
 	stayStatement := "insert stay into s_1.x"
 	first.send(keyedLine(1, stayStatement, key))
 	eventually(t, func() bool { return e.count(&e.attempts, stayStatement) == 1 })
@@ -196,7 +196,7 @@
 func TestJoinedRequestIsRetriedWhenTheRunFails(t *testing.T) {
 	t.Parallel()
 	p, e := startWithSecondSettings(t, false)
-	first, second := dialClient(t, p.listen), dialClient(t, p.listen)
+	first, second := dialClient(t, p.clientAddr), dialClient(t, p.clientAddr)
 	stayStatement, key := "insert stay into s_1.x", `"dedupe":"k1",`
 	first.send(strings.Replace(keyedLine(1, stayStatement, key), `"ttl":9000`, `"ttl":1200`, 1))
 	eventually(t, func() bool { return e.count(&e.attempts, stayStatement) >= 1 })
@@ -214,7 +214,7 @@
 	e, j := newFakeEngine(t, false), newFakeJournal(t)
 	j.add(true, serverEntry(1, e, "active"))
 	p := startWithSettings(t, testdir.Dir(t), j, "", 600, `{}`, strings.Replace(secondSettings, `"repeatWindowMs":9000`, `"repeatWindowMs":400`, 1))
-	c, load, key := dialClient(t, p.listen), "insert fail into s_1.x", `"dedupe":"k1",`
+	c, load, key := dialClient(t, p.clientAddr), "insert fail into s_1.x", `"dedupe":"k1",`
 	require.Contains(t, c.call(keyedLine(1, load, key)), `"error"`)
 	for endedAt := time.Now(); time.Since(endedAt) < window; { // the key's window began earlier
 		time.Sleep(time.Millisecond)
@@ -230,7 +230,7 @@
 func TestEngineProtocolViolationsAreCountedAndChangeNothing(t *testing.T) {
 	t.Parallel()
 	p, e := startWithSecondSettings(t, false)
-	c := dialClient(t, p.listen)
+	c := dialClient(t, p.clientAddr)
 	c.send(queryLine(1, "ridership-report", "odd stay", 9000))
 	waitForCounter := func(counter string) {
 		eventually(t, func() bool {
