--- a/cmd/aniseloft/engine_test.go
+++ b/cmd/aniseloft/engine_test.go
@@ -52,11 +52,11 @@
 }
 
 // requestedBefore reports whether a page has been requested before, and notes the request.
-func (e *fakeEngine) requestedBefore(page string) bool {
+func (e *fakeEngine) requestedBefore(pageKey string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	before := e.requested[page]
-	e.requested[page] = true
+	before := e.requested[pageKey]
+	e.requested[pageKey] = true
 	return before
 }
 
--- a/cmd/aniseloft/lifecycle_test.go
+++ b/cmd/aniseloft/lifecycle_test.go
@@ -257,15 +257,15 @@
 		if comesBack {
 			restarts.newEngine, restarts.updateDue = newEngine, outage+maxWait
 		}
-		var group sync.WaitGroup
+		var restartsInProgress sync.WaitGroup
 		for i, p := range coordinators {
-			group.Go(func() { restarts.restart(p, i) })
+			restartsInProgress.Go(func() { restarts.restart(p, i) })
 		}
 		if comesBack {
 			time.Sleep(time.Until(restarts.startedAt.Add(outage)))
 			service.up(t)
 		}
-		group.Wait()
+		restartsInProgress.Wait()
 		require.LessOrEqual(t, restarts.lateCount, maxLateCount, "discovery %s", discovery)
 		t.Logf("discovery %s: %d of %d late, all answered after %v", discovery, restarts.lateCount, processCount, time.Since(restarts.startedAt).Round(time.Millisecond))
 	}
