--- a/decide/settings.go
+++ b/decide/settings.go
@@ -111,7 +111,8 @@
 
 	// ProbeCost is the cost of one probe per request, as a ratio of the complete result.
 	ProbeCost float64
-	// GossipCost is the cost of one full message to one balancer per request, as a ratio of the complete result.
+	// GossipCost is the cost of one full message to one balancer per request, as a ratio of the complete
+	// result.
 	GossipCost           float64
 	MaxRetryAfter        Millis           // longest Retry-After that clients obey, for rejections; 0: none
 	ProgressInterval     Millis           // time between progress notices of a running query; 0: no notices
